--- /dev/null
+++ b/maintenance/tests/wire_format.rs
@@ -0,0 +1,354 @@
+//! The bytes of everything that the proxies exchange and store for host maintenance. postcard encodes fields and
+//! variants by position, so a reordered variant or an inserted field changes the protocol: these bytes must not change.
+
+use flaxhead_lease::{
+    Ballot, Known, Memory, Message, Name, Process, Promise, Renewal, Roster, Told, Version, Word as LeaseWord,
+};
+use flaxhead_maintenance::{Answer, Ask, Board, End, Order, Past, Refusal, Stage, Turn, Turns, Word};
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::net::SocketAddr;
+
+type Encoded = (&'static str, Vec<u8>);
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn bytes(value: &impl serde::Serialize) -> Vec<u8> {
+    postcard::to_allocvec(value).expect("it can be encoded")
+}
+
+fn assert_encoded(encoded: &[Encoded], expected: &[(&str, &str)]) {
+    let actual: Vec<(&str, String)> = encoded.iter().map(|(name, bytes)| (*name, hex(bytes))).collect();
+    let expected: Vec<(&str, String)> =
+        expected.iter().map(|(name, hex)| (*name, (*hex).to_owned())).collect();
+    assert_eq!(actual, expected);
+}
+
+fn name(text: &str) -> Name {
+    Name::new(text).expect("a name")
+}
+
+fn ballot() -> Ballot {
+    Ballot { round: 300, name: name("n1"), life: 7 }
+}
+
+fn version() -> Version {
+    Version { fence: Some(ballot()), seq: 5 }
+}
+
+fn process() -> Process {
+    Process { name: name("n2"), life: 9, at: SocketAddr::from(([127, 0, 0, 2], 7_946)) }
+}
+
+fn roster() -> Roster {
+    Roster { version: Version { fence: None, seq: 2 }, processes: BTreeSet::from([process()]) }
+}
+
+fn ask() -> Ask {
+    Ask {
+        host: "h1".to_owned(),
+        kind: "kernel".to_owned(),
+        by: "ops".to_owned(),
+        lasts: 1_000_000,
+        not_before: 20,
+        not_after: Some(30),
+        already_out: true,
+    }
+}
+
+fn turn(stage: Stage) -> Turn {
+    Turn { id: 3, ask: ask(), stage, since_seq: 4, age: 50, free: true, waits_for: "w".to_owned() }
+}
+
+fn past(end: End) -> Past {
+    Past { id: 1, host: "h0".to_owned(), by: "ops".to_owned(), end }
+}
+
+fn board() -> Board {
+    Board { next_id: 4, turns: vec![turn(Stage::Out)], past: VecDeque::from([past(End::Done)]) }
+}
+
+fn told() -> Told<Board> {
+    Told { version: version(), slate: board() }
+}
+
+fn word() -> Word {
+    Word {
+        busy: BTreeMap::from([("h1".to_owned(), 2)]),
+        load: 1_500,
+        lost: BTreeSet::from(["z1".to_owned()]),
+    }
+}
+
+fn lease_word() -> LeaseWord {
+    LeaseWord {
+        known: Some(Known::Recalling),
+        knows: true,
+        leave: false,
+        holder: Some(name("n1")),
+        named: BTreeSet::from([name("n3")]),
+    }
+}
+
+#[test]
+fn every_message_keeps_its_bytes() {
+    let order = Order::Done { turn: 3, by: "ops".to_owned() };
+    let promise = Promise { ballot: ballot(), life: 9, known: Known::Sure, roster: roster(), told: told() };
+    let renewal = Renewal {
+        process: process(),
+        stamp: 1_000,
+        knows: true,
+        version: version(),
+        fence: Some(ballot()),
+        word: word(),
+    };
+    let messages: Vec<(&str, Message<Turns>)> = vec![
+        ("Prepare", Message::Prepare { ballot: ballot(), marks: (1, 2) }),
+        ("Promised", Message::Promised(Box::new(promise))),
+        ("Denied", Message::Denied { ballot: ballot(), promised: Some(ballot()), lease_left: 6 }),
+        ("Propose", Message::Propose { ballot: ballot(), round: 2, life: 9, sure: true, roster: roster() }),
+        ("Accepted", Message::Accepted { ballot: ballot(), round: 2, life: 9, roster: version() }),
+        ("Recall", Message::Recall { nonce: 11, marks: (1, 2) }),
+        (
+            "Recalled",
+            Message::Recalled {
+                nonce: 11,
+                known: Known::Cold,
+                promised: None,
+                lease_left: 6,
+                roster: roster(),
+                told: told(),
+            },
+        ),
+        ("Tell", Message::Tell { told: told() }),
+        ("Renew", Message::Renew(Box::new(renewal))),
+        ("Show", Message::Show { ballot: ballot() }),
+        ("Shown", Message::Shown { ballot: ballot(), told: told(), admitted: true }),
+        ("Granted", Message::Granted { ballot: ballot(), life: 9, stamp: 1_000, remembers: true, leave: () }),
+        ("Inquire", Message::Inquire { life: 9, stamp: 1_000, slate: true }),
+        ("Informed", Message::Informed { life: 9, stamp: 1_000, word: lease_word(), told: Some(told()) }),
+        ("NotHolder", Message::NotHolder { holder: Some(name("n1")), fence: Some(ballot()) }),
+        ("Order", Message::Order { id: 4, order }),
+        ("Answer", Message::Answer { id: 4, result: Ok(Answer::Done) }),
+    ];
+    let encoded: Vec<Encoded> = messages.iter().map(|(name, message)| (*name, bytes(message))).collect();
+    assert_encoded(&encoded, EXPECTED_MESSAGES);
+    for (name, message) in &messages {
+        let decoded: Message<Turns> = postcard::from_bytes(&bytes(message)).expect("it can be decoded");
+        assert_eq!(decoded, *message, "{name}");
+    }
+}
+
+#[test]
+fn every_state_of_a_voter_keeps_its_number() {
+    let states = [Known::Silent, Known::Recalling, Known::Cold, Known::Sure];
+    assert_eq!(states.map(|state| bytes(&state)), [[0], [1], [2], [3]]);
+    let texts = states.map(|state| serde_json::to_string(&state).expect("text"));
+    assert_eq!(texts, ["\"silent\"", "\"recalling\"", "\"cold\"", "\"sure\""]);
+}
+
+#[test]
+fn every_operator_command_and_response_keeps_its_bytes() {
+    let by = || "ops".to_owned();
+    let encoded: Vec<Encoded> = vec![
+        ("Ask", bytes(&Order::Ask(ask()))),
+        ("Withdraw", bytes(&Order::Withdraw { turn: 3, by: by() })),
+        ("Done", bytes(&Order::Done { turn: 3, by: by() })),
+        ("Gone", bytes(&Order::Gone { name: "n2".to_owned(), by: by() })),
+        ("Known", bytes(&Order::Known { by: by() })),
+        ("Answer::Turn", bytes(&Answer::Turn { id: 3, stage: Stage::Settled })),
+        ("Answer::Done", bytes(&Answer::Done)),
+        ("NoHolder", bytes(&Refusal::NoHolder)),
+        ("TimedOut", bytes(&Refusal::TimedOut)),
+        ("UnknownHost", bytes(&Refusal::UnknownHost("h".to_owned()))),
+        ("UnknownTurn", bytes(&Refusal::UnknownTurn(3))),
+        ("UnknownProcess", bytes(&Refusal::UnknownProcess("n".to_owned()))),
+        ("Runs", bytes(&Refusal::Runs("n".to_owned()))),
+        ("Never", bytes(&Refusal::Never("w".to_owned()))),
+        ("BadText", bytes(&Refusal::BadText("by".to_owned()))),
+        ("NotYours", bytes(&Refusal::NotYours { turn: 3, by: by() })),
+        ("WrongStage", bytes(&Refusal::WrongStage { turn: 3, stage: Stage::Draining })),
+        ("Ended", bytes(&Refusal::Ended { turn: 3, end: End::Done })),
+        ("TooMany", bytes(&Refusal::TooMany(64))),
+    ];
+    assert_encoded(&encoded, EXPECTED_COMMANDS);
+}
+
+#[test]
+fn every_operator_command_and_response_keeps_its_json() {
+    let by = || "ops".to_owned();
+    let texts = |values: &[serde_json::Value]| values.iter().map(ToString::to_string).collect::<Vec<_>>();
+    let json = |value: &dyn erased::Json| value.json();
+    let commands: Vec<serde_json::Value> = vec![
+        json(&Order::Ask(ask())),
+        json(&Order::Withdraw { turn: 3, by: by() }),
+        json(&Order::Done { turn: 3, by: by() }),
+        json(&Order::Gone { name: "n2".to_owned(), by: by() }),
+        json(&Order::Known { by: by() }),
+    ];
+    assert_eq!(
+        texts(&commands),
+        [
+            r#"{"Ask":{"already_out":true,"by":"ops","host":"h1","kind":"kernel","lasts":1000000,"not_after":30,"not_before":20}}"#,
+            r#"{"Withdraw":{"by":"ops","turn":3}}"#,
+            r#"{"Done":{"by":"ops","turn":3}}"#,
+            r#"{"Gone":{"by":"ops","name":"n2"}}"#,
+            r#"{"Known":{"by":"ops"}}"#,
+        ]
+    );
+    let results: Vec<Result<Answer, Refusal>> = vec![
+        Ok(Answer::Turn { id: 3, stage: Stage::Settled }),
+        Ok(Answer::Done),
+        Err(Refusal::NoHolder),
+        Err(Refusal::TimedOut),
+        Err(Refusal::UnknownHost("h".to_owned())),
+        Err(Refusal::UnknownTurn(3)),
+        Err(Refusal::UnknownProcess("n".to_owned())),
+        Err(Refusal::Runs("n".to_owned())),
+        Err(Refusal::Never("w".to_owned())),
+        Err(Refusal::BadText("by".to_owned())),
+        Err(Refusal::NotYours { turn: 3, by: by() }),
+        Err(Refusal::WrongStage { turn: 3, stage: Stage::Draining }),
+        Err(Refusal::Ended { turn: 3, end: End::Failed { why: "w".to_owned() } }),
+        Err(Refusal::TooMany(64)),
+    ];
+    let results: Vec<serde_json::Value> = results.iter().map(|result| json(result)).collect();
+    assert_eq!(
+        texts(&results),
+        [
+            r#"{"Ok":{"Turn":{"id":3,"stage":"settled"}}}"#,
+            r#"{"Ok":"Done"}"#,
+            r#"{"Err":"NoHolder"}"#,
+            r#"{"Err":"TimedOut"}"#,
+            r#"{"Err":{"UnknownHost":"h"}}"#,
+            r#"{"Err":{"UnknownTurn":3}}"#,
+            r#"{"Err":{"UnknownProcess":"n"}}"#,
+            r#"{"Err":{"Runs":"n"}}"#,
+            r#"{"Err":{"Never":"w"}}"#,
+            r#"{"Err":{"BadText":"by"}}"#,
+            r#"{"Err":{"NotYours":{"by":"ops","turn":3}}}"#,
+            r#"{"Err":{"WrongStage":{"stage":"draining","turn":3}}}"#,
+            r#"{"Err":{"Ended":{"end":{"failed":{"why":"w"}},"turn":3}}}"#,
+            r#"{"Err":{"TooMany":64}}"#,
+        ]
+    );
+}
+
+mod erased {
+    /// A value as a tree of JSON; its keys in alphabetical order.
+    pub trait Json {
+        fn json(&self) -> serde_json::Value;
+    }
+
+    impl<T: serde::Serialize> Json for T {
+        fn json(&self) -> serde_json::Value {
+            serde_json::to_value(self).expect("it can be encoded")
+        }
+    }
+}
+
+#[test]
+fn every_stage_and_end_keeps_its_bytes() {
+    let encoded: Vec<Encoded> = vec![
+        ("Asked", bytes(&turn(Stage::Asked))),
+        ("Settled", bytes(&turn(Stage::Settled))),
+        ("Draining", bytes(&turn(Stage::Draining))),
+        ("Out", bytes(&turn(Stage::Out))),
+        ("Back", bytes(&turn(Stage::Back))),
+        ("Done", bytes(&past(End::Done))),
+        ("Withdrawn", bytes(&past(End::Withdrawn { by: "o".to_owned() }))),
+        ("Expired", bytes(&past(End::Expired { why: "e".to_owned() }))),
+        ("Failed", bytes(&past(End::Failed { why: "f".to_owned() }))),
+    ];
+    assert_encoded(&encoded, EXPECTED_STAGES);
+}
+
+#[test]
+fn the_record_on_disk_keeps_its_bytes() {
+    let memory: Memory<Turns> = Memory {
+        sure: true,
+        voters: (1, 2),
+        promised: Some(ballot()),
+        fence: None,
+        roster: roster(),
+        told: told(),
+    };
+    assert_encoded(&[("Memory", bytes(&memory))], EXPECTED_RECORD);
+}
+
+const EXPECTED_MESSAGES: &[(&str, &str)] = &[
+    ("Prepare", "00ac02026e31070102"),
+    (
+        "Promised",
+        "01ac02026e31070903000201026e3209007f0000028a3e01ac02026e310705040103026831066b65726e656c036f7073c0843d14011e010304320101770101026830036f707300",
+    ),
+    ("Denied", "02ac02026e310701ac02026e310706"),
+    ("Propose", "03ac02026e3107020901000201026e3209007f0000028a3e"),
+    ("Accepted", "04ac02026e3107020901ac02026e310705"),
+    ("Recall", "050b0102"),
+    (
+        "Recalled",
+        "060b020006000201026e3209007f0000028a3e01ac02026e310705040103026831066b65726e656c036f7073c0843d14011e010304320101770101026830036f707300",
+    ),
+    (
+        "Tell",
+        "0701ac02026e310705040103026831066b65726e656c036f7073c0843d14011e010304320101770101026830036f707300",
+    ),
+    ("Renew", "08026e3209007f0000028a3ee8070101ac02026e31070501ac02026e31070102683102dc0b01027a31"),
+    ("Show", "09ac02026e3107"),
+    (
+        "Shown",
+        "0aac02026e310701ac02026e310705040103026831066b65726e656c036f7073c0843d14011e010304320101770101026830036f70730001",
+    ),
+    ("Granted", "0bac02026e310709e80701"),
+    ("Inquire", "0c09e80701"),
+    (
+        "Informed",
+        "0d09e8070101010001026e3101026e330101ac02026e310705040103026831066b65726e656c036f7073c0843d14011e010304320101770101026830036f707300",
+    ),
+    ("NotHolder", "0e01026e3101ac02026e3107"),
+    ("Order", "0f040203036f7073"),
+    ("Answer", "10040001"),
+];
+
+const EXPECTED_COMMANDS: &[(&str, &str)] = &[
+    ("Ask", "00026831066b65726e656c036f7073c0843d14011e01"),
+    ("Withdraw", "0103036f7073"),
+    ("Done", "0203036f7073"),
+    ("Gone", "03026e32036f7073"),
+    ("Known", "04036f7073"),
+    ("Answer::Turn", "000301"),
+    ("Answer::Done", "01"),
+    ("NoHolder", "00"),
+    ("TimedOut", "01"),
+    ("UnknownHost", "020168"),
+    ("UnknownTurn", "0303"),
+    ("UnknownProcess", "04016e"),
+    ("Runs", "05016e"),
+    ("Never", "060177"),
+    ("BadText", "07026279"),
+    ("NotYours", "0803036f7073"),
+    ("WrongStage", "090302"),
+    ("Ended", "0a0300"),
+    ("TooMany", "0b40"),
+];
+
+const EXPECTED_STAGES: &[(&str, &str)] = &[
+    ("Asked", "03026831066b65726e656c036f7073c0843d14011e01000432010177"),
+    ("Settled", "03026831066b65726e656c036f7073c0843d14011e01010432010177"),
+    ("Draining", "03026831066b65726e656c036f7073c0843d14011e01020432010177"),
+    ("Out", "03026831066b65726e656c036f7073c0843d14011e01030432010177"),
+    ("Back", "03026831066b65726e656c036f7073c0843d14011e01040432010177"),
+    ("Done", "01026830036f707300"),
+    ("Withdrawn", "01026830036f707301016f"),
+    ("Expired", "01026830036f7073020165"),
+    ("Failed", "01026830036f7073030166"),
+];
+
+const EXPECTED_RECORD: &[(&str, &str)] = &[
+    (
+        "Memory",
+        "01010201ac02026e310700000201026e3209007f0000028a3e01ac02026e310705040103026831066b65726e656c036f7073c0843d14011e010304320101770101026830036f707300",
+    ),
+];
--- a/proxy/src/features/audit/tests.rs
+++ b/proxy/src/features/audit/tests.rs
@@ -104,3 +104,19 @@
     assert_eq!(check(&lines), Verdict::Whole(3));
     assert!(lines[1].contains("\"event\":\"lost\"") && lines[1].contains("3 changes"), "{lines:?}");
 }
+
+/// A trail is checked by other builds and by others' programs: its form must not change.
+#[test]
+fn a_line_keeps_its_keys_and_their_order() {
+    let line = &trail(1)[0];
+    let number_at = line.find("\"ts_ms\":").expect("a time") + "\"ts_ms\":".len();
+    let digits = line[number_at..].chars().take_while(char::is_ascii_digit).count();
+    let hash_at = line.find("\"hash\":\"").expect("a hash") + "\"hash\":\"".len();
+    let form = [&line[..number_at], "0", &line[number_at + digits..hash_at], &line[hash_at + 64..]].concat();
+    let expected = format!(
+        "{{\"seq\":1,\"ts_ms\":0,\"event\":\"health\",\"actor\":\"platform\",\"detail\":\"s-1 \\\"Ready\\\"\",\
+         \"prev\":\"{}\",\"hash\":\"\"}}\n",
+        "0".repeat(64)
+    );
+    assert_eq!(form, expected);
+}
--- a/proxy/src/features/capture/form.rs
+++ b/proxy/src/features/capture/form.rs
@@ -142,3 +142,6 @@
     let version: Version = postcard::from_bytes(body).ok()?;
     version.program.starts_with("flaxhead ").then_some(version)
 }
+
+#[cfg(test)]
+mod tests;
--- a/proxy/src/features/shares/shown.rs
+++ b/proxy/src/features/shares/shown.rs
@@ -150,3 +150,6 @@
     }
     page
 }
+
+#[cfg(test)]
+mod tests;
--- a/proxy/src/features/state/tests.rs
+++ b/proxy/src/features/state/tests.rs
@@ -18,3 +18,27 @@
     ];
     assert_refused(Features::parse, &cases);
 }
+
+/// The part is read by later builds: its bytes must not change.
+#[test]
+fn the_list_keeps_its_bytes_on_disk() {
+    let discovery = SocketAddr::from(([127, 0, 0, 1], 8_500));
+    let host = |health: Health| Host {
+        host: "s-1".to_owned(),
+        dial: SocketAddr::from(([127, 0, 0, 2], 80)),
+        site: "z".to_owned(),
+        class: "m".to_owned(),
+        block: 2,
+        health,
+        share: 1.0,
+        born_ms: 3,
+    };
+    let hosts = [Health::Ready, Health::Terminating, Health::Gone].map(|health| Cow::Owned(host(health)));
+    let list = Kept { discovery, seq: 300, hosts: hosts.to_vec() };
+    let bytes = postcard::to_stdvec(&list).expect("it can be encoded");
+    let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
+    assert_eq!(hex, EXPECTED_LIST);
+    assert_eq!((LIST, LIST_FORM), ("list", 1));
+}
+
+const EXPECTED_LIST: &str = "007f000001b442ac020303732d31007f00000250017a016d0200000000000000f03f0303732d31007f00000250017a016d0201000000000000f03f0303732d31007f00000250017a016d0202000000000000f03f03";
--- a/proxy/src/features/status/tests.rs
+++ b/proxy/src/features/status/tests.rs
@@ -32,3 +32,23 @@
     let json: serde_json::Value = serde_json::from_slice(&Rendered::new(&page).json).expect("it is JSON");
     assert_eq!(json["hosts"][0]["host"], "<b>&\"'");
 }
+
+/// `/status.json` is read by others' programs: its keys and their order must not change.
+#[test]
+fn the_json_keeps_its_keys_and_their_order() {
+    let dial = SocketAddr::from(([127, 0, 0, 1], 1));
+    let host = |health| HostRow { host: "h".to_owned(), dial, health, last_errors: vec!["reset"] };
+    let hosts = [Health::Ready, Health::Terminating, Health::Gone].map(host).into();
+    let load = vec![LoadRow { class: "safe".to_owned(), in_hand: 1, requests: 2, per_second: 0.5 }];
+    let page = Snapshot { version: "1", uptime_s: 2, hosts, load, shares: None };
+    let host = |health: &str| {
+        format!(r#"{{"host":"h","dial":"127.0.0.1:1","health":"{health}","last_errors":["reset"]}}"#)
+    };
+    let expected = format!(
+        r#"{{"version":"1","uptime_s":2,"hosts":[{},{},{}],"load":[{{"class":"safe","in_hand":1,"requests":2,"per_second":0.5}}]}}"#,
+        host("Ready"),
+        host("Terminating"),
+        host("Gone"),
+    );
+    assert_eq!(serde_json::to_string(&page).expect("text"), expected);
+}
--- a/proxy/src/features/tests.rs
+++ b/proxy/src/features/tests.rs
@@ -58,3 +58,69 @@
     ];
     assert_refused(Features::parse, &cases);
 }
+
+/// Operators have these files: each section and key must stay understood, in both forms.
+#[test]
+fn every_key_of_every_section_is_understood() {
+    let sections = [
+        ("status", "listen_port = 8600\nrefresh_ms = 500\n"),
+        ("audit", "dir = /a\n"),
+        ("capture", "files = 5\nfile_kb = 100\ndir = /c\n"),
+        ("access", "allow = 10.0.0.0/8\ndeny = 10.1.0.0/16\nproxy_from = 10.2.0.0/16\n"),
+        (
+            "peers",
+            "listen = 10.0.0.4:7946\nadvertise = 10.0.0.5:7946\ncontacts = 10.0.0.1:7946\ncluster = a\n\
+             networks = 10.0.0.0/8\n",
+        ),
+        (
+            "work",
+            "voters = a, b, c\nnext_voters = c, d, e\nlease_ms = 2000\ndrain_s = 11\nforgotten_s = 12\n\
+             alone_s = 13\nknown_s = 14\nback_s = 15\nlongest_s = 16\nhosts = 3\nhosts_zone = 4\nhosts_pod = 5\n\
+             host_calls = 6\nmargin_percent = 70\n",
+        ),
+        (
+            "shares",
+            "voters = a, b, c\nnext_voters = c, d, e\nlease_ms = 3000\nalone_s = 21\nproxies_most = 4\n\
+             own_percent = 30\nhost_calls = 7\nmargin_percent = 20\ncaps = x 40, others 20\n",
+        ),
+        ("state", "dir = /s\nold_s = 90\n"),
+        ("log", "format = json\n"),
+    ];
+    let text: String = sections.iter().map(|(name, keys)| format!("[{name}]\n{keys}")).collect();
+    let features = Features::parse(&text).expect("every key is understood");
+    let second = 1_000_000;
+    let work = features.work.as_ref().expect("on");
+    assert_eq!(
+        (work.config.lease, work.config.cold_wait, work.config.alone_after, work.config.known_wait),
+        (2 * second, 12 * second, 13 * second, 14 * second)
+    );
+    assert_eq!((work.rules.drain_most, work.rules.back_most), (11 * second, 15 * second));
+    let limits = &work.rules.limits;
+    assert_eq!((limits.longest, limits.all, limits.zone, limits.pod), (16 * second, 3, 4, 5));
+    assert_eq!((limits.host_calls, limits.margin), (6_000, 700));
+    let shares = features.shares.as_ref().expect("on");
+    assert_eq!((shares.lease, shares.alone), (3 * second, 21 * second));
+    let terms = &shares.terms;
+    assert_eq!((terms.proxies_most, terms.own_percent), (4, 30));
+    assert_eq!((terms.host_calls, terms.margin_percent, terms.caps.len()), (7, 20, 2));
+    let state = features.state.as_ref().expect("on");
+    assert_eq!((state.dir.to_str(), state.old.as_secs()), (Some("/s"), 90));
+    let peers = features.peers.as_ref().expect("on");
+    assert_eq!(
+        (peers.listen.to_string(), peers.advertise.to_string()),
+        ("10.0.0.4:7946".into(), "10.0.0.5:7946".into())
+    );
+    assert_eq!((peers.contacts.len(), peers.cluster.as_str(), peers.networks.len()), (1, "a", 1));
+    let capture = features.capture.as_ref().expect("on");
+    assert_eq!((capture.files, capture.file_bytes), (5, 100 << 10));
+    assert_eq!(features.status.expect("on").listen_port, Some(8600));
+    assert!(features.audit.is_some() && features.access.is_some());
+    assert_eq!(features.log, Some(output::Form::Json));
+    // As TOML the same; texts are quoted there.
+    let quoted = |line: &str| match line.split_once(" = ") {
+        Some((key, value)) if value.parse::<i64>().is_err() => format!("{key} = {value:?}\n"),
+        _ => format!("{line}\n"),
+    };
+    let toml: String = text.lines().map(quoted).collect();
+    assert_eq!(Features::parse_toml(&toml).as_ref(), Ok(&features));
+}
--- /dev/null
+++ b/quota/tests/wire_format.rs
@@ -0,0 +1,127 @@
+//! The bytes of what a process and the lease holder exchange over tenant quotas. postcard encodes fields and variants by
+//! position, so a reordered variant or an inserted field changes the protocol: these bytes must not change.
+
+use flaxhead_lease::{Memory, Message, Promise, Renewal, Roster, Told, Version};
+use flaxhead_quota::{
+    Ballot, Book, Deal, Leave, Name, Process, Seat, Shares, Stamp, Terms, Usage, Use, Word,
+};
+use std::net::SocketAddr;
+
+fn hex(value: &impl serde::Serialize) -> String {
+    let bytes = postcard::to_allocvec(value).expect("it can be encoded");
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn name(text: &str) -> Name {
+    Name::new(text).expect("a name")
+}
+
+fn ballot() -> Ballot {
+    Ballot { round: 300, name: name("n1"), life: 7 }
+}
+
+fn book() -> Book {
+    let terms = Terms { proxies_most: 4, caps: vec!["a 40".to_owned()], ..Terms::default() };
+    Book::new(&terms, [("a", 0.5), ("b", 0.25)]).expect("a good book")
+}
+
+fn word(seat: Seat) -> Word {
+    let usage = Usage {
+        tenants: vec![Use { in_hand: 1, most: 2, waiting: 3, refused: 4 }],
+        attempts: 500,
+        turned_away: 6,
+    };
+    Word {
+        by: Some(Stamp { ballot: ballot(), seq: 8 }),
+        held: vec![9, 10],
+        left: 11,
+        seat,
+        usage,
+        digest: 12,
+        deal: Some(Deal { tenants: book().tenants, proxies_most: 4 }),
+    }
+}
+
+fn leave() -> Leave {
+    Leave {
+        seq: 1,
+        grants: Some(vec![2, 3]),
+        seat: true,
+        all: Some(4),
+        shares: vec![5, 6],
+        lowered: vec![(7, 8)],
+        known: true,
+        digest: 9,
+        pace_ms: 10,
+    }
+}
+
+fn renewal(seat: Seat) -> Message<Shares> {
+    let process = Process { name: name("n2"), life: 9, at: SocketAddr::from(([127, 0, 0, 2], 7_946)) };
+    let (version, fence) = (Version { fence: None, seq: 0 }, Some(ballot()));
+    Message::Renew(Box::new(Renewal { process, stamp: 1_000, knows: true, version, fence, word: word(seat) }))
+}
+
+#[test]
+fn every_message_that_carries_quotas_keeps_its_bytes() {
+    let granted = Message::<Shares>::Granted {
+        ballot: ballot(),
+        life: 9,
+        stamp: 1_000,
+        remembers: true,
+        leave: leave(),
+    };
+    let told = Told { version: Version { fence: None, seq: 1 }, slate: () };
+    let promise = Promise::<Shares> {
+        ballot: ballot(),
+        life: 9,
+        known: flaxhead_lease::Known::Sure,
+        roster: Roster::default(),
+        told: told.clone(),
+    };
+    let memory = Memory::<Shares> {
+        sure: true,
+        voters: (1, 2),
+        promised: None,
+        fence: Some(ballot()),
+        roster: Roster::default(),
+        told,
+    };
+    let actual = [
+        ("Renew, Seat::Waits", hex(&renewal(Seat::Waits))),
+        ("Renew, Seat::Has", hex(&renewal(Seat::Has))),
+        ("Renew, Seat::Denied", hex(&renewal(Seat::Denied))),
+        ("Granted", hex(&granted)),
+        ("Promised", hex(&Message::<Shares>::Promised(Box::new(promise)))),
+        ("Memory", hex(&memory)),
+    ];
+    let expected: Vec<(&str, String)> =
+        EXPECTED.iter().map(|(name, hex)| (*name, (*hex).to_owned())).collect();
+    assert_eq!(actual.to_vec(), expected);
+}
+
+/// Processes tell by the digest whether their settings agree: two builds must come to the same number.
+#[test]
+fn the_digest_of_the_settings_keeps_its_value() {
+    assert_eq!(book().digest, EXPECTED_DIGEST);
+}
+
+const EXPECTED_DIGEST: u64 = 11994531451941268802;
+
+const EXPECTED: &[(&str, &str)] = &[
+    (
+        "Renew, Seat::Waits",
+        "08026e3209007f0000028a3ee80701000001ac02026e310701ac02026e31070802090a0b000101020304f403060c01030161a0c21e012802016290a10f0000066f746865727390a10f000004",
+    ),
+    (
+        "Renew, Seat::Has",
+        "08026e3209007f0000028a3ee80701000001ac02026e310701ac02026e31070802090a0b010101020304f403060c01030161a0c21e012802016290a10f0000066f746865727390a10f000004",
+    ),
+    (
+        "Renew, Seat::Denied",
+        "08026e3209007f0000028a3ee80701000001ac02026e310701ac02026e31070802090a0b020101020304f403060c01030161a0c21e012802016290a10f0000066f746865727390a10f000004",
+    ),
+    ("Granted", "0bac02026e310709e80701010102020301010402050601070801090a"),
+    ("Promised", "01ac02026e310709030000000001"),
+    ("Memory", "0101020001ac02026e31070000000001"),
+];
