--- a/coordination/src/disk.rs
+++ b/coordination/src/disk.rs
@@ -1,6 +1,6 @@
 //! What a coordinator keeps on a disk over a restart, and what of it the disk has.
 
-use flaxhead_lease::{Application, Machine, Mark, Memory, Micros};
+use flaxhead_lease::{Application, Machine, Micros, PersistenceMark, PersistentState};
 use flaxhead_snapshot::{AsOf, Keeper, Part, Recollection, Refusal};
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -18,10 +18,10 @@
 pub struct Disk<M: Application> {
     keeper: Keeper,
     name: &'static str,
-    found: Option<(Memory<M>, Micros)>,
-    put: Option<(Mark, Instant)>,
+    found: Option<(PersistentState<M>, Micros)>,
+    put: Option<(PersistenceMark, Instant)>,
     /// Changes that are on their way to the disk, the oldest first.
-    waits: VecDeque<(u64, Mark)>,
+    waits: VecDeque<(u64, PersistenceMark)>,
     unfit: bool,
 }
 
@@ -33,7 +33,7 @@
         name: &'static str,
         recollected: Option<&mut Recollection>,
     ) -> (Disk<M>, Option<Refusal>) {
-        let read = |part: Part| match postcard::take_from_bytes::<Memory<M>>(&part.bytes) {
+        let read = |part: Part| match postcard::take_from_bytes::<PersistentState<M>>(&part.bytes) {
             Ok((memory, [])) => Ok((memory, part.age_ms.saturating_mul(1_000))),
             Ok(_) | Err(_) => Err(Refusal::PartUnread(name.to_owned())),
         };
@@ -52,7 +52,7 @@
     }
 
     /// What was found, once, and how old it is.
-    pub(crate) fn take_found(&mut self) -> (Option<Memory<M>>, Micros) {
+    pub(crate) fn take_found(&mut self) -> (Option<PersistentState<M>>, Micros) {
         self.found.take().map_or((None, 0), |(memory, age)| (Some(memory), age))
     }
 
@@ -63,16 +63,16 @@
 
     /// Keeps what the machine would need, where that is new.
     pub(crate) fn keep(&mut self, machine: &Machine<M>, now: Micros) {
-        let Some(mark) = machine.mark() else { return };
-        let same = |(put, at): &(Mark, Instant)| *put == mark && at.elapsed() < AGAIN;
+        let Some(mark) = machine.persistence_mark() else { return };
+        let same = |(put, at): &(PersistenceMark, Instant)| *put == mark && at.elapsed() < AGAIN;
         if self.put.as_ref().is_some_and(same) {
             return;
         }
-        let memory = machine.memory(now);
+        let memory = machine.persistent_state(now);
         let ballot = memory.fence.as_ref().map_or(0, |fence| fence.round);
         // Into memory; nothing in it can fail to be written there.
         let Ok(bytes) = postcard::to_allocvec(&memory) else { return };
-        let (name, life) = (self.name.to_owned(), machine.me().life);
+        let (name, life) = (self.name.to_owned(), machine.me().incarnation);
         let part = Part { name, version: FORM, ballot, life, age_ms: 0, bytes };
         self.put = Some((mark.clone(), Instant::now()));
         match self.keeper.put(part, AsOf::Living) {
@@ -96,7 +96,7 @@
     }
 
     /// The newest memory that has come to the disk since this was last asked.
-    pub(crate) fn kept(&mut self) -> Option<Mark> {
+    pub(crate) fn kept(&mut self) -> Option<PersistenceMark> {
         let durable = self.keeper.durable();
         let done = self.waits.iter().take_while(|(change, _)| *change <= durable).count();
         self.waits.drain(..done).next_back().map(|(_, mark)| mark)
--- a/coordination/src/driver.rs
+++ b/coordination/src/driver.rs
@@ -4,7 +4,8 @@
 use crate::side::{Clock, Side};
 use crate::{members, wire};
 use flaxhead_lease::{
-    Application, Around, Config, Effect, Facts, Machine, Micros, Name, Process, Serving, Unsettled, Voters,
+    AdmissionStatus, Application, CommandError, Config, Context, Effect, Facts, Machine, Micros, Name,
+    Process, Voters,
 };
 use flaxhead_peers::{Channel, ChannelService, Peers};
 use rand_core::SeedableRng;
@@ -34,7 +35,10 @@
     pub application: M,
 }
 
-type Ordered<M> = Result<<M as flaxhead_lease::Terms>::Answer, <M as flaxhead_lease::Terms>::Refusal>;
+type Ordered<M> = Result<
+    <M as flaxhead_lease::ApplicationTypes>::Response,
+    <M as flaxhead_lease::ApplicationTypes>::Rejection,
+>;
 
 struct Inner<M: Application> {
     peers: Peers,
@@ -78,7 +82,7 @@
     /// for each application.
     pub fn start(settings: Settings<M>, peers: Peers, seed: u64, disk: Option<Disk<M>>) -> Coordinator<M> {
         let me = peers.look(|machine, _| machine.table().me().clone());
-        let me = Process { name: me.name, life: me.stamp.life, at: me.at };
+        let me = Process { name: me.name, incarnation: me.stamp.life, address: me.at };
         let Settings { channel, voters, config, application } = settings;
         let machine = Machine::new(config, application, voters, me, 0);
         let (looked, side, waiting, stirred): (_, _, _, Arc<Notify>) = Default::default();
@@ -122,7 +126,7 @@
         loop {
             let kept = self.0.disk.as_ref().and_then(|disk| disk.borrow_mut().kept());
             if let Some(mark) = kept {
-                self.step(|machine, around, out| machine.kept(around, mark, out));
+                self.step(|machine, around, out| machine.persisted(around, mark, out));
             }
             self.step(|machine, around, out| machine.tick(around, out));
             let wake = self.0.clock.moment(self.0.machine.borrow().next_wake());
@@ -151,16 +155,16 @@
     }
 
     /// An operator's order, and what it led to.
-    pub async fn order(&self, order: M::Order, patience: Duration) -> Ordered<M> {
+    pub async fn order(&self, order: M::Command, patience: Duration) -> Ordered<M> {
         let (sender, answer) = oneshot::channel();
         let id = self.0.next_order.get();
         self.0.next_order.set(id.wrapping_add(1));
         self.0.waiting.borrow_mut().insert(id, sender);
         let patience = patience.as_micros() as Micros;
-        self.step(|machine, around, out| machine.order(around, id, order, patience, out));
+        self.step(|machine, around, out| machine.submit(around, id, order, patience, out));
         self.stir();
         // The machine answers each, at the latest when its patience is over.
-        answer.await.unwrap_or_else(|_| Err(Unsettled::TimedOut.into()))
+        answer.await.unwrap_or_else(|_| Err(CommandError::TimedOut.into()))
     }
 
     /// What is known, not older than a moment.
@@ -173,28 +177,28 @@
         let mut facts = self.0.facts.borrow_mut();
         let (members, takes_part) =
             self.0.peers.look(|machine, now| (members::facts(machine, now), machine.takes_part()));
-        (facts.members, facts.takes_part) = (members, takes_part);
+        (facts.members, facts.participates) = (members, takes_part);
         // The membership's clock began a little before this one.
         let ahead = self.0.peers.look(|_, now| now).saturating_sub(self.0.clock.now());
         facts.members.values_mut().for_each(|fact| fact.since = fact.since.saturating_sub(ahead));
         if let Some(side) = &*self.0.side.borrow() {
-            facts.own = side.facts();
+            facts.application = side.facts();
         }
     }
 
     /// Has the machine do something, and carries out what it says. What it decided takes effect here before anybody
     /// hears of it.
-    fn step(&self, act: impl FnOnce(&mut Machine<M>, &mut Around<'_, M::Facts>, &mut Vec<Effect<M>>)) {
+    fn step(&self, act: impl FnOnce(&mut Machine<M>, &mut Context<'_, M::Facts>, &mut Vec<Effect<M>>)) {
         self.refresh();
         let side = self.0.side.borrow().clone();
         let (mut out, clock) = (Vec::new(), self.0.clock);
         {
             let mut machine = self.0.machine.borrow_mut();
             if let Some(side) = &side {
-                side.before(machine.matter_mut());
+                side.before(machine.application_mut());
             }
             let (facts, mut random) = (self.0.facts.borrow(), self.0.random.borrow_mut());
-            let mut around = Around { now: clock.now(), facts: &facts, random: &mut *random };
+            let mut around = Context { now: clock.now(), facts: &facts, random: &mut *random };
             act(&mut machine, &mut around, &mut out);
         }
         {
@@ -205,7 +209,7 @@
             if let Some(disk) = &self.0.disk {
                 disk.borrow_mut().keep(&machine, clock.now());
             }
-            let open = machine.serving() != Serving::Waits;
+            let open = machine.admission_status() != AdmissionStatus::Pending;
             self.0.open.send_if_modified(|is| std::mem::replace(is, open) != open);
         }
         out.into_iter().for_each(|effect| self.carry_out(effect, side.as_deref()));
@@ -217,14 +221,14 @@
                 Ok(bytes) => self.0.peers.post(self.0.channel, &to, &bytes),
                 Err(why) => self.drop_one(&to, why),
             },
-            Effect::Answer { id, result } => {
+            Effect::CommandCompleted { id, result } => {
                 if let Some(waiting) = self.0.waiting.borrow_mut().remove(&id) {
                     // Whoever asked may have gone.
                     let _ = waiting.send(result);
                 }
             }
-            Effect::Holds(fence) => side.into_iter().for_each(|side| side.holds(fence.as_ref())),
-            Effect::Noted(note) => {
+            Effect::LeadershipChanged(fence) => side.into_iter().for_each(|side| side.holds(fence.as_ref())),
+            Effect::Event(note) => {
                 if let Some(side) = side {
                     side.noted(note);
                 }
--- a/coordination/src/side.rs
+++ b/coordination/src/side.rs
@@ -37,5 +37,5 @@
     /// This process holds from now on, or no longer.
     fn holds(&self, fence: Option<&Ballot>);
     /// A step, at the holder.
-    fn noted(&self, note: M::Note);
+    fn noted(&self, note: M::Event);
 }
--- a/coordination/src/wire.rs
+++ b/coordination/src/wire.rs
@@ -18,7 +18,7 @@
 /// A message as bytes.
 pub(crate) fn encode<M: Application>(message: &Message<M>) -> Result<Vec<u8>, Unfit> {
     let bytes = postcard::to_allocvec(message).map_err(|_| Unfit::Malformed)?;
-    if bytes.len() > message.most() {
+    if bytes.len() > message.max_len() {
         return Err(Unfit::Long);
     }
     Ok(bytes)
@@ -26,11 +26,11 @@
 
 /// Bytes as a message.
 pub(crate) fn decode<M: Application>(bytes: &[u8]) -> Result<Message<M>, Unfit> {
-    if bytes.len() > Message::<M>::MOST {
+    if bytes.len() > Message::<M>::MAX_BYTES {
         return Err(Unfit::Long);
     }
     match postcard::take_from_bytes::<Message<M>>(bytes) {
-        Ok((message, [])) if bytes.len() <= message.most() => Ok(message),
+        Ok((message, [])) if bytes.len() <= message.max_len() => Ok(message),
         Ok((_, [])) => Err(Unfit::Long),
         Ok(_) | Err(_) => Err(Unfit::Malformed),
     }
--- a/coordination/src/wire/tests.rs
+++ b/coordination/src/wire/tests.rs
@@ -1,47 +1,61 @@
 //! Unit tests of `wire`.
 
 use super::*;
-use flaxhead_lease::{Ballot, Member, Micros, Name, Never, Process, Room, Terms, Unsettled};
+use flaxhead_lease::{
+    ApplicationTypes, Ballot, CommandError, LeaderContext, LeaseGrant, Member, Micros, Name, NoCommand,
+    Process,
+};
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Words;
 
-impl Terms for Words {
-    type Slate = ();
-    type Word = String;
-    type Leave = String;
-    type Order = Never;
-    type Answer = Never;
-    type Refusal = Unsettled;
+impl ApplicationTypes for Words {
+    type State = ();
+    type Report = String;
+    type Grant = String;
+    type Command = NoCommand;
+    type Response = NoCommand;
+    type Rejection = CommandError;
     type Facts = ();
-    type Note = ();
-    const SLATE_MOST: usize = 0;
-    const WORD_MOST: usize = 2_000;
-    const LEAVE_MOST: usize = 1_000;
-    const ORDER_MOST: usize = 0;
+    type Event = ();
+    const MAX_STATE_BYTES: usize = 0;
+    const MAX_REPORT_BYTES: usize = 2_000;
+    const MAX_GRANT_BYTES: usize = 1_000;
+    const MAX_COMMAND_BYTES: usize = 0;
 }
 
 impl Application for Words {
-    type Desk = ();
+    type LeaderData = ();
 
-    fn word(&mut self, _: Micros, _: &Member<Self>, (): &()) -> String {
+    fn report(&mut self, _: Micros, _: &Member<Self>, (): &()) -> String {
         String::new()
     }
 
-    fn begin(&self, _: &mut Room<'_, Self>) {}
+    fn begin_leadership(&self, _: &mut LeaderContext<'_, Self>) {}
 
-    fn leave(&self, (): &mut (), _: &mut Room<'_, Self>, _: &Process) -> String {
+    fn grant(&self, (): &mut (), _: &mut LeaderContext<'_, Self>, _: &Process) -> String {
         String::new()
     }
 
-    fn order(&self, (): &mut (), _: &mut Room<'_, Self>, order: Never) -> Result<Never, Unsettled> {
+    fn command(
+        &self,
+        (): &mut (),
+        _: &mut LeaderContext<'_, Self>,
+        order: NoCommand,
+    ) -> Result<NoCommand, CommandError> {
         match order {}
     }
 }
 
 fn granted(length: usize) -> Message<Words> {
-    let ballot = Ballot { round: 1, name: Name::new("a").expect("a name"), life: 1 };
-    Message::Granted { ballot, life: 1, stamp: 1, remembers: true, leave: "x".repeat(length) }
+    let ballot = Ballot { round: 1, name: Name::new("a").expect("a name"), incarnation: 1 };
+    Message::Granted(Box::new(LeaseGrant {
+        ballot,
+        incarnation: 1,
+        requested_at: 1,
+        is_recovered: true,
+        grant: "x".repeat(length),
+    }))
 }
 
 #[test]
@@ -54,7 +68,7 @@
     assert_eq!(encode(&long), Err(Unfit::Long));
     let bytes = postcard::to_allocvec(&long).expect("bytes");
     assert_eq!(decode::<Words>(&bytes), Err(Unfit::Long));
-    let huge = vec![0; Message::<Words>::MOST + 1];
+    let huge = vec![0; Message::<Words>::MAX_BYTES + 1];
     assert_eq!(decode::<Words>(&huge), Err(Unfit::Long));
     assert_eq!(decode::<Words>(&[0xff, 1, 2]), Err(Unfit::Malformed));
     let mut more = encode(&granted(1)).expect("fits");
--- a/lab/src/turns/operators.rs
+++ b/lab/src/turns/operators.rs
@@ -83,13 +83,13 @@
             while !self.over() && self.unfinished() {
                 let views = self.views();
                 for (place, view) in &views {
-                    if let Some(fence) = view.standing.fence.clone().filter(|_| view.standing.holds) {
+                    if let Some(fence) = view.standing.fence.clone().filter(|_| view.standing.is_leader) {
                         let mut fences = held(&self.fences);
                         if fences.last() != Some(&fence) {
                             fences.push(fence);
                         }
                     }
-                    if view.standing.forgotten && self.work.known {
+                    if view.standing.is_state_lost && self.work.known {
                         self.remember(*place, &views);
                     }
                 }
@@ -113,7 +113,7 @@
     /// is free once its operators have seen so: they say what is out after a strike that makes all proxies forget.
     fn reached(&self, strike: &Strike, views: &[(usize, View)]) -> Option<usize> {
         let node = self.work.turns.get(strike.turn)?.node;
-        let (holder, view) = views.iter().find(|(_, view)| view.standing.holds)?;
+        let (holder, view) = views.iter().find(|(_, view)| view.standing.is_leader)?;
         let place = |of: &str| STAGES.iter().position(|stage| *stage == of);
         let stage = match view.turns.iter().find(|row| row.host == host(node)) {
             Some(row) if row.free && row.stage == Stage::Out => {
--- a/lab/tests/returns_shares.rs
+++ b/lab/tests/returns_shares.rs
@@ -8,7 +8,7 @@
 use flaxhead_lab::experiment::Experiment;
 use flaxhead_lab::peers::rig::Rig;
 use flaxhead_lab::proxy::Program;
-use flaxhead_lease::Memory;
+use flaxhead_lease::PersistentState;
 use flaxhead_quota::Shares;
 use flaxhead_snapshot::{disk, form, Snapshot};
 use serde_json::Value;
@@ -92,8 +92,8 @@
     let parts = form::read(&std::fs::read(file).unwrap_or_default()).map(|snapshot| snapshot.parts);
     let parts = parts.unwrap_or_default();
     let shares = parts.iter().find(|part| part.name == "shares");
-    let memory = shares.and_then(|part| postcard::from_bytes::<Memory<Shares>>(&part.bytes).ok());
-    memory.is_some_and(|memory| memory.sure && memory.roster.processes.len() >= ALL)
+    let memory = shares.and_then(|part| postcard::from_bytes::<PersistentState<Shares>>(&part.bytes).ok());
+    memory.is_some_and(|memory| memory.is_recovered && memory.roster.processes.len() >= ALL)
 }
 
 /// A holder that knows nobody learns for a lease and the longest call; one whose voters' disks say who took part needs
--- a/lease/rig/src/lib.rs
+++ b/lease/rig/src/lib.rs
@@ -1,15 +1,15 @@
-//! What the models of all that is settled in common share: processes, messages between them, and faults, a step at a
-//! time. A model says what is particular to its application ([`Fleet`]); the rig runs a step and names the acts that there
-//! are in it. Faults fall between any two messages of a step. For tests only.
+//! Model checking of applications of a lease: processes, messages between them, and faults, one step at a time.
+//!
+//! A model says what is particular to its application ([`Fleet`]); the rig runs a step and lists the faults that may occur
+//! in it. Faults occur between any two messages of a step. For tests only.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
-mod act;
-mod draw;
+mod fault;
 mod fleet;
+mod random;
 mod world;
 
-pub use act::{Act, Lasting};
-pub use draw::Fixed;
-pub use fleet::{Bounds, Fleet};
-pub use world::{Letter, World};
+pub use fault::{Fault, LastingFault};
+pub use fleet::{Bounds, Fleet, StepOutcome};
+pub use random::FixedRandom;
+pub use world::{ActiveFault, Envelope, QueuedMessage, World};
--- /dev/null
+++ b/lease/rig/src/random.rs
@@ -0,0 +1,33 @@
+//! A source of randomness without any, so that a state of a model has one successor.
+
+use rand_core::RngCore;
+
+/// Draws the same for one node every time, and something else for another: two nodes that become candidates at once must
+/// not do so for ever.
+pub struct FixedRandom(u32);
+
+impl FixedRandom {
+    /// The source of a node, of which there are four at the most.
+    pub fn of(node: usize) -> FixedRandom {
+        FixedRandom((node as u32) << 30)
+    }
+}
+
+impl RngCore for FixedRandom {
+    fn next_u32(&mut self) -> u32 {
+        self.0
+    }
+
+    fn next_u64(&mut self) -> u64 {
+        u64::from(self.0) << 32
+    }
+
+    fn fill_bytes(&mut self, to: &mut [u8]) {
+        to.fill(self.0 as u8);
+    }
+
+    fn try_fill_bytes(&mut self, to: &mut [u8]) -> Result<(), rand_core::Error> {
+        self.fill_bytes(to);
+        Ok(())
+    }
+}
--- a/lease/rig/src/world.rs
+++ b/lease/rig/src/world.rs
@@ -1,89 +1,125 @@
-//! The processes, what is on the way between them, and what is wrong.
+//! A state of a model: the processes, what is on its way between them, and what is wrong.
 
-use crate::act::Lasting;
-use flaxhead_lease::{Application, Effect, Machine, MemberFact, Message, Name, Presence};
+use crate::fault::LastingFault;
+use flaxhead_lease::{Application, Effect, Machine, MemberStatus, Message, Name, Presence};
 use std::collections::BTreeMap;
 
-/// A message: from whom, to whom.
-pub type Letter<T> = (usize, usize, Message<T>);
+/// A message on its way.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub struct Envelope<A: Application> {
+    /// The sending node.
+    pub from: usize,
+    /// The receiving node.
+    pub to: usize,
+    /// The message.
+    pub message: Message<A>,
+}
+
+/// A message that waits for a frozen node.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub struct QueuedMessage<A: Application> {
+    /// The sending node.
+    pub from: usize,
+    /// The message.
+    pub message: Message<A>,
+}
 
-/// A state. `O`: what the model of an application keeps beside it.
+/// A lasting fault that is under way.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub struct ActiveFault {
+    /// The node that it strikes.
+    pub node: usize,
+    /// Its kind.
+    pub kind: LastingFault,
+    /// For how many steps more.
+    pub steps_left: u8,
+}
+
+/// A state. `M`: what the model of an application has beside it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct World<T: Application, O> {
+pub struct World<A: Application, M> {
     /// Steps so far.
     pub step: u8,
     /// The processes; the voters come first.
-    pub nodes: Vec<Machine<T>>,
-    /// Who is away, how, and for how many steps more: since the step's beginning, or from one of its messages on.
-    pub lasting: Option<(usize, Lasting, u8)>,
-    /// What waits for a frozen one, with its senders.
-    pub waiting: Vec<(usize, Message<T>)>,
-    /// A message that comes again.
-    pub kept: Option<Letter<T>>,
+    pub nodes: Vec<Machine<A>>,
+    /// The lasting fault, from the beginning of the step or from one of its messages on.
+    pub active_fault: Option<ActiveFault>,
+    /// What waits for a frozen node.
+    pub queued: Vec<QueuedMessage<A>>,
+    /// The copy of a message that may be delivered again.
+    pub duplicate: Option<Envelope<A>>,
     /// Faults so far.
     pub faults: u8,
-    /// Starts so far.
-    pub lives: u64,
-    /// What was seen that must not be.
-    pub wrong: Option<&'static str>,
-    /// What the application's model keeps.
-    pub own: O,
+    /// Starts of processes so far.
+    pub starts: u64,
+    /// The first rule that was seen broken.
+    pub violation: Option<&'static str>,
+    /// What the application's model has.
+    pub model: M,
 }
 
-impl<T: Application, O> World<T, O> {
-    /// Before anybody starts.
-    pub fn new(own: O) -> World<T, O> {
+impl<A: Application, M> World<A, M> {
+    /// Before any process starts.
+    pub fn new(model: M) -> World<A, M> {
         World {
             step: 0,
             nodes: Vec::new(),
-            lasting: None,
-            waiting: Vec::new(),
-            kept: None,
+            active_fault: None,
+            queued: Vec::new(),
+            duplicate: None,
             faults: 0,
-            lives: 0,
-            wrong: None,
-            own,
+            starts: 0,
+            violation: None,
+            model,
         }
     }
 
-    /// Whether it hears anybody.
-    pub fn hears(&self, node: usize) -> bool {
-        !matches!(self.lasting, Some((who, Lasting::Apart | Lasting::Deaf, _)) if who == node)
+    fn has_fault(&self, node: usize, kinds: &[LastingFault]) -> bool {
+        self.active_fault.is_some_and(|fault| fault.node == node && kinds.contains(&fault.kind))
     }
 
-    /// Whether anybody hears it.
-    pub fn is_heard(&self, node: usize) -> bool {
-        !matches!(self.lasting, Some((who, Lasting::Apart | Lasting::Mute, _)) if who == node)
+    /// Whether a node receives anything.
+    pub fn receives(&self, node: usize) -> bool {
+        !self.has_fault(node, &[LastingFault::Partitioned, LastingFault::Deaf])
     }
 
-    /// Whether it is stopped.
+    /// Whether anybody receives what a node sends.
+    pub fn is_received(&self, node: usize) -> bool {
+        !self.has_fault(node, &[LastingFault::Partitioned, LastingFault::Mute])
+    }
+
+    /// Whether a node is stopped.
     pub fn is_frozen(&self, node: usize) -> bool {
-        matches!(self.lasting, Some((who, Lasting::Frozen, _)) if who == node)
+        self.has_fault(node, &[LastingFault::Frozen])
     }
 
-    /// Whether the membership of one has not heard of another lately.
+    /// Whether one node's membership has not heard of another recently.
     pub fn is_away(&self, of: usize, node: usize) -> bool {
-        self.lasting.is_some_and(|(who, _, _)| who == node || who == of)
+        self.active_fault.is_some_and(|fault| fault.node == node || fault.node == of)
     }
 
-    /// What the membership of one says of all others.
-    pub fn members(&self, of: usize, presence: impl Fn(usize) -> Presence) -> BTreeMap<Name, MemberFact> {
+    /// What one node's membership says of all others.
+    pub fn members(&self, of: usize, presence: impl Fn(usize) -> Presence) -> BTreeMap<Name, MemberStatus> {
         let member = |node: usize| {
             let me = self.nodes[node].me();
-            let fact = MemberFact { life: me.life, at: me.at, presence: presence(node), since: 0 };
-            (me.name.clone(), fact)
+            let status = MemberStatus {
+                incarnation: me.incarnation,
+                address: me.address,
+                presence: presence(node),
+                since: 0,
+            };
+            (me.name.clone(), status)
         };
         (0..self.nodes.len()).filter(|node| *node != of).map(member).collect()
     }
 
-    /// What becomes of what a node said: who is sent what.
-    pub fn sent(&self, node: usize, out: Vec<Effect<T>>) -> Vec<Letter<T>> {
-        let to = |name: &Name| (0..self.nodes.len()).find(|n| self.nodes[*n].me().name == *name);
-        out.into_iter()
-            .filter_map(|effect| match effect {
-                Effect::Send { to: name, message } => Some((node, to(&name)?, message)),
-                _ => None,
-            })
-            .collect()
+    /// The messages among a node's effects.
+    pub fn sent(&self, from: usize, effects: Vec<Effect<A>>) -> Vec<Envelope<A>> {
+        let node_of = |name: &Name| (0..self.nodes.len()).find(|node| self.nodes[*node].me().name == *name);
+        let envelope = |effect| match effect {
+            Effect::Send { to, message } => Some(Envelope { from, to: node_of(&to)?, message }),
+            _ => None,
+        };
+        effects.into_iter().filter_map(envelope).collect()
     }
 }
--- a/lease/src/application.rs
+++ b/lease/src/application.rs
@@ -1,181 +1,215 @@
-//! What is settled in common: the one narrow trait over which a package takes part.
+//! The interface between the protocol and what it replicates.
 
 use crate::ballot::Ballot;
-use crate::hold::Room;
+use crate::leader::LeaderContext;
 use crate::member::Member;
 use crate::roster::Process;
-use crate::terms::Terms;
+use crate::types::ApplicationTypes;
 use flaxhead_membership::Micros;
 
-/// A process's word, as it came with its renewal. Only words of processes that go by this holder's slate are taken, and
-/// so by its ballot: such a process takes nothing of a lower one any more.
+/// A process's report, as it came to the leader with a renewal. Only reports of processes that have applied a state of
+/// this leader are passed on: such a process accepts nothing of a lower ballot any more.
 #[derive(Debug)]
-pub struct Said<'a, T: Terms> {
-    /// Whose.
+pub struct ReceivedReport<'a, T: ApplicationTypes> {
+    /// The process.
     pub process: &'a Process,
-    /// When it was said, by that process's clock: of two, the greater is the later. Words may come doubled and late.
-    pub stamp: Micros,
-    /// It is the first of this process that this holder takes.
-    pub first: bool,
-    /// What.
-    pub word: &'a T::Word,
+    /// When it was sent, by that process's clock: of two reports the one with the greater time is the later. Reports may
+    /// come twice, and late.
+    pub sent_at: Micros,
+    /// It is the first report of the process to this leader.
+    pub is_first: bool,
+    /// The report.
+    pub report: &'a T::Report,
 }
 
-/// Leave, as it came to the process that had asked for it.
+/// A lease, as it came to the process that had asked for it.
 #[derive(Debug)]
-pub struct Granted<T: Terms> {
-    /// By whom. It is no lower than any that was heard of.
+pub struct ReceivedGrant<T: ApplicationTypes> {
+    /// The leader's ballot, no lower than any that the process has heard of.
     pub ballot: Ballot,
     /// When the process asked, by its own clock.
-    pub stamp: Micros,
-    /// Until when it lasts, by its own clock.
-    pub until: Micros,
-    /// What goes along with it.
-    pub leave: T::Leave,
+    pub requested_at: Micros,
+    /// When the lease ends, by its own clock.
+    pub expires_at: Micros,
+    /// The application's grant.
+    pub grant: T::Grant,
 }
 
-/// Something that the proxies settle in common. The value itself is the part that every process has; the holder has a
-/// [`Application::Desk`] besides, for as long as it holds.
+/// Something that the proxies agree upon. The value itself is the part that every process has; the leader keeps
+/// [`Application::LeaderData`] beside it for as long as it leads.
 ///
-/// Each application has a lease and a roster of its own ([`crate::Machine`]), so that two of them share nothing that could go
-/// wrong together. All methods decide only: they have no I/O and no clock, and the same calls lead to the same state.
+/// Each application has a lease and a roster of its own ([`crate::Machine`]), so that two of them share nothing that could
+/// fail together. All methods only decide: they have no I/O and no clock, and the same calls lead to the same state.
 ///
-/// An application whose word goes to each process alone (shares) takes `()` as its slate and has orders that [`crate::Never`]
-/// are:
+/// An application that grants each process something of its own (quotas) takes `()` as its state and
+/// [`crate::NoCommand`] as its commands:
 ///
 /// ```
-/// use flaxhead_lease::{Granted, Application, Member, Micros, Never, Process, Room, Said, Terms, Unsettled};
+/// use flaxhead_lease::{
+///     Application, ApplicationTypes, CommandError, LeaderContext, Member, Micros, NoCommand, Process, ReceivedGrant,
+///     ReceivedReport,
+/// };
 /// use std::collections::BTreeMap;
 ///
-/// /// So many units for all, shared evenly among those that want any.
+/// /// A number of permits, divided evenly among the processes that want any.
 /// #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-/// struct Even {
-///     units: u32,
+/// struct EvenPermits {
+///     permits: u32,
 ///     wanted: u32,
-///     mine: u32,
-///     hurries: bool,
+///     granted: u32,
+///     renews_early: bool,
 /// }
 ///
-/// impl Terms for Even {
-///     type Slate = ();
-///     type Word = u32;
-///     type Leave = u32;
-///     type Order = Never;
-///     type Answer = Never;
-///     type Refusal = Unsettled;
+/// impl ApplicationTypes for EvenPermits {
+///     type State = ();
+///     type Report = u32;
+///     type Grant = u32;
+///     type Command = NoCommand;
+///     type Response = NoCommand;
+///     type Rejection = CommandError;
 ///     type Facts = ();
-///     type Note = String;
-///     const SLATE_MOST: usize = 0;
-///     const WORD_MOST: usize = 5;
-///     const LEAVE_MOST: usize = 5;
-///     const ORDER_MOST: usize = 0;
+///     type Event = String;
+///     const MAX_STATE_BYTES: usize = 0;
+///     const MAX_REPORT_BYTES: usize = 5;
+///     const MAX_GRANT_BYTES: usize = 5;
+///     const MAX_COMMAND_BYTES: usize = 0;
 /// }
 ///
-/// impl Application for Even {
-///     type Desk = BTreeMap<Process, u32>;
+/// impl Application for EvenPermits {
+///     type LeaderData = BTreeMap<Process, u32>;
 ///
-///     fn word(&mut self, _: Micros, _: &Member<Self>, _: &()) -> u32 {
-///         self.hurries = false;
+///     fn report(&mut self, _: Micros, _: &Member<Self>, _: &()) -> u32 {
+///         self.renews_early = false;
 ///         self.wanted
 ///     }
 ///
-///     fn granted(&mut self, granted: &Granted<Self>) {
-///         self.mine = granted.leave;
+///     fn granted(&mut self, granted: &ReceivedGrant<Self>) {
+///         self.granted = granted.grant;
 ///     }
 ///
-///     fn hurries(&self) -> bool {
-///         self.hurries
+///     fn wants_early_renewal(&self) -> bool {
+///         self.renews_early
 ///     }
 ///
-///     fn begin(&self, _: &mut Room<'_, Self>) -> Self::Desk {
+///     fn begin_leadership(&self, _: &mut LeaderContext<'_, Self>) -> Self::LeaderData {
 ///         BTreeMap::new()
 ///     }
 ///
-///     fn heard(&self, desk: &mut Self::Desk, _: &mut Room<'_, Self>, said: &Said<'_, Self>) {
-///         desk.insert(said.process.clone(), *said.word);
+///     fn report_received(
+///         &self,
+///         wanted: &mut Self::LeaderData,
+///         _: &mut LeaderContext<'_, Self>,
+///         received: &ReceivedReport<'_, Self>,
+///     ) {
+///         wanted.insert(received.process.clone(), *received.report);
 ///     }
 ///
-///     fn leave(&self, desk: &mut Self::Desk, _: &mut Room<'_, Self>, process: &Process) -> u32 {
-///         let wanting = desk.values().filter(|wanted| **wanted > 0).count().max(1) as u32;
-///         desk.get(process).map_or(0, |wanted| (*wanted).min(self.units / wanting))
+///     fn grant(&self, wanted: &mut Self::LeaderData, _: &mut LeaderContext<'_, Self>, process: &Process) -> u32 {
+///         let processes = wanted.values().filter(|wanted| **wanted > 0).count().max(1) as u32;
+///         wanted.get(process).map_or(0, |wanted| (*wanted).min(self.permits / processes))
 ///     }
 ///
-///     fn parted(&self, desk: &mut Self::Desk, _: &mut Room<'_, Self>, process: &Process) {
-///         desk.remove(process);
+///     fn process_left(&self, wanted: &mut Self::LeaderData, _: &mut LeaderContext<'_, Self>, process: &Process) {
+///         wanted.remove(process);
 ///     }
 ///
-///     fn order(&self, _: &mut Self::Desk, _: &mut Room<'_, Self>, order: Never) -> Result<Never, Unsettled> {
-///         match order {}
+///     fn command(
+///         &self,
+///         _: &mut Self::LeaderData,
+///         _: &mut LeaderContext<'_, Self>,
+///         command: NoCommand,
+///     ) -> Result<NoCommand, CommandError> {
+///         match command {}
 ///     }
 /// }
 /// ```
 ///
-/// (It is a toy: a unit that was lowered is given to another before it is known to be free.)
-pub trait Application: Terms {
-    /// What the holder keeps of it; gone with the lease.
-    type Desk: Clone + std::fmt::Debug + Eq + std::hash::Hash;
+/// (It is an illustration: a permit that was withdrawn is granted to another process before it is known to be free.)
+pub trait Application: ApplicationTypes {
+    /// What the leader keeps of the application; gone with its lease.
+    type LeaderData: Clone + std::fmt::Debug + Eq + std::hash::Hash;
 
-    // Every process.
+    // At every process.
 
-    /// Its word for the renewal that is sent now.
-    fn word(&mut self, now: Micros, member: &Member<Self>, facts: &Self::Facts) -> Self::Word;
+    /// The report for the renewal that is sent now.
+    fn report(&mut self, now: Micros, member: &Member<Self>, facts: &Self::Facts) -> Self::Report;
 
-    /// A slate came, no older than the one before.
-    fn told(&mut self, now: Micros, slate: &Self::Slate) {
-        let _ = (now, slate);
+    /// A state was applied, no older than the one before.
+    fn state_changed(&mut self, now: Micros, state: &Self::State) {
+        let _ = (now, state);
     }
 
-    /// Leave came, of a holder whose fence counts.
-    fn granted(&mut self, granted: &Granted<Self>) {
+    /// A lease came, of a leader whose fence counts.
+    fn granted(&mut self, granted: &ReceivedGrant<Self>) {
         let _ = granted;
     }
 
-    /// A higher fence was heard of: what was granted under a lower one is renewed by nobody.
+    /// A higher ballot was heard of: what was granted under a lower one is renewed by nobody.
     fn fenced(&mut self, fence: &Ballot) {
         let _ = fence;
     }
 
-    /// While this process waits to be let in: every voter has said within a lease that it has forgotten what was settled.
-    fn forgotten(&mut self) {}
+    /// While this process waits for its admission: every voter has said within the duration of a lease that it has lost
+    /// the state.
+    fn state_lost(&mut self) {}
 
-    /// Whether its next word should not wait for the regular renewal. Asked for after everything that happens; the core
-    /// bounds the pace to a twelfth of the regular pause and more, with jitter, and the application takes its wish back in
-    /// [`Application::word`].
-    fn hurries(&self) -> bool {
+    /// Whether the next report should not wait for the regular renewal. Asked after everything that happens. The protocol
+    /// bounds the rate to twelve times the regular one, with jitter; the application withdraws its wish in
+    /// [`Application::report`].
+    fn wants_early_renewal(&self) -> bool {
         false
     }
 
-    // The holder.
+    // At the leader.
 
-    /// This process holds. The slate is the newest of those that a majority of voters and this process had; where too
-    /// many have forgotten ([`Room::cold`]), with all that any of them knew ([`crate::Slate::absorb`]). The roster is
-    /// [`Room::processes`]: those of the last holder's, where that is remembered. The slate is told to all.
-    fn begin(&self, room: &mut Room<'_, Self>) -> Self::Desk;
+    /// This process becomes the leader. The state is the newest of those that a majority of voters and this process had;
+    /// where too many have lost theirs ([`LeaderContext::state_lost_since`]), merged with all that any of them had
+    /// ([`crate::ReplicatedState::absorb`]). The processes are those of the last leader's roster, where that is
+    /// remembered. The state is replicated to all.
+    fn begin_leadership(&self, context: &mut LeaderContext<'_, Self>) -> Self::LeaderData;
 
-    /// A process that goes by this holder's slate said something.
-    fn heard(&self, desk: &mut Self::Desk, room: &mut Room<'_, Self>, said: &Said<'_, Self>) {
-        let _ = (desk, room, said);
+    /// A process that has applied this leader's state has reported.
+    fn report_received(
+        &self,
+        data: &mut Self::LeaderData,
+        context: &mut LeaderContext<'_, Self>,
+        received: &ReceivedReport<'_, Self>,
+    ) {
+        let _ = (data, context, received);
     }
 
-    /// What goes along with the leave that is granted to a process now. It may be lost on the way.
-    fn leave(&self, desk: &mut Self::Desk, room: &mut Room<'_, Self>, process: &Process) -> Self::Leave;
+    /// The grant that goes along with the lease of a process now. It may be lost on the way.
+    fn grant(
+        &self,
+        data: &mut Self::LeaderData,
+        context: &mut LeaderContext<'_, Self>,
+        process: &Process,
+    ) -> Self::Grant;
 
-    /// A process left the roster: it has ended, or its place was taken by another.
-    fn parted(&self, desk: &mut Self::Desk, room: &mut Room<'_, Self>, process: &Process) {
-        let _ = (desk, room, process);
+    /// A process has left the roster: it has ended, or another has replaced it.
+    fn process_left(
+        &self,
+        data: &mut Self::LeaderData,
+        context: &mut LeaderContext<'_, Self>,
+        process: &Process,
+    ) {
+        let _ = (data, context, process);
     }
 
-    /// Something happened, or it is time. Where the slate is another afterwards, [`Room::change`] says so.
-    fn step(&self, desk: &mut Self::Desk, room: &mut Room<'_, Self>) {
-        let _ = (desk, room);
+    /// Something happened, or it is time. Where the state has changed, [`LeaderContext::publish`] says so.
+    fn step(&self, data: &mut Self::LeaderData, context: &mut LeaderContext<'_, Self>) {
+        let _ = (data, context);
     }
 
-    /// An operator's order. The answer goes out once the slate, as it is when this returns, is on record at a majority
-    /// of voters.
-    fn order(
+    /// Executes an operator's command. The response goes out once the state, as it is when this returns, is committed.
+    ///
+    /// # Errors
+    ///
+    /// The application's rejection, where the command changes nothing.
+    fn command(
         &self,
-        desk: &mut Self::Desk,
-        room: &mut Room<'_, Self>,
-        order: Self::Order,
-    ) -> Result<Self::Answer, Self::Refusal>;
+        data: &mut Self::LeaderData,
+        context: &mut LeaderContext<'_, Self>,
+        command: Self::Command,
+    ) -> Result<Self::Response, Self::Rejection>;
 }
--- a/lease/src/ballot.rs
+++ b/lease/src/ballot.rs
@@ -1,18 +1,19 @@
-//! Numbers that only grow.
+//! Ballots and versions: numbers that only grow, and that order any two leaders and any two states.
 
 use flaxhead_membership::Name;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// A holder's number, the fence of all that it says: two holders never have the same, and a later one's is greater.
+/// A leader's election number, which is also the fencing token of everything that it sends. No two leaders have the same
+/// one, and that of a later leader is greater.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ballot {
-    /// Counts the tries, over all proxies.
+    /// The election round, counted over all proxies.
     pub round: u64,
-    /// Whose it is.
+    /// The candidate.
     pub name: Name,
-    /// Of which process with that name: one that restarts counts anew.
-    pub life: u64,
+    /// The candidate's incarnation: a process that restarts counts its rounds anew.
+    pub incarnation: u64,
 }
 
 impl fmt::Display for Ballot {
@@ -21,15 +22,22 @@
     }
 }
 
-/// Which of two slates, or rosters, is newer: by the holder that wrote it, then by its count.
+/// Which of two states, or of two rosters, is newer: by the leader that wrote it, then by that leader's count.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Version {
-    /// Whose; `None`: nobody's, as where a process knows nothing yet.
+    /// The ballot of the leader that wrote it; `None`: no leader did, as at a process that knows nothing yet.
     pub fence: Option<Ballot>,
-    /// Which of the holder's.
+    /// The leader's count of its own versions.
     pub seq: u64,
 }
 
+impl Version {
+    /// Whether it was written under this ballot.
+    pub(crate) fn is_of(&self, ballot: &Ballot) -> bool {
+        self.fence.as_ref() == Some(ballot)
+    }
+}
+
 impl fmt::Display for Version {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match &self.fence {
@@ -39,11 +47,11 @@
     }
 }
 
-/// A slate, and which of two is newer.
+/// A state together with its version.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Told<S> {
-    /// Which of two is newer.
+pub struct Versioned<S> {
+    /// Which of two states is newer.
     pub version: Version,
-    /// What is settled.
-    pub slate: S,
+    /// The state.
+    pub state: S,
 }
--- a/lease/src/config.rs
+++ b/lease/src/config.rs
@@ -1,58 +1,62 @@
-//! How the protocol is paced.
+//! The time spans of the protocol.
 
 use flaxhead_membership::Micros;
 
-/// Clocks of two machines run apart by less than one part in this many.
-const DRIFT: Micros = 64;
+/// Bound on clock drift: two machines' clocks run apart by less than one part in this many.
+const MAX_DRIFT_PARTS: Micros = 64;
+/// Renewals within the duration of a lease, so that two lost ones in a row do not end it.
+const RENEWALS_PER_LEASE: Micros = 4;
+/// Resends of an unconfirmed state within a renewal interval, so that a lost message costs a fraction of it.
+const RESENDS_PER_RENEWAL: Micros = 6;
 
-/// Settings of one process; the spans must be the same at all.
+/// Time spans of one process. They must be the same at all processes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Config {
-    /// How long a lease lasts, a holder's as well as each proxy's leave. It bounds the pause in which nobody settles
-    /// anything; pauses of a process of half that length are borne.
+    /// Duration of a lease, of the leader's as well as of each process's own. It bounds the time without a leader after
+    /// one fails; a process may pause for half of it without losing its lease.
     pub lease: Micros,
-    /// The longest that a request may take: what a proxy that is no longer heard may still have in hand.
-    pub longest_call: Micros,
-    /// After all voters have forgotten: how long the holder counts what is settled as not known, unless its application
-    /// says that all is known.
-    pub cold_wait: Micros,
-    /// How long a restarted proxy waits to be let in where nobody answers that knows what is settled; then it serves by
-    /// its own judgement.
-    pub alone_after: Micros,
-    /// How long it waits, from its start, where it is known that nobody knows: in that time operators may say it.
-    pub known_wait: Micros,
+    /// The longest that a request may take: how long a process that is no longer heard may still have it in flight.
+    pub max_call_duration: Micros,
+    /// After all voters have lost their state: how long the leader treats the state as incomplete, unless its application
+    /// declares it recovered.
+    pub state_loss_timeout: Micros,
+    /// How long a restarted process waits for admission while no process with the complete state replies; then it serves
+    /// autonomously.
+    pub autonomy_timeout: Micros,
+    /// How long, from its start, a process waits for operators to declare the state once it is known to be lost.
+    pub operator_wait: Micros,
 }
 
 impl Default for Config {
     fn default() -> Self {
         Config {
             lease: 6_000_000,
-            longest_call: 10_000_000,
-            cold_wait: 3_600_000_000,
-            alone_after: 15_000_000,
-            known_wait: 0,
+            max_call_duration: 10_000_000,
+            state_loss_timeout: 3_600_000_000,
+            autonomy_timeout: 15_000_000,
+            operator_wait: 0,
         }
     }
 }
 
 impl Config {
-    /// A span as the other side's clock may see it at the longest.
-    pub fn longest(span: Micros) -> Micros {
-        span + span / DRIFT + 1
+    /// The longest that a span may take by another machine's clock.
+    pub fn with_max_drift(span: Micros) -> Micros {
+        span + span / MAX_DRIFT_PARTS + 1
     }
 
-    /// How long a restarted voter is silent: longer than any lease that it may have granted.
-    pub(crate) fn silence(&self) -> Micros {
-        Config::longest(Config::longest(self.lease))
+    /// How long a restarted voter is quarantined: longer than any lease that it may have granted.
+    pub(crate) fn quarantine(&self) -> Micros {
+        Config::with_max_drift(Config::with_max_drift(self.lease))
     }
 
-    /// When a slate that was not confirmed is sent again: what is lost costs a part of a renewal, not all of it.
-    pub(crate) fn tell_again(&self) -> Micros {
-        (self.renew_every() / 6).max(1)
+    /// How often leases are renewed.
+    pub(crate) fn renewal_interval(&self) -> Micros {
+        (self.lease / RENEWALS_PER_LEASE).max(1)
     }
 
-    /// How often leases and leaves are renewed: three tries fall into each.
-    pub(crate) fn renew_every(&self) -> Micros {
-        (self.lease / 4).max(1)
+    /// After which time a state that was not confirmed is sent again.
+    pub(crate) fn state_resend_interval(&self) -> Micros {
+        (self.renewal_interval() / RESENDS_PER_RENEWAL).max(1)
     }
 }
--- /dev/null
+++ b/lease/src/leader/commit.rs
@@ -0,0 +1,64 @@
+//! Commands that were executed and wait until their effect is committed.
+
+use super::peer::PeerState;
+use super::state::LeaderState;
+use crate::config::Config;
+use crate::types::ApplicationTypes;
+use crate::voters::Voters;
+use flaxhead_membership::{Micros, Name};
+
+/// An executed command whose effect is not committed yet.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub(super) struct UncommittedCommand<T: ApplicationTypes> {
+    from: Name,
+    id: u64,
+    /// The count of the state with its effect.
+    state_seq: u64,
+    response: T::Response,
+}
+
+/// The response to a command whose effect is committed.
+pub(crate) struct CommittedResponse<T: ApplicationTypes> {
+    /// The process at which the command was submitted.
+    pub to: Name,
+    /// The command's number there.
+    pub id: u64,
+    /// The response.
+    pub response: T::Response,
+}
+
+impl<T: ApplicationTypes> LeaderState<T> {
+    /// Whether a majority of voters has applied the state of this count.
+    pub(super) fn is_committed(&self, now: Micros, config: &Config, voters: &Voters, seq: u64) -> bool {
+        let has_it =
+            |peer: &PeerState<T>| peer.heard_recently(now, config) && peer.has_applied(&self.ballot, seq);
+        voters.has_majority(|name| {
+            self.peers.iter().any(|(process, peer)| process.name == *name && has_it(peer))
+        })
+    }
+
+    /// Holds the response to an executed command back until the state as it is now is committed.
+    pub(crate) fn defer_response(&mut self, from: Name, id: u64, response: T::Response) {
+        let state_seq = self.state.version.seq;
+        self.uncommitted.push(UncommittedCommand { from, id, state_seq, response });
+    }
+
+    /// The responses to commands that have been committed by now.
+    pub(crate) fn take_committed(
+        &mut self,
+        now: Micros,
+        config: &Config,
+        voters: &Voters,
+    ) -> Vec<CommittedResponse<T>> {
+        let (committed, uncommitted): (Vec<_>, Vec<_>) = std::mem::take(&mut self.uncommitted)
+            .into_iter()
+            .partition(|command| self.is_committed(now, config, voters, command.state_seq));
+        self.uncommitted = uncommitted;
+        let respond = |command: UncommittedCommand<T>| CommittedResponse {
+            to: command.from,
+            id: command.id,
+            response: command.response,
+        };
+        committed.into_iter().map(respond).collect()
+    }
+}
--- a/lease/src/lib.rs
+++ b/lease/src/lib.rs
@@ -1,51 +1,58 @@
-//! Who settles what the client proxies settle in common: a state machine without I/O or clock, which knows nothing of
-//! what is settled. That is an [`Application`], over one narrow trait; each application has a lease of its own.
+//! Leader leases among the client proxies: a state machine without I/O or clock.
 //!
-//! Three things are settled, each by the weakest means that holds it:
+//! The package elects a leader, keeps the roster of admitted processes, and replicates the state of an [`Application`]
+//! that it knows nothing of. Each application runs in a [`Machine`] of its own, with its own lease and roster.
 //!
-//! - *Who settles*: one proxy at a time, under a [`Ballot`] that only grows, for a lease that a majority of the named
-//!   voters grants. Source: PaxosLease (Trencseni, Gazso, Reinhardt, arXiv 1209.4187): no disk, and no agreement of
-//!   clocks, only a bound on their drift; a voter that restarts stays silent for longer than any lease that it may have
-//!   granted.
-//! - *Who takes part*: the [`Roster`], kept by a majority of voters. A proxy is on it before it gets leave.
-//! - *What is settled*: the application's slate, which **every** process on the roster is told and confirms. What all have
-//!   heard any one of them remembers: a new holder needs no log.
+//! Three things are agreed upon, each by the weakest means that is sufficient:
 //!
-//! What a proxy promises when it is alone, in a minority, paused or restarted stands in `docs/design/lease.md`.
+//! - *The leader*: one proxy at a time, under a [`Ballot`] that only grows, for a lease that a majority of the configured
+//!   voters grants. Source: PaxosLease (Trencseni, Gazso, Reinhardt, arXiv 1209.4187). It needs no disk and no agreement
+//!   of clocks, only a bound on their drift: a voter that restarts stays silent (is quarantined) for longer than any lease
+//!   that it may have granted.
+//! - *The participants*: the [`Roster`], stored by a majority of voters. A process is on the roster before it gets a lease
+//!   of its own.
+//! - *The state*: the application's replicated state, which **every** process on the roster receives and confirms. A new
+//!   leader therefore needs no log: any process that was admitted all along has the whole state.
+//!
+//! What a proxy guarantees while it is alone, in a minority, paused or restarted stands in `docs/design/lease.md`.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
+mod admission;
 mod application;
 mod ballot;
+mod command_error;
 mod config;
 mod facts;
-mod hold;
-mod known;
+mod leader;
 mod machine;
 mod member;
-mod memory;
 mod message;
+mod persistent_state;
+mod recovery_state;
 mod roster;
-mod standing;
-mod terms;
+mod status;
+mod types;
 mod voter;
 mod voters;
-mod waiting;
 
-pub use application::{Application, Granted, Said};
-pub use ballot::{Ballot, Told, Version};
+pub use admission::{AdmissionReason, RecoveryStatus};
+pub use application::{Application, ReceivedGrant, ReceivedReport};
+pub use ballot::{Ballot, Version, Versioned};
+pub use command_error::CommandError;
 pub use config::Config;
-pub use facts::{Facts, MemberFact, Presence};
-pub use hold::{Heard, Hold, Room};
-pub use known::Known;
-pub use machine::{Around, Effect, Machine};
-pub use member::{Member, Serving};
-pub use memory::{Mark, Memory};
-pub use message::{Message, Promise, Renewal};
+pub use facts::{Facts, MemberStatus, Presence};
+pub use leader::{LeaderContext, LeaderState, PeerState};
+pub use machine::{Context, Effect, Machine};
+pub use member::{AdmissionStatus, Member};
+pub use message::{
+    Acceptance, Denial, LeaseGrant, Message, Promise, Proposal, RecoveryQuery, RecoveryReply, Renewal,
+    VoterRecoveryResponse,
+};
+pub use persistent_state::{PersistenceMark, PersistentState};
+pub use recovery_state::RecoveryState;
 pub use roster::{Process, Roster};
-pub use standing::Standing;
-pub use terms::{Never, Payload, Slate, Terms, Unsettled};
-pub use voters::{Voters, VotersError};
-pub use waiting::{Reason, Word};
+pub use status::LeaseStatus;
+pub use types::{ApplicationTypes, NoCommand, Payload, ReplicatedState};
+pub use voters::{VoterSetHashes, Voters, VotersError};
 
 pub use flaxhead_membership::{Micros, Name};
--- /dev/null
+++ b/lease/src/machine/leader.rs
@@ -0,0 +1,116 @@
+//! The leader: its records, and what its application keeps there.
+
+use crate::application::{Application, ReceivedReport};
+use crate::config::Config;
+use crate::facts::Facts;
+use crate::leader::{LeaderContext, LeaderState};
+use crate::message::Renewal;
+use crate::roster::Process;
+use crate::voters::Voters;
+use flaxhead_membership::{Micros, Name};
+
+/// The leader.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub(super) struct Leader<A: Application> {
+    pub state: LeaderState<A>,
+    pub data: A::LeaderData,
+}
+
+/// What a leader needs, beside itself, to act.
+pub(super) struct LeaderEnvironment<'a, A: Application> {
+    pub now: Micros,
+    pub config: &'a Config,
+    pub voters: &'a Voters,
+    pub facts: &'a Facts<A::Facts>,
+    pub me: &'a Process,
+    pub application: &'a A,
+}
+
+/// How a leader answers a renewal.
+pub(super) struct RenewalResponse<A: Application> {
+    /// The application's grant, where a lease is granted.
+    pub grant: Option<A::Grant>,
+    /// The process needs the state.
+    pub is_behind: bool,
+    /// The process is new on the roster.
+    pub is_enrolled: bool,
+}
+
+fn context<'a, A: Application>(
+    leader: &'a mut LeaderState<A>,
+    environment: &LeaderEnvironment<'a, A>,
+) -> LeaderContext<'a, A> {
+    let LeaderEnvironment { now, config, voters, facts, me, .. } = *environment;
+    LeaderContext { leader, voters, now, config, facts, me }
+}
+
+impl<A: Application> Leader<A> {
+    pub fn new(mut state: LeaderState<A>, environment: &LeaderEnvironment<'_, A>) -> Leader<A> {
+        let data = environment.application.begin_leadership(&mut context(&mut state, environment));
+        Leader { state, data }
+    }
+
+    /// Does what can be done. Returns whether the state has changed.
+    pub fn step(&mut self, environment: &LeaderEnvironment<'_, A>) -> bool {
+        let LeaderEnvironment { now, config, .. } = *environment;
+        if !self.state.is_leading(now) {
+            return false;
+        }
+        self.state.advance(now);
+        self.state.remove_ended(now, config, environment.facts, environment.me);
+        self.notify_departed(environment);
+        let lost_since = self.state.state_lost_since;
+        if lost_since.is_some_and(|since| now.saturating_sub(since) >= config.state_loss_timeout) {
+            self.state.state_lost_since = None;
+        }
+        let before = self.state.state.version.seq;
+        environment.application.step(&mut self.data, &mut context(&mut self.state, environment));
+        self.notify_departed(environment);
+        self.state.state.version.seq != before
+    }
+
+    /// Tells the application of the processes that have left the roster.
+    fn notify_departed(&mut self, environment: &LeaderEnvironment<'_, A>) {
+        for process in self.state.take_departed() {
+            let mut context = context(&mut self.state, environment);
+            environment.application.process_left(&mut self.data, &mut context, &process);
+        }
+    }
+
+    /// Takes a process's report, and decides on its lease.
+    pub fn renew(
+        &mut self,
+        environment: &LeaderEnvironment<'_, A>,
+        renewal: Renewal<A>,
+    ) -> RenewalResponse<A> {
+        let Renewal { process, sent_at, version, report, .. } = renewal;
+        let LeaderEnvironment { now, config, voters, application, .. } = *environment;
+        let outcome = self.state.renew(now, config, voters, &process, version, report.clone());
+        if outcome.report_counts {
+            let is_first = outcome.is_first_report;
+            let received = ReceivedReport { process: &process, sent_at, is_first, report: &report };
+            let mut context = context(&mut self.state, environment);
+            application.report_received(&mut self.data, &mut context, &received);
+        }
+        let grant = outcome
+            .is_granted
+            .then(|| application.grant(&mut self.data, &mut context(&mut self.state, environment), &process));
+        RenewalResponse { grant, is_behind: outcome.is_behind, is_enrolled: outcome.is_enrolled }
+    }
+
+    /// Executes a command; the response follows once its effect is committed.
+    pub fn execute(
+        &mut self,
+        environment: &LeaderEnvironment<'_, A>,
+        from: Name,
+        id: u64,
+        command: A::Command,
+    ) -> Result<(), A::Rejection> {
+        self.state.advance(environment.now);
+        let mut context = context(&mut self.state, environment);
+        let response = environment.application.command(&mut self.data, &mut context, command);
+        self.notify_departed(environment);
+        self.state.defer_response(from, id, response?);
+        Ok(())
+    }
+}
--- a/lease/src/machine/lease.rs
+++ b/lease/src/machine/lease.rs
@@ -1,98 +1,127 @@
-//! The lease is granted, and renewed.
+//! How a candidate gets the lease, and a leader renews it.
 
-use super::holder::{At, Holder};
-use super::state::{Around, Effect, Machine};
+use super::leader::{Leader, LeaderEnvironment};
+use super::state::{Context, Effect, Machine};
 use crate::application::Application;
-use crate::ballot::{Ballot, Version};
-use crate::hold::Hold;
-use crate::message::Message;
+use crate::leader::{Audience, Candidacy, LeaderState, OwnState};
+use crate::message::{Acceptance, Message, Proposal};
 use flaxhead_membership::{Micros, Name};
 
-impl<M: Application> Machine<M> {
-    pub(super) fn accepted(
+impl<A: Application> Machine<A> {
+    /// A voter has accepted a proposal of this leader or candidate.
+    pub(super) fn handle_acceptance(
         &mut self,
-        around: &mut Around<'_, M::Facts>,
+        context: &mut Context<'_, A::Facts>,
         from: &Name,
-        ballot: Ballot,
-        round: u64,
-        kept: (u64, &Version),
-        out: &mut Vec<Effect<M>>,
+        acceptance: &Acceptance,
+        effects: &mut Vec<Effect<A>>,
     ) {
-        let now = around.now;
-        if let Some(holder) = self.holder.as_mut().filter(|holder| holder.hold.ballot == ballot) {
-            holder.hold.accepted(now, &self.config, &self.voters, from, round, kept);
-            return self.work(around, out);
+        let now = context.now;
+        let leader = self.leader.as_mut().filter(|leader| leader.state.ballot == acceptance.ballot);
+        if let Some(leader) = leader {
+            leader.state.record_acceptance(now, &self.config, &self.voters, from, acceptance);
+            return self.lead(context, effects);
         }
-        let Some(bid) = self.bid.as_mut().filter(|bid| bid.ballot == ballot) else { return };
-        // The lease counts from the bid's start: what comes too late grants nothing.
-        if now >= bid.sent + self.config.lease || bid.promises.get(from).is_none_or(|p| p.life != kept.0) {
+        if !self.is_elected_by(now, from, acceptance) || !self.accept_fence(&acceptance.ballot) {
             return;
         }
-        bid.granted.insert(from.clone());
-        let granted = &bid.granted;
-        if !self.voters.majority(|name| granted.contains(name)) || !self.hears(&ballot) {
-            return;
+        if let Some(candidacy) = self.candidacy.take() {
+            self.become_leader(context, candidacy, effects);
+        }
+    }
+
+    /// Counts a voter's acceptance for the candidacy. Returns whether a majority has accepted by now.
+    fn is_elected_by(&mut self, now: Micros, from: &Name, acceptance: &Acceptance) -> bool {
+        let candidacy = self.candidacy.as_mut().filter(|candidacy| candidacy.ballot == acceptance.ballot);
+        let Some(candidacy) = candidacy else { return false };
+        // The lease counts from the beginning of the candidacy: an acceptance that comes too late grants nothing.
+        let is_late = now >= candidacy.started + self.config.lease;
+        let promise = candidacy.promises.get(from);
+        if is_late || promise.is_none_or(|promise| promise.incarnation != acceptance.incarnation) {
+            return false;
         }
-        let Some(bid) = self.bid.take() else { return };
-        let own = (&self.member.told_now(now), self.member.knows);
-        let hold = Hold::new(now, &self.config, &self.voters, bid, own, self.me.clone());
-        let (config, voters, me, application) = (&self.config, &self.voters, &self.me, &self.application);
-        let holder = Holder::new(hold, &At { now, config, voters, facts: around.facts, me, application });
-        self.take(now, holder.hold.told.clone());
-        self.holder = Some(Box::new(holder));
-        self.tries = 0;
-        self.elsewhere = Some((self.me.name.clone(), now));
-        out.push(Effect::Holds(Some(ballot)));
-        self.renew_lease(around, out);
-        self.tell_those(around, true, out);
-        self.renew(around, out);
+        candidacy.grants.insert(from.clone());
+        let grants = &candidacy.grants;
+        self.voters.has_majority(|name| grants.contains(name))
+    }
+
+    fn become_leader(
+        &mut self,
+        context: &mut Context<'_, A::Facts>,
+        candidacy: Candidacy<A>,
+        effects: &mut Vec<Effect<A>>,
+    ) {
+        let now = context.now;
+        let ballot = candidacy.ballot.clone();
+        let own =
+            OwnState { state: self.member.current_state(now), is_complete: self.member.has_complete_state };
+        let state = LeaderState::new(now, &self.config, &self.voters, candidacy, own, self.me.clone());
+        let environment = LeaderEnvironment {
+            now,
+            config: &self.config,
+            voters: &self.voters,
+            facts: context.facts,
+            me: &self.me,
+            application: &self.application,
+        };
+        let leader = Leader::new(state, &environment);
+        self.apply(now, leader.state.state.clone());
+        self.leader = Some(Box::new(leader));
+        self.failed_candidacies = 0;
+        self.note_leader(now, self.me.name.clone());
+        effects.push(Effect::LeadershipChanged(Some(ballot)));
+        self.begin_round(context, effects);
+        self.disseminate(now, Audience::Everyone, effects);
+        self.renew(context, effects);
     }
 
-    /// Asks the voters for more of the lease, and those that have not promised for that first.
-    pub(super) fn renew_lease(&mut self, around: &mut Around<'_, M::Facts>, out: &mut Vec<Effect<M>>) {
-        let now = around.now;
-        let Some(holder) = self.holder.as_mut() else { return };
-        self.round_at = now + self.config.renew_every();
-        // One that finds itself cut off lets go.
-        if !around.facts.takes_part {
+    /// Begins a round of renewal: asks the voters to prolong the lease, and those that have not promised, or have lost
+    /// their promise, to promise first.
+    pub(super) fn begin_round(&mut self, context: &mut Context<'_, A::Facts>, effects: &mut Vec<Effect<A>>) {
+        let now = context.now;
+        let Some(leader) = self.leader.as_mut() else { return };
+        self.next_round_at = now + self.config.renewal_interval();
+        // A leader that finds itself cut off lets its lease run out.
+        if !context.facts.participates {
             return;
         }
-        holder.hold.next_round(now);
-        let (ballot, marks) = (holder.hold.ballot.clone(), self.voters.marks());
-        let all: Vec<Name> = self.voters.iter().cloned().collect();
-        for to in all {
-            let Some(holder) = &self.holder else { return };
-            let message = match holder.hold.lives.contains_key(&to) {
-                true => self.proposal(&holder.hold, &to),
-                false => Some(Message::Prepare { ballot: ballot.clone(), marks }),
-            };
-            if let Some(message) = message {
-                self.send(&to, message, out);
-            }
+        leader.state.begin_round(now);
+        let (ballot, voter_sets) = (leader.state.ballot.clone(), self.voters.hashes());
+        let prepare = || Message::Prepare { ballot: ballot.clone(), voter_sets };
+        let voters: Vec<Name> = self.voters.iter().cloned().collect();
+        for to in &voters {
+            let message = self.proposal_to(to).map_or_else(prepare, Message::Propose);
+            self.send(to, message, effects);
         }
-        // One that lost its promise is asked for it anew.
-        let forgot: Vec<Name> =
-            self.voters.iter().filter(|name| self.is_silent(now, name)).cloned().collect();
-        for to in forgot {
-            self.send(&to, Message::Prepare { ballot: ballot.clone(), marks }, out);
+        let silent: Vec<Name> = voters.into_iter().filter(|voter| self.is_silent_voter(now, voter)).collect();
+        for to in silent {
+            self.send(&to, prepare(), effects);
         }
     }
 
-    pub(super) fn is_silent(&self, now: Micros, voter: &Name) -> bool {
-        let silent =
-            |hold: &Hold<M>| hold.lives.contains_key(voter) && !hold.granted_lately(now, &self.config, voter);
-        *voter != self.me.name && self.holder.as_ref().is_some_and(|holder| silent(&holder.hold))
+    /// Whether a voter that has promised accepts nothing any more: it may have restarted.
+    fn is_silent_voter(&self, now: Micros, voter: &Name) -> bool {
+        let is_silent = |state: &LeaderState<A>| {
+            state.voter_incarnations.contains_key(voter)
+                && !state.voter_accepted_recently(now, &self.config, voter)
+        };
+        *voter != self.me.name && self.leader.as_ref().is_some_and(|leader| is_silent(&leader.state))
     }
 
-    pub(super) fn proposal(&self, hold: &Hold<M>, to: &Name) -> Option<Message<M>> {
-        let life = *hold.lives.get(to)?;
-        let (ballot, round, sure, roster) =
-            (hold.ballot.clone(), hold.round, hold.cold.is_none(), hold.roster.clone());
-        Some(Message::Propose { ballot, round, life, sure, roster })
+    /// The leader's proposal to a voter; `None`: this process does not lead, or the voter has not promised.
+    fn proposal_to(&self, to: &Name) -> Option<Proposal> {
+        let state = &self.leader.as_ref()?.state;
+        Some(Proposal {
+            ballot: state.ballot.clone(),
+            round: state.round,
+            incarnation: *state.voter_incarnations.get(to)?,
+            is_recovered: state.state_lost_since.is_none(),
+            roster: state.roster.clone(),
+        })
     }
 
-    pub(super) fn propose_to(&mut self, to: &Name, out: &mut Vec<Effect<M>>) {
-        let message = self.holder.as_ref().and_then(|holder| self.proposal(&holder.hold, to));
-        self.reply(to, message, out);
+    pub(super) fn propose_to(&mut self, to: &Name, effects: &mut Vec<Effect<A>>) {
+        let message = self.proposal_to(to).map(Message::Propose);
+        self.reply(to, message, effects);
     }
 }
--- a/lease/src/machine/mod.rs
+++ b/lease/src/machine/mod.rs
@@ -1,14 +1,16 @@
-//! One process: its parts, and what passes between them and the others.
+//! One process: its parts, and what passes between them and the other processes.
 
-mod bid;
-mod disk;
-mod hear;
-mod holder;
+mod admission;
+mod commands;
+mod election;
+mod leader;
 mod lease;
-mod leave;
-mod orders;
-mod recall;
+mod persistence;
+mod receive;
+mod renewal;
+mod replication;
+mod schedule;
 mod state;
-mod wait;
+mod voter_recovery;
 
-pub use state::{Around, Effect, Machine};
+pub use state::{Context, Effect, Machine};
--- /dev/null
+++ b/lease/src/machine/replication.rs
@@ -0,0 +1,25 @@
+//! How the leader sends its state to the other processes.
+
+use super::state::{Effect, Machine};
+use crate::application::Application;
+use crate::leader::Audience;
+use crate::message::Message;
+use flaxhead_membership::{Micros, Name};
+
+impl<A: Application> Machine<A> {
+    /// Sends the leader's state to another process.
+    pub(super) fn send_state(&mut self, to: &Name, effects: &mut Vec<Effect<A>>) {
+        let state = self.leader.as_ref().map(|leader| leader.state.state.clone());
+        if let Some(state) = state.filter(|_| *to != self.me.name) {
+            self.send(to, Message::StateUpdate { state }, effects);
+        }
+    }
+
+    /// Sends the leader's state to its audience.
+    pub(super) fn disseminate(&mut self, now: Micros, audience: Audience, effects: &mut Vec<Effect<A>>) {
+        let Some(leader) = self.leader.as_mut() else { return };
+        for to in leader.state.begin_dissemination(now, &self.config, audience) {
+            self.send_state(&to, effects);
+        }
+    }
+}
--- a/lease/src/machine/state.rs
+++ b/lease/src/machine/state.rs
@@ -1,114 +1,118 @@
-//! What one process is made of, and how it speaks.
+//! What one process consists of.
 
-use super::disk::Disk;
-use super::holder::{At, Holder};
+use super::commands::PendingCommand;
+use super::leader::{Leader, LeaderEnvironment};
+use super::persistence::Persistence;
 use crate::application::Application;
-use crate::ballot::{Ballot, Told};
+use crate::ballot::{Ballot, Versioned};
 use crate::config::Config;
 use crate::facts::Facts;
-use crate::hold::{Bid, Hold};
-use crate::member::{Member, Serving};
+use crate::leader::{Candidacy, LeaderState};
+use crate::member::{AdmissionStatus, FenceCheck, Member};
 use crate::message::Message;
 use crate::roster::Process;
-use crate::standing::Standing;
+use crate::status::LeaseStatus;
 use crate::voter::Voter;
 use crate::voters::Voters;
 use flaxhead_membership::{Micros, Name};
 use rand_core::RngCore;
 use std::collections::{BTreeMap, VecDeque};
 
+const MICROS_PER_MILLI: Micros = 1_000;
+
 /// What a process is given with everything that happens.
-pub struct Around<'a, O> {
+pub struct Context<'a, F> {
     /// The time, from any fixed point before the process's start.
     pub now: Micros,
-    /// What it knows from elsewhere.
-    pub facts: &'a Facts<O>,
-    /// What it draws from.
+    /// What the process knows from outside the protocol.
+    pub facts: &'a Facts<F>,
+    /// The source of jitter.
     pub random: &'a mut dyn RngCore,
 }
 
-/// What is to be done.
+/// What the driver is to do.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Effect<M: Application> {
-    /// A message to another process.
+pub enum Effect<A: Application> {
+    /// Send a message to another process.
     Send {
-        /// To whom.
+        /// The receiver.
         to: Name,
-        /// What.
-        message: Message<M>,
+        /// The message.
+        message: Message<A>,
     },
-    /// An operator's order has its answer.
-    Answer {
-        /// Which.
+    /// Give an operator the result of a command that was submitted here.
+    CommandCompleted {
+        /// The command's number.
         id: u64,
-        /// What.
-        result: Result<M::Answer, M::Refusal>,
+        /// What it led to.
+        result: Result<A::Response, A::Rejection>,
     },
-    /// This process settles things from now on, or no longer.
-    Holds(Option<Ballot>),
-    /// A step, at the holder.
-    Noted(M::Note),
+    /// This process is the leader from now on, under this ballot, or is it no longer.
+    LeadershipChanged(Option<Ballot>),
+    /// Something happened at the leader.
+    Event(A::Event),
 }
 
+/// Who leads, as far as a process knows.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(super) struct Waiting<O> {
-    pub id: u64,
-    pub order: O,
-    pub until: Micros,
-    pub again: Micros,
+pub(super) struct KnownLeader {
+    pub name: Name,
+    pub heard_at: Micros,
 }
 
-/// One process's part in what is settled in common.
+/// One process's part in the protocol, for one application.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Machine<M: Application> {
+pub struct Machine<A: Application> {
     pub(super) config: Config,
-    pub(super) application: M,
+    pub(super) application: A,
     pub(super) voters: Voters,
     pub(super) me: Process,
-    pub(super) voter: Option<Voter<M>>,
-    pub(super) member: Member<M>,
-    pub(super) bid: Option<Bid<M>>,
-    pub(super) bid_at: Micros,
-    /// Bids in a row that came to nothing.
-    pub(super) tries: u32,
-    pub(super) holder: Option<Box<Holder<M>>>,
-    /// It has drawn when it begins to ask.
-    pub(super) begun: bool,
-    pub(super) renew_at: Micros,
-    /// When it asked for leave last.
-    pub(super) asked: Micros,
-    pub(super) round_at: Micros,
-    /// Who holds, as far as is known, and when it was last heard.
-    pub(super) elsewhere: Option<(Name, Micros)>,
-    pub(super) ask_next: usize,
-    /// Those that lately said that their slates hold all that is settled, and when.
-    pub(super) know: BTreeMap<Name, Micros>,
-    pub(super) waiting: VecDeque<Waiting<M::Order>>,
-    /// What outlives the process, where something does.
-    pub(super) disk: Option<Disk>,
-    /// What it says to itself, taken at the end of each step.
-    pub(super) inbox: VecDeque<Message<M>>,
+    /// `None`: it is no voter, and never becomes the leader.
+    pub(super) voter: Option<Voter<A>>,
+    pub(super) member: Member<A>,
+    pub(super) candidacy: Option<Candidacy<A>>,
+    pub(super) next_candidacy_at: Micros,
+    /// Candidacies in a row that did not succeed.
+    pub(super) failed_candidacies: u32,
+    pub(super) leader: Option<Box<Leader<A>>>,
+    /// It has drawn when it sends its first query.
+    pub(super) has_started: bool,
+    pub(super) next_renewal_at: Micros,
+    /// When it last asked for a lease.
+    pub(super) last_renewal_at: Micros,
+    /// As the leader: when the next renewal round begins.
+    pub(super) next_round_at: Micros,
+    pub(super) known_leader: Option<KnownLeader>,
+    /// The place, among the voters, of the one that it last took for the leader without knowing one.
+    pub(super) voter_cursor: usize,
+    /// The processes that recently reported that their state is complete, and when.
+    pub(super) informed_peers: BTreeMap<Name, Micros>,
+    pub(super) pending_commands: VecDeque<PendingCommand<A::Command>>,
+    /// `None`: nothing outlives the process.
+    pub(super) persistence: Option<Persistence>,
+    /// Its messages to itself, handled at the end of each step.
+    pub(super) loopback: VecDeque<Message<A>>,
 }
 
-impl<M: Application> Machine<M> {
-    /// A process that starts.
-    pub fn new(config: Config, application: M, voters: Voters, me: Process, now: Micros) -> Machine<M> {
-        let voter = voters.has(&me.name).then(|| Voter::new(now, &config));
+impl<A: Application> Machine<A> {
+    /// A process that starts at `now`.
+    pub fn new(config: Config, application: A, voters: Voters, me: Process, now: Micros) -> Machine<A> {
+        let voter = voters.contains(&me.name).then(|| Voter::new(now, &config));
         Machine {
-            bid: None,
-            bid_at: now + config.silence(),
-            tries: 0,
-            holder: None,
-            begun: false,
-            renew_at: now,
-            asked: now,
-            round_at: now,
-            elsewhere: None,
-            ask_next: 0,
-            know: BTreeMap::new(),
-            waiting: VecDeque::new(),
-            disk: None,
-            inbox: VecDeque::new(),
+            candidacy: None,
+            next_candidacy_at: now + config.quarantine(),
+            failed_candidacies: 0,
+            leader: None,
+            has_started: false,
+            next_renewal_at: now,
+            last_renewal_at: now,
+            next_round_at: now,
+            known_leader: None,
+            voter_cursor: 0,
+            informed_peers: BTreeMap::new(),
+            pending_commands: VecDeque::new(),
+            persistence: None,
+            loopback: VecDeque::new(),
             member: Member::new(now),
             config,
             application,
@@ -118,130 +122,157 @@
         }
     }
 
-    /// What the application of the holder keeps, if that is this process.
-    pub fn desk(&self, now: Micros) -> Option<&M::Desk> {
-        self.holder.as_ref().filter(|holder| holder.hold.holds(now)).map(|holder| &holder.desk)
+    /// What the application keeps while this process leads; `None`: it does not lead.
+    pub fn leader_data(&self, now: Micros) -> Option<&A::LeaderData> {
+        self.leader.as_ref().filter(|leader| leader.state.is_leading(now)).map(|leader| &leader.data)
     }
 
-    /// What it is.
+    /// This process.
     pub fn me(&self) -> &Process {
         &self.me
     }
 
-    /// The voters that it goes by.
+    /// The voters that it is configured with.
     pub fn voters(&self) -> &Voters {
         &self.voters
     }
 
-    /// How it is paced.
+    /// The time spans of the protocol.
     pub fn config(&self) -> &Config {
         &self.config
     }
 
-    /// Its part in the application.
-    pub fn application(&self) -> &M {
+    /// Its application.
+    pub fn application(&self) -> &A {
         &self.application
     }
 
-    /// The same, to be told what the process itself knows.
-    pub fn matter_mut(&mut self) -> &mut M {
+    /// Its application, to be given what the process itself knows.
+    pub fn application_mut(&mut self) -> &mut A {
         &mut self.application
     }
 
-    /// What it was told, and its leave.
-    pub fn member(&self) -> &Member<M> {
+    /// Its part as a participant: the state that it has applied, and its lease.
+    pub fn member(&self) -> &Member<A> {
         &self.member
     }
 
-    /// The slate that it goes by, its times as they were when it came.
-    pub fn slate(&self) -> &M::Slate {
-        &self.member.told.slate
+    /// The state that it has applied, its spans as they were when it came.
+    pub fn state(&self) -> &A::State {
+        &self.member.state.state
     }
 
-    /// Its number, while it holds.
-    pub fn holds(&self, now: Micros) -> Option<&Ballot> {
-        self.hold(now).map(Hold::ballot)
+    /// Its ballot, while it leads.
+    pub fn leading_ballot(&self, now: Micros) -> Option<&Ballot> {
+        self.leader_state(now).map(LeaderState::ballot)
     }
 
-    /// Its records, while it holds.
-    pub fn hold(&self, now: Micros) -> Option<&Hold<M>> {
-        self.holder.as_ref().map(|holder| &holder.hold).filter(|hold| hold.holds(now))
+    /// Its records, while it leads.
+    pub fn leader_state(&self, now: Micros) -> Option<&LeaderState<A>> {
+        self.leader.as_ref().map(|leader| &leader.state).filter(|state| state.is_leading(now))
     }
 
-    /// Whether it was let in.
-    pub fn serving(&self) -> Serving {
-        self.member.serving()
+    /// Whether it was admitted.
+    pub fn admission_status(&self) -> AdmissionStatus {
+        self.member.admission_status()
     }
 
-    /// How it stands to what is settled.
-    pub fn standing(&self, now: Micros) -> Standing {
-        let hold = self.hold(now);
-        Standing {
+    /// The lease as operators see it.
+    pub fn status(&self, now: Micros) -> LeaseStatus {
+        let leader_state = self.leader_state(now);
+        LeaseStatus {
             me: self.me.name.to_string(),
-            holder: self.known_holder(now).map(|name| name.to_string()),
+            leader: self.current_leader(now).map(|name| name.to_string()),
             fence: self.member.fence.as_ref().map(Ballot::to_string),
-            holds: hold.is_some(),
-            forgotten: hold.is_some_and(|hold| hold.cold.is_some()),
-            serving: format!("{:?}", self.serving()).to_lowercase(),
-            reason: self.member.waiting.reason.to_string(),
-            permitted_ms: self.member.permitted.saturating_sub(now) / 1_000,
-            version: self.member.told.version.to_string(),
-            voter: self.voter.as_ref().map(|voter| voter.known),
+            is_leader: leader_state.is_some(),
+            is_state_lost: leader_state.is_some_and(|state| state.state_lost_since.is_some()),
+            admission: self.admission_status().as_str().to_owned(),
+            reason: self.member.wait.reason.to_string(),
+            lease_remaining_ms: self.member.lease_expiry.saturating_sub(now) / MICROS_PER_MILLI,
+            version: self.member.state.version.to_string(),
+            voter: self.voter.as_ref().map(|voter| voter.recovery),
         }
     }
 
-    pub(super) fn known_holder(&self, now: Micros) -> Option<Name> {
-        let fresh = |(_, at): &&(Name, Micros)| now.saturating_sub(*at) <= self.config.lease;
-        self.elsewhere.as_ref().filter(fresh).map(|(name, _)| name.clone())
+    /// The leader that it has heard of within the duration of a lease.
+    pub(super) fn current_leader(&self, now: Micros) -> Option<Name> {
+        let is_fresh = |leader: &&KnownLeader| now.saturating_sub(leader.heard_at) <= self.config.lease;
+        self.known_leader.as_ref().filter(is_fresh).map(|leader| leader.name.clone())
+    }
+
+    /// It has just heard of this leader.
+    pub(super) fn note_leader(&mut self, now: Micros, name: Name) {
+        self.known_leader = Some(KnownLeader { name, heard_at: now });
     }
 
-    /// The holder that this process is, with what is around it.
-    pub(super) fn at_holder<'a>(
+    /// The leader that this process is, with what is needed to act as it.
+    pub(super) fn leader_with_environment<'a>(
         &'a mut self,
         now: Micros,
-        facts: &'a Facts<M::Facts>,
-    ) -> Option<(&'a mut Holder<M>, At<'a, M>)> {
-        let holder = self.holder.as_deref_mut()?;
-        let (config, voters, me, application) = (&self.config, &self.voters, &self.me, &self.application);
-        Some((holder, At { now, config, voters, facts, me, application }))
-    }
-
-    /// Hears of a fence; whether it still counts.
-    pub(super) fn hears(&mut self, fence: &Ballot) -> bool {
-        let (counts, rose) = self.member.hears(fence);
-        if rose {
-            self.application.fenced(fence);
+        facts: &'a Facts<A::Facts>,
+    ) -> Option<(&'a mut Leader<A>, LeaderEnvironment<'a, A>)> {
+        let leader = self.leader.as_deref_mut()?;
+        let environment = LeaderEnvironment {
+            now,
+            config: &self.config,
+            voters: &self.voters,
+            facts,
+            me: &self.me,
+            application: &self.application,
+        };
+        Some((leader, environment))
+    }
+
+    /// Takes note of a ballot. Returns whether what was sent under it counts.
+    pub(super) fn accept_fence(&mut self, fence: &Ballot) -> bool {
+        match self.member.observe_fence(fence) {
+            FenceCheck::Stale => false,
+            FenceCheck::Current => true,
+            FenceCheck::Raised => {
+                self.application.fenced(fence);
+                true
+            }
         }
-        counts
     }
 
-    /// A slate came; whether it counts.
-    pub(super) fn take(&mut self, now: Micros, told: Told<M::Slate>) -> bool {
-        let Some(fence) = told.version.fence.clone() else { return false };
-        let taken = self.hears(&fence) && self.member.take(now, told);
-        if taken {
-            self.application.told(now, &self.member.told.slate);
+    /// Applies a state. Returns whether it counts.
+    pub(super) fn apply(&mut self, now: Micros, state: Versioned<A::State>) -> bool {
+        let Some(fence) = state.version.fence.clone() else { return false };
+        let is_applied = self.accept_fence(&fence) && self.member.apply(now, state);
+        if is_applied {
+            self.application.state_changed(now, &self.member.state.state);
         }
-        taken
+        is_applied
     }
 
-    pub(super) fn jitter(&self, around: &mut Around<'_, M::Facts>) -> Micros {
-        let most = self.config.renew_every();
-        (u64::from(around.random.next_u32()) * most.min(u64::from(u32::MAX))) >> 32
+    /// A random span of up to a renewal interval.
+    pub(super) fn jitter(&self, context: &mut Context<'_, A::Facts>) -> Micros {
+        random_below(context, self.config.renewal_interval())
     }
 
-    /// To another, or to oneself.
-    pub(super) fn send(&mut self, to: &Name, message: Message<M>, out: &mut Vec<Effect<M>>) {
+    /// Sends a message to another process, or hands it to this one at the end of the step.
+    pub(super) fn send(&mut self, to: &Name, message: Message<A>, effects: &mut Vec<Effect<A>>) {
         if *to == self.me.name {
-            self.inbox.push_back(message);
+            self.loopback.push_back(message);
         } else {
-            out.push(Effect::Send { to: to.clone(), message });
+            effects.push(Effect::Send { to: to.clone(), message });
         }
     }
 
-    pub(super) fn reply(&mut self, to: &Name, message: Option<Message<M>>, out: &mut Vec<Effect<M>>) {
-        if let Some(message) = message {
-            self.send(to, message, out);
+    /// Sends an answer, if there is one.
+    pub(super) fn reply(&mut self, to: &Name, answer: Option<Message<A>>, effects: &mut Vec<Effect<A>>) {
+        if let Some(message) = answer {
+            self.send(to, message, effects);
         }
     }
+
+    /// The voters beside this process.
+    pub(super) fn other_voters(&self) -> Vec<Name> {
+        self.voters.iter().filter(|name| **name != self.me.name).cloned().collect()
+    }
+}
+
+/// A random span below `bound`, which counts as 32 bits at the most.
+pub(super) fn random_below<F>(context: &mut Context<'_, F>, bound: Micros) -> Micros {
+    (u64::from(context.random.next_u32()) * bound.min(u64::from(u32::MAX))) >> u32::BITS
 }
--- a/lease/src/member.rs
+++ b/lease/src/member.rs
@@ -1,131 +1,156 @@
-//! The part of every process: what it was told, and whether it has leave.
+//! The part of every process: the state that it has applied, and its lease.
 
-use crate::ballot::{Ballot, Told};
+use crate::admission::{AdmissionReason, AdmissionWait};
+use crate::ballot::{Ballot, Versioned};
 use crate::config::Config;
-use crate::terms::{Slate, Terms};
-use crate::waiting::{Reason, Waiting};
+use crate::types::{ApplicationTypes, ReplicatedState};
 use flaxhead_membership::Micros;
 
-/// Whether a process was let in.
+/// Whether a process was admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Serving {
-    /// It was started and does not know yet what is settled.
-    Waits,
+pub enum AdmissionStatus {
+    /// It started and does not know the state yet.
+    Pending,
     /// It is on the roster.
     Admitted,
-    /// It need not wait to be let in, and goes by what it has heard: [`Reason`] says why.
-    Alone,
+    /// It serves without having been admitted, by the state that it has: [`AdmissionReason`] says why.
+    Autonomous,
 }
 
-/// One process, as it goes by what is settled.
+impl AdmissionStatus {
+    /// The word that the side port has for it.
+    pub(crate) fn as_str(self) -> &'static str {
+        match self {
+            AdmissionStatus::Pending => "waits",
+            AdmissionStatus::Admitted => "admitted",
+            AdmissionStatus::Autonomous => "alone",
+        }
+    }
+}
+
+/// How a ballot that was heard of compares with the highest one before it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum FenceCheck {
+    /// It is lower: nothing under it counts any more.
+    Stale,
+    /// It is the highest.
+    Current,
+    /// It is higher, and is the highest from now on.
+    Raised,
+}
+
+/// One process as a participant.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Member<T: Terms> {
-    /// While it is not let in.
-    pub(crate) waiting: Waiting,
-    /// It serves, though nobody has let it in.
-    pub(crate) alone: bool,
-    /// All that is settled is on its slate: it was let in by a holder that knew, or was shown it by such a process.
-    pub(crate) knows: bool,
-    pub(crate) told: Told<T::Slate>,
-    /// The slate's times are as they were then.
-    told_at: Micros,
+pub struct Member<T: ApplicationTypes> {
+    /// What it has learned while it waits for admission.
+    pub(crate) wait: AdmissionWait,
+    /// It serves without having been admitted.
+    pub(crate) is_autonomous: bool,
+    /// Its state is complete: a leader that knew it admitted this process, or a process with the complete state sent it.
+    pub(crate) has_complete_state: bool,
+    pub(crate) state: Versioned<T::State>,
+    /// The time at which the spans in the state are exact.
+    state_as_of: Micros,
     pub(crate) fence: Option<Ballot>,
-    pub(crate) admitted: bool,
-    pub(crate) permitted: Micros,
+    pub(crate) is_admitted: bool,
+    pub(crate) lease_expiry: Micros,
 }
 
-impl<T: Terms> Member<T> {
+impl<T: ApplicationTypes> Member<T> {
     pub(crate) fn new(now: Micros) -> Self {
         Member {
-            waiting: Waiting::new(now),
-            alone: false,
-            knows: false,
-            told: Told::default(),
-            told_at: now,
+            wait: AdmissionWait::new(now),
+            is_autonomous: false,
+            has_complete_state: false,
+            state: Versioned::default(),
+            state_as_of: now,
             fence: None,
-            admitted: false,
-            permitted: 0,
+            is_admitted: false,
+            lease_expiry: 0,
         }
     }
 
-    /// The slate that it goes by, its times as they were when it came.
-    pub fn told(&self) -> &Told<T::Slate> {
-        &self.told
+    /// The state that it has applied, its spans as they were when it came.
+    pub fn state(&self) -> &Versioned<T::State> {
+        &self.state
     }
 
-    /// The slate that it goes by, its times as they are now.
-    pub fn told_now(&self, now: Micros) -> Told<T::Slate> {
-        let mut told = self.told.clone();
-        told.slate.age(now.saturating_sub(self.told_at));
-        told
+    /// The state that it has applied, its spans as they are now.
+    pub fn current_state(&self, now: Micros) -> Versioned<T::State> {
+        let mut state = self.state.clone();
+        state.state.advance(now.saturating_sub(self.state_as_of));
+        state
     }
 
-    /// The highest fence that it has heard of: it takes nothing of a lower one.
+    /// The highest ballot that it has heard of: it accepts nothing under a lower one.
     pub fn fence(&self) -> Option<&Ballot> {
         self.fence.as_ref()
     }
 
-    /// Whether a holder that remembers has let it in.
-    pub fn admitted(&self) -> bool {
-        self.admitted
+    /// Whether a leader that knows the state has admitted it.
+    pub fn is_admitted(&self) -> bool {
+        self.is_admitted
     }
 
-    /// Until when it has leave, by its own clock.
-    pub fn permitted(&self) -> Micros {
-        self.permitted
+    /// When its lease ends, by its own clock; a moment in the past where it holds none.
+    pub fn lease_expiry(&self) -> Micros {
+        self.lease_expiry
     }
 
-    /// Hears of a fence; whether it still counts, and whether it is a higher one than before.
-    pub(crate) fn hears(&mut self, fence: &Ballot) -> (bool, bool) {
+    /// Takes note of a ballot.
+    pub(crate) fn observe_fence(&mut self, fence: &Ballot) -> FenceCheck {
         if self.fence.as_ref().is_some_and(|own| own > fence) {
-            return (false, false);
+            return FenceCheck::Stale;
         }
-        let rose = self.fence.as_ref() != Some(fence);
-        if rose {
-            self.fence = Some(fence.clone());
+        if self.fence.as_ref() == Some(fence) {
+            return FenceCheck::Current;
         }
-        (true, rose)
+        self.fence = Some(fence.clone());
+        FenceCheck::Raised
     }
 
-    /// A slate came from whoever holds its fence, which counts. Whether it is no older than the one that it has.
-    pub(crate) fn take(&mut self, now: Micros, told: Told<T::Slate>) -> bool {
-        if told.version < self.told.version {
+    /// Applies a state of the leader whose fence counts. Returns whether it was no older than the one before.
+    pub(crate) fn apply(&mut self, now: Micros, state: Versioned<T::State>) -> bool {
+        if state.version < self.state.version {
             return false;
         }
-        (self.told, self.told_at) = (told, now);
+        self.state = state;
+        self.state_as_of = now;
         true
     }
 
-    /// Leave came. One that waits takes it only of a holder that knows what is settled. Whether it is taken.
-    pub(crate) fn granted(&mut self, stamp: Micros, remembers: bool, config: &Config) -> bool {
-        if !(self.admitted || remembers || self.alone) {
+    /// Takes a lease that it asked for at `requested_at`. Before it was admitted it takes one only of a leader that
+    /// `is_recovered`. Returns whether it was taken.
+    pub(crate) fn take_lease(&mut self, requested_at: Micros, is_recovered: bool, config: &Config) -> bool {
+        if !(self.is_admitted || is_recovered || self.is_autonomous) {
             return false;
         }
-        self.admitted = true;
-        self.knows |= remembers;
-        self.waiting.reason = Reason::Admitted;
-        self.permitted = self.permitted.max(stamp + config.lease);
+        self.is_admitted = true;
+        self.has_complete_state |= is_recovered;
+        self.wait.reason = AdmissionReason::Admitted;
+        self.lease_expiry = self.lease_expiry.max(requested_at + config.lease);
         true
     }
 
-    /// One that knows what is settled has shown its slate: this one goes by all that either of them has.
-    pub(crate) fn shown(&mut self, now: Micros, told: Told<T::Slate>) {
-        let mut own = self.told_now(now);
-        if told.version > own.version {
-            let older = std::mem::replace(&mut own, told);
-            own.slate.absorb(&older.slate);
+    /// Merges the complete state of another process into its own.
+    pub(crate) fn merge(&mut self, now: Micros, other: Versioned<T::State>) {
+        let mut own = self.current_state(now);
+        if other.version > own.version {
+            let older = std::mem::replace(&mut own, other);
+            own.state.absorb(&older.state);
         } else {
-            own.slate.absorb(&told.slate);
+            own.state.absorb(&other.state);
         }
-        (self.told, self.told_at) = (own, now);
+        self.state = own;
+        self.state_as_of = now;
     }
 
-    /// Whether it was let in.
-    pub(crate) fn serving(&self) -> Serving {
-        match (self.admitted, self.alone) {
-            (true, _) => Serving::Admitted,
-            (false, true) => Serving::Alone,
-            (false, false) => Serving::Waits,
+    /// Whether it was admitted.
+    pub(crate) fn admission_status(&self) -> AdmissionStatus {
+        match (self.is_admitted, self.is_autonomous) {
+            (true, _) => AdmissionStatus::Admitted,
+            (false, true) => AdmissionStatus::Autonomous,
+            (false, false) => AdmissionStatus::Pending,
         }
     }
 }
--- a/lease/src/message.rs
+++ b/lease/src/message.rs
@@ -1,219 +1,262 @@
-//! What the processes say to each other. How it becomes bytes is up to the driver.
+//! The messages between processes. How they are encoded is up to the driver.
+//!
+//! The driver encodes by position: neither the order of variants nor that of fields may change.
 
-use crate::ballot::{Ballot, Told, Version};
-use crate::known::Known;
+use crate::admission::RecoveryStatus;
+use crate::ballot::{Ballot, Version, Versioned};
+use crate::recovery_state::RecoveryState;
 use crate::roster::{Process, Roster};
-use crate::terms::Terms;
-use crate::waiting::Word;
+use crate::types::ApplicationTypes;
+use crate::voters::VoterSetHashes;
 use flaxhead_membership::{Micros, Name};
 use serde::{Deserialize, Serialize};
 
-/// Most bytes of a roster as it is sent: some thousand processes.
-const ROSTER_MOST: usize = 1 << 17;
-/// Most bytes of all else in a message: numbers, a process, two ballots.
-const HEAD_MOST: usize = 1 << 9;
+/// Maximum encoded size of a roster: some thousand processes.
+const MAX_ROSTER_BYTES: usize = 1 << 17;
+/// Maximum encoded size of everything else in a message: numbers, a process, two ballots.
+const MAX_HEADER_BYTES: usize = 1 << 9;
 
-/// A voter's word that it hears no lower ballot, and what it knows.
+/// A voter's promise to accept no lower ballot, with what it knows.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(bound = "")]
-pub struct Promise<T: Terms> {
-    /// To whom.
+pub struct Promise<T: ApplicationTypes> {
+    /// The candidate's ballot.
     pub ballot: Ballot,
-    /// Of which process.
-    pub life: u64,
-    /// Whether it remembers.
-    pub known: Known,
-    /// The roster as it has it.
+    /// The voter's incarnation.
+    pub incarnation: u64,
+    /// How far the voter has recovered.
+    pub recovery: RecoveryState,
+    /// The roster that it stores.
     pub roster: Roster,
-    /// The slate as it has it.
-    pub told: Told<T::Slate>,
+    /// The state that it has applied.
+    pub state: Versioned<T::State>,
 }
 
-/// A process asks for leave to go on.
+/// A voter's refusal to promise or to accept.
+#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub struct Denial {
+    /// The ballot that is denied.
+    pub ballot: Ballot,
+    /// The highest ballot that the voter has promised.
+    pub promised: Option<Ballot>,
+    /// For how long another's lease still runs at this voter.
+    pub lease_left: Micros,
+}
+
+/// The request to a voter that has promised: grant the lease, or prolong it.
+#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub struct Proposal {
+    /// The candidate's or leader's ballot.
+    pub ballot: Ballot,
+    /// The renewal round that it belongs to.
+    pub round: u64,
+    /// The incarnation of the voter that promised: another one knows nothing of that.
+    pub incarnation: u64,
+    /// The leader knows for certain who may hold a lease.
+    pub is_recovered: bool,
+    /// The processes that may hold a lease.
+    pub roster: Roster,
+}
+
+/// A voter's acceptance of a [`Proposal`].
+#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub struct Acceptance {
+    /// The leader's ballot.
+    pub ballot: Ballot,
+    /// The round that is accepted.
+    pub round: u64,
+    /// The voter's incarnation.
+    pub incarnation: u64,
+    /// The version of the roster that it stores.
+    pub roster: Version,
+}
+
+/// What a voter tells another that has lost its memory.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(bound = "")]
-pub struct Renewal<T: Terms> {
-    /// Who.
+pub struct VoterRecoveryResponse<T: ApplicationTypes> {
+    /// That of the request.
+    pub nonce: u64,
+    /// How far this voter has recovered itself.
+    pub recovery: RecoveryState,
+    /// The highest ballot that it has promised.
+    pub promised: Option<Ballot>,
+    /// For how long a lease that it has granted still runs.
+    pub lease_left: Micros,
+    /// The roster that it stores.
+    pub roster: Roster,
+    /// The state that it has applied.
+    pub state: Versioned<T::State>,
+}
+
+/// A process's request for a lease of its own, or for more of it.
+#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
+#[serde(bound = "")]
+pub struct Renewal<T: ApplicationTypes> {
+    /// The process.
     pub process: Process,
-    /// When, by its own clock: the leave counts from there.
-    pub stamp: Micros,
-    /// Its slate holds all that is settled.
-    pub knows: bool,
-    /// The slate that it goes by: it takes its holder's word where that is of the holder's ballot.
+    /// When it asks, by its own clock: the lease counts from there.
+    pub sent_at: Micros,
+    /// Its state is complete.
+    pub has_complete_state: bool,
+    /// The version of the state that it has applied: it has what a leader replicated if that is of the leader's ballot.
     pub version: Version,
-    /// The highest fence that it has heard of.
+    /// The highest ballot that it has heard of.
     pub fence: Option<Ballot>,
-    /// What it says.
-    pub word: T::Word,
+    /// The application's report.
+    pub report: T::Report,
 }
 
-/// What one process says to another.
+/// A lease for one process.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(bound = "")]
-pub enum Message<T: Terms> {
-    /// To a voter: promise to hear no lower ballot.
+pub struct LeaseGrant<T: ApplicationTypes> {
+    /// The leader's ballot.
+    pub ballot: Ballot,
+    /// The incarnation of the process that it is granted to.
+    pub incarnation: u64,
+    /// When that process asked, by its own clock: the lease counts from there.
+    pub requested_at: Micros,
+    /// The leader knows the complete state, itself or from a process that was admitted all along.
+    pub is_recovered: bool,
+    /// The application's grant.
+    pub grant: T::Grant,
+}
+
+/// The question of a process that waits for admission: what another one knows.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub struct RecoveryQuery {
+    /// The incarnation of the process that asks.
+    pub incarnation: u64,
+    /// When it asks, by its own clock.
+    pub sent_at: Micros,
+    /// It wants the state as well.
+    pub wants_state: bool,
+}
+
+/// The reply to a [`RecoveryQuery`].
+#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
+#[serde(bound = "")]
+pub struct RecoveryReply<T: ApplicationTypes> {
+    /// The incarnation of the process that asked.
+    pub incarnation: u64,
+    /// When it asked, by its own clock.
+    pub requested_at: Micros,
+    /// What the replying process knows.
+    pub status: RecoveryStatus,
+    /// Its state, if that was asked for and is complete.
+    pub state: Option<Versioned<T::State>>,
+}
+
+/// A message between two processes.
+#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
+#[serde(bound = "")]
+pub enum Message<T: ApplicationTypes> {
+    /// A candidate asks a voter to promise to accept no lower ballot.
     Prepare {
-        /// Whose.
+        /// The candidate's ballot.
         ballot: Ballot,
-        /// The voters that the sender goes by.
-        marks: (u32, u32),
+        /// The voters that the candidate is configured with.
+        voter_sets: VoterSetHashes,
     },
-    /// It is promised.
+    /// The answer to `Prepare`.
     Promised(Box<Promise<T>>),
-    /// It is not.
-    Denied {
-        /// What was asked with.
-        ballot: Ballot,
-        /// What is promised.
-        promised: Option<Ballot>,
-        /// For how long somebody else holds the lease.
-        lease_left: Micros,
-    },
-    /// To a voter that has promised: grant the lease, or more of it.
-    Propose {
-        /// Whose.
-        ballot: Ballot,
-        /// Which try.
-        round: u64,
-        /// The voter's process that promised: another knows nothing of the promise.
-        life: u64,
-        /// The holder knows for sure who may have leave.
-        sure: bool,
-        /// Who may have leave.
-        roster: Roster,
-    },
-    /// It is granted, and the roster is kept.
-    Accepted {
-        /// Whose.
-        ballot: Ballot,
-        /// Which try.
-        round: u64,
-        /// The voter's process.
-        life: u64,
-        /// The roster that it keeps.
-        roster: Version,
-    },
-    /// A voter that has forgotten asks another.
-    Recall {
-        /// Comes back with the answer.
+    /// The answer to `Prepare` or `Propose` of a voter that declines.
+    Denied(Denial),
+    /// A candidate or leader asks a voter that has promised for the lease.
+    Propose(Proposal),
+    /// The answer to `Propose`: the lease is granted, and the roster stored.
+    Accepted(Acceptance),
+    /// A restarted voter asks another what it has forgotten.
+    VoterRecoveryRequest {
+        /// Comes back with the response.
         nonce: u64,
-        /// The voters that the sender goes by.
-        marks: (u32, u32),
+        /// The voters that the sender is configured with.
+        voter_sets: VoterSetHashes,
     },
-    /// What that one knows.
-    Recalled {
-        /// The question's.
-        nonce: u64,
-        /// Whether it remembers.
-        known: Known,
-        /// The highest ballot that it has promised.
-        promised: Option<Ballot>,
-        /// For how long somebody holds the lease.
-        lease_left: Micros,
-        /// Its roster.
-        roster: Roster,
-        /// Its slate.
-        told: Told<T::Slate>,
+    /// The answer to `VoterRecoveryRequest`.
+    VoterRecoveryResponse(Box<VoterRecoveryResponse<T>>),
+    /// The leader replicates the state.
+    StateUpdate {
+        /// The state.
+        state: Versioned<T::State>,
     },
-    /// The holder says what is settled.
-    Tell {
-        /// The slate.
-        told: Told<T::Slate>,
-    },
-    /// A process asks the holder for leave to go on.
+    /// A process asks the leader for a lease, and reports.
     Renew(Box<Renewal<T>>),
-    /// The holder wants to see the slate that a process goes by.
-    Show {
-        /// Whose question.
-        ballot: Ballot,
-    },
-    /// It.
-    Shown {
-        /// The holder's ballot.
+    /// A leader that lacks the complete state asks a process for its own.
+    StateRequest {
+        /// The leader's ballot.
         ballot: Ballot,
-        /// The slate.
-        told: Told<T::Slate>,
-        /// The process has been let in, and so has heard of all that is settled.
-        admitted: bool,
     },
-    /// It may go on.
-    Granted {
-        /// By whom.
+    /// The answer to `StateRequest`.
+    StateResponse {
+        /// That of the request.
         ballot: Ballot,
-        /// To which process.
-        life: u64,
-        /// Since when, by that process's clock.
-        stamp: Micros,
-        /// The holder knows what is settled, by its own memory or by that of one that has been let in all along.
-        remembers: bool,
-        /// What goes along with it.
-        leave: T::Leave,
-    },
-    /// A process that waits to be let in asks what another knows.
-    Inquire {
-        /// Which process asks.
-        life: u64,
-        /// When, by its own clock.
-        stamp: Micros,
-        /// It wants to see the slate as well.
-        slate: bool,
-    },
-    /// That one says it.
-    Informed {
-        /// Which process had asked.
-        life: u64,
-        /// When it had.
-        stamp: Micros,
-        /// What it knows.
-        word: Word,
-        /// Its slate, where that was asked for and holds all that is settled.
-        told: Option<Told<T::Slate>>,
+        /// The state that the process has applied.
+        state: Versioned<T::State>,
+        /// The process was admitted all along, so its state is complete.
+        is_complete: bool,
     },
-    /// The one that was asked is not the holder.
-    NotHolder {
-        /// Who is, as far as it knows.
-        holder: Option<Name>,
-        /// The highest fence that it has heard of.
+    /// The answer to `Renew`: the process holds a lease.
+    Granted(Box<LeaseGrant<T>>),
+    /// A process that waits for admission asks what another knows.
+    RecoveryQuery(RecoveryQuery),
+    /// The answer to `RecoveryQuery`.
+    RecoveryReply(Box<RecoveryReply<T>>),
+    /// The answer to `Renew`, `StateUpdate` or `Command` of a process that is not the leader, or has a later one.
+    NotLeader {
+        /// The leader, as far as the sender knows.
+        leader: Option<Name>,
+        /// The highest ballot that the sender has heard of.
         fence: Option<Ballot>,
     },
-    /// An operator's order, passed on.
-    Order {
-        /// Comes back with the answer.
+    /// An operator's command, forwarded to the leader.
+    Command {
+        /// Comes back with the response.
         id: u64,
-        /// What.
-        order: T::Order,
+        /// The command.
+        command: T::Command,
     },
-    /// What it led to.
-    Answer {
-        /// The order's.
+    /// The answer to `Command`.
+    CommandResponse {
+        /// That of the command.
         id: u64,
-        /// What.
-        result: Result<T::Answer, T::Refusal>,
+        /// What it led to.
+        result: Result<T::Response, T::Rejection>,
     },
 }
 
-impl<T: Terms> Message<T> {
-    /// Most bytes of any message.
-    pub const MOST: usize =
-        HEAD_MOST + ROSTER_MOST + T::SLATE_MOST + T::WORD_MOST + T::LEAVE_MOST + T::ORDER_MOST;
+impl<T: ApplicationTypes> Message<T> {
+    /// Maximum encoded size of any message.
+    pub const MAX_BYTES: usize = MAX_HEADER_BYTES
+        + MAX_ROSTER_BYTES
+        + T::MAX_STATE_BYTES
+        + T::MAX_REPORT_BYTES
+        + T::MAX_GRANT_BYTES
+        + T::MAX_COMMAND_BYTES;
+
+    /// Maximum encoded size of this message. Sender and receiver both drop a longer one: it is none of this application's.
+    pub fn max_len(&self) -> usize {
+        MAX_HEADER_BYTES + self.max_payload_len()
+    }
 
-    /// Most bytes of this one. Whoever sends or takes a longer one drops it: it is no message of this application.
-    pub fn most(&self) -> usize {
-        HEAD_MOST
-            + match self {
-                Message::Promised(_) | Message::Recalled { .. } => ROSTER_MOST + T::SLATE_MOST,
-                Message::Propose { .. } => ROSTER_MOST,
-                Message::Tell { .. } | Message::Shown { .. } | Message::Informed { .. } => T::SLATE_MOST,
-                Message::Renew(_) => T::WORD_MOST,
-                Message::Granted { .. } => T::LEAVE_MOST,
-                Message::Order { .. } | Message::Answer { .. } => T::ORDER_MOST,
-                Message::Prepare { .. }
-                | Message::Denied { .. }
-                | Message::Accepted { .. }
-                | Message::Recall { .. }
-                | Message::Show { .. }
-                | Message::Inquire { .. }
-                | Message::NotHolder { .. } => 0,
+    fn max_payload_len(&self) -> usize {
+        match self {
+            Message::Promised(_) | Message::VoterRecoveryResponse(_) => MAX_ROSTER_BYTES + T::MAX_STATE_BYTES,
+            Message::Propose(_) => MAX_ROSTER_BYTES,
+            Message::StateUpdate { .. } | Message::StateResponse { .. } | Message::RecoveryReply(_) => {
+                T::MAX_STATE_BYTES
             }
+            Message::Renew(_) => T::MAX_REPORT_BYTES,
+            Message::Granted(_) => T::MAX_GRANT_BYTES,
+            Message::Command { .. } | Message::CommandResponse { .. } => T::MAX_COMMAND_BYTES,
+            Message::Prepare { .. }
+            | Message::Denied(_)
+            | Message::Accepted(_)
+            | Message::VoterRecoveryRequest { .. }
+            | Message::StateRequest { .. }
+            | Message::RecoveryQuery(_)
+            | Message::NotLeader { .. } => 0,
+        }
     }
 }
--- a/lease/src/voters/tests.rs
+++ b/lease/src/voters/tests.rs
@@ -16,7 +16,7 @@
         ("", "", VotersError::Count),
         ("a b", "", VotersError::Count),
         ("a b c d e f g h i", "", VotersError::Count),
-        ("a b a", "", VotersError::Twice),
+        ("a b a", "", VotersError::Duplicate),
         ("a", "b c", VotersError::Count),
     ] {
         assert_eq!(Voters::new(names(now), names(next)), Err(why), "{now}, {next}");
@@ -30,18 +30,18 @@
     let sets = |v: &Voters| -> Vec<u32> {
         (0..32_u32)
             .filter(|set| {
-                v.majority(|name| all.iter().position(|n| n == name).is_some_and(|p| set >> p & 1 == 1))
+                v.has_majority(|name| all.iter().position(|n| n == name).is_some_and(|p| set >> p & 1 == 1))
             })
             .collect()
     };
     for (one, other) in [(0, 0), (0, 1), (1, 1), (1, 2), (2, 2)] {
         let (one, other) = (&steps[one], &steps[other]);
-        assert!(one.agree(other.marks()));
+        assert!(one.overlaps(other.hashes()));
         for a in sets(one) {
             assert!(sets(other).iter().all(|b| a & b != 0), "{one:?} {other:?}");
         }
     }
     // Why the middle step must be there, and what happens where it was left out.
-    assert!(!steps[0].agree(steps[2].marks()));
+    assert!(!steps[0].overlaps(steps[2].hashes()));
     assert!(sets(&steps[0]).iter().any(|a| sets(&steps[2]).iter().any(|b| a & b == 0)));
 }
--- a/lease/tests/application.rs
+++ b/lease/tests/application.rs
@@ -1,9 +1,10 @@
-//! An application without a slate or orders, at three processes in steps of virtual time: each hook is called where its
+//! An application without state or commands, at three processes in steps of virtual time: each hook is called where its
 //! documentation says so.
 
 use flaxhead_lease::{
-    Application, Around, Ballot, Config, Effect, Facts, Granted, Machine, Member, MemberFact, Micros, Name,
-    Never, Presence, Process, Room, Said, Serving, Terms, Unsettled, Voters,
+    AdmissionStatus, Application, ApplicationTypes, Ballot, CommandError, Config, Context, Effect, Facts,
+    LeaderContext, Machine, Member, MemberStatus, Message, Micros, Name, NoCommand, Presence, Process,
+    ReceivedGrant, ReceivedReport, Voters,
 };
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
@@ -12,74 +13,115 @@
 
 const LEASE: Micros = 6_000_000;
 const STEP: Micros = 20_000;
+/// What each report says.
+const COUNT_PER_REPORT: u32 = 7;
 
-/// Says a number, and is granted as many as the holder has counted of it.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+enum Event {
+    Heard(Process),
+    Left(Process),
+}
+
+/// Reports a number, and is granted as many as the leader has counted of it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Count {
-    hurries: bool,
-    words: Vec<Micros>,
-    granted: Vec<(Ballot, Micros, Micros, u32)>,
+    renews_early: bool,
+    reports: Vec<Micros>,
+    granted: Vec<Grant>,
     fences: Vec<Ballot>,
 }
 
-impl Terms for Count {
-    type Slate = ();
-    type Word = u32;
-    type Leave = u32;
-    type Order = Never;
-    type Answer = Never;
-    type Refusal = Unsettled;
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+struct Grant {
+    ballot: Ballot,
+    requested_at: Micros,
+    expires_at: Micros,
+    count: u32,
+}
+
+impl ApplicationTypes for Count {
+    type State = ();
+    type Report = u32;
+    type Grant = u32;
+    type Command = NoCommand;
+    type Response = NoCommand;
+    type Rejection = CommandError;
     type Facts = ();
-    type Note = (&'static str, Process);
-    const SLATE_MOST: usize = 0;
-    const WORD_MOST: usize = 5;
-    const LEAVE_MOST: usize = 5;
-    const ORDER_MOST: usize = 0;
+    type Event = Event;
+    const MAX_STATE_BYTES: usize = 0;
+    const MAX_REPORT_BYTES: usize = 5;
+    const MAX_GRANT_BYTES: usize = 5;
+    const MAX_COMMAND_BYTES: usize = 0;
 }
 
 impl Application for Count {
-    type Desk = BTreeMap<Process, u32>;
+    type LeaderData = BTreeMap<Process, u32>;
 
-    fn word(&mut self, now: Micros, _: &Member<Self>, (): &()) -> u32 {
-        self.hurries = false;
-        self.words.push(now);
-        7
+    fn report(&mut self, now: Micros, _: &Member<Self>, (): &()) -> u32 {
+        self.renews_early = false;
+        self.reports.push(now);
+        COUNT_PER_REPORT
     }
 
-    fn granted(&mut self, granted: &Granted<Self>) {
-        let Granted { ballot, stamp, until, leave } = granted;
-        self.granted.push((ballot.clone(), *stamp, *until, *leave));
+    fn granted(&mut self, granted: &ReceivedGrant<Self>) {
+        let ReceivedGrant { ballot, requested_at, expires_at, grant } = granted;
+        self.granted.push(Grant {
+            ballot: ballot.clone(),
+            requested_at: *requested_at,
+            expires_at: *expires_at,
+            count: *grant,
+        });
     }
 
     fn fenced(&mut self, fence: &Ballot) {
         self.fences.push(fence.clone());
     }
 
-    fn hurries(&self) -> bool {
-        self.hurries
+    fn wants_early_renewal(&self) -> bool {
+        self.renews_early
     }
 
-    fn begin(&self, _: &mut Room<'_, Self>) -> Self::Desk {
+    fn begin_leadership(&self, _: &mut LeaderContext<'_, Self>) -> Self::LeaderData {
         BTreeMap::new()
     }
 
-    fn heard(&self, desk: &mut Self::Desk, room: &mut Room<'_, Self>, said: &Said<'_, Self>) {
-        assert_eq!(said.first, !desk.contains_key(said.process), "{said:?}");
-        *desk.entry(said.process.clone()).or_default() += said.word;
-        room.note(("heard", said.process.clone()));
+    fn report_received(
+        &self,
+        counts: &mut Self::LeaderData,
+        context: &mut LeaderContext<'_, Self>,
+        received: &ReceivedReport<'_, Self>,
+    ) {
+        assert_eq!(received.is_first, !counts.contains_key(received.process), "{received:?}");
+        *counts.entry(received.process.clone()).or_default() += received.report;
+        context.record_event(Event::Heard(received.process.clone()));
     }
 
-    fn leave(&self, desk: &mut Self::Desk, _: &mut Room<'_, Self>, process: &Process) -> u32 {
-        desk[process]
+    fn grant(
+        &self,
+        counts: &mut Self::LeaderData,
+        _: &mut LeaderContext<'_, Self>,
+        process: &Process,
+    ) -> u32 {
+        counts[process]
     }
 
-    fn parted(&self, desk: &mut Self::Desk, room: &mut Room<'_, Self>, process: &Process) {
-        desk.remove(process);
-        room.note(("parted", process.clone()));
+    fn process_left(
+        &self,
+        counts: &mut Self::LeaderData,
+        context: &mut LeaderContext<'_, Self>,
+        process: &Process,
+    ) {
+        counts.remove(process);
+        context.record_event(Event::Left(process.clone()));
     }
 
-    fn order(&self, _: &mut Self::Desk, _: &mut Room<'_, Self>, order: Never) -> Result<Never, Unsettled> {
-        match order {}
+    fn command(
+        &self,
+        _: &mut Self::LeaderData,
+        _: &mut LeaderContext<'_, Self>,
+        command: NoCommand,
+    ) -> Result<NoCommand, CommandError> {
+        match command {}
     }
 }
 
@@ -88,7 +130,14 @@
     machines: Vec<Machine<Count>>,
     gone: BTreeSet<usize>,
     random: Pcg32,
-    notes: Vec<(&'static str, Process)>,
+    events: Vec<Event>,
+}
+
+/// A message on its way.
+struct Envelope {
+    from: Name,
+    to: Name,
+    message: Message<Count>,
 }
 
 fn name(place: usize) -> Name {
@@ -96,18 +145,23 @@
 }
 
 fn process(place: usize) -> Process {
-    Process { name: name(place), life: 1, at: SocketAddr::from(([127, 0, 0, place as u8 + 1], 7_000)) }
+    let host = u8::try_from(place + 1).expect("few processes");
+    Process { name: name(place), incarnation: 1, address: SocketAddr::from(([127, 0, 0, host], 7_000)) }
 }
 
 impl Net {
     fn new() -> Net {
         let voters = Voters::new((0..3).map(name).collect(), Vec::new()).expect("voters");
-        let config = Config { lease: LEASE, cold_wait: LEASE, ..Config::default() };
+        let config = Config { lease: LEASE, state_loss_timeout: LEASE, ..Config::default() };
         let machine =
             |place| Machine::new(config.clone(), Count::default(), voters.clone(), process(place), 0);
-        let machines = (0..4).map(machine).collect();
-        let (gone, notes) = Default::default();
-        Net { now: 0, machines, gone, random: Pcg32::seed_from_u64(3), notes }
+        Net {
+            now: 0,
+            machines: (0..4).map(machine).collect(),
+            gone: BTreeSet::new(),
+            random: Pcg32::seed_from_u64(3),
+            events: Vec::new(),
+        }
     }
 
     fn play(&mut self, span: Micros) {
@@ -116,96 +170,101 @@
             self.now += STEP;
             let mut on_the_way = VecDeque::new();
             for place in 0..self.machines.len() {
-                self.act(place, None, &mut on_the_way);
+                on_the_way.extend(self.act(place, None));
             }
-            while let Some((from, to, message)) = on_the_way.pop_front() {
-                let place = (0..self.machines.len()).find(|place| name(*place) == to).expect("one");
-                self.act(place, Some((from, message)), &mut on_the_way);
+            while let Some(envelope) = on_the_way.pop_front() {
+                let receiver = |place: &usize| name(*place) == envelope.to;
+                let place = (0..self.machines.len()).find(receiver).expect("one");
+                on_the_way.extend(self.act(place, Some(envelope)));
             }
         }
     }
 
-    #[allow(clippy::type_complexity)]
-    fn act(
-        &mut self,
-        place: usize,
-        message: Option<(Name, flaxhead_lease::Message<Count>)>,
-        on_the_way: &mut VecDeque<(Name, Name, flaxhead_lease::Message<Count>)>,
-    ) {
+    /// A process takes a message, or its time comes; what it sends by that.
+    fn act(&mut self, place: usize, envelope: Option<Envelope>) -> Vec<Envelope> {
         if self.gone.contains(&place) {
-            return;
+            return Vec::new();
         }
-        let fact = |other: usize| {
-            let presence = if self.gone.contains(&other) { Presence::Ended } else { Presence::Runs };
-            let Process { name, life, at } = process(other);
-            (name, MemberFact { life, at, presence, since: 0 })
-        };
-        let members = (0..self.machines.len()).filter(|other| *other != place).map(fact).collect();
-        let facts = Facts { members, takes_part: true, own: () };
-        let mut out = Vec::new();
-        let mut around =
-            Around { now: self.now, facts: &facts, random: &mut self.random as &mut dyn RngCore };
-        match message {
-            None => self.machines[place].tick(&mut around, &mut out),
-            Some((from, message)) => {
-                self.machines[place].receive(&mut around, &from, message, &mut out);
+        let facts = Facts { members: self.members_but(place), participates: true, application: () };
+        let random = &mut self.random as &mut dyn RngCore;
+        let mut context = Context { now: self.now, facts: &facts, random };
+        let mut effects = Vec::new();
+        let machine = &mut self.machines[place];
+        match envelope {
+            None => machine.tick(&mut context, &mut effects),
+            Some(Envelope { from, message, .. }) => {
+                machine.receive(&mut context, &from, message, &mut effects);
             }
         }
-        for effect in out {
+        let mut sent = Vec::new();
+        for effect in effects {
             match effect {
-                Effect::Send { to, message } => on_the_way.push_back((name(place), to, message)),
-                Effect::Noted(note) => self.notes.push(note),
-                Effect::Answer { .. } | Effect::Holds(_) => {}
+                Effect::Send { to, message } => sent.push(Envelope { from: name(place), to, message }),
+                Effect::Event(event) => self.events.push(event),
+                Effect::CommandCompleted { .. } | Effect::LeadershipChanged(_) => {}
             }
         }
+        sent
     }
 
-    fn holder(&self) -> usize {
-        let holds =
-            |place: &usize| !self.gone.contains(place) && self.machines[*place].holds(self.now).is_some();
-        (0..3).find(holds).expect("one holds")
+    fn members_but(&self, place: usize) -> BTreeMap<Name, MemberStatus> {
+        let member = |other: usize| {
+            let presence = if self.gone.contains(&other) { Presence::Exited } else { Presence::Alive };
+            let Process { name, incarnation, address } = process(other);
+            (name, MemberStatus { incarnation, address, presence, since: 0 })
+        };
+        (0..self.machines.len()).filter(|other| *other != place).map(member).collect()
+    }
+
+    fn leader(&self) -> usize {
+        let leads = |place: &usize| {
+            !self.gone.contains(place) && self.machines[*place].leading_ballot(self.now).is_some()
+        };
+        (0..3).find(leads).expect("one leads")
     }
 }
 
 #[test]
-fn words_and_leaves_go_between_each_process_and_the_holder_and_a_new_one_is_told_of_by_its_fence() {
+fn reports_and_grants_go_between_each_process_and_the_leader_and_a_new_one_is_known_by_its_fence() {
     let mut net = Net::new();
     net.play(5 * LEASE);
-    let first = net.holder();
+    let first = net.leader();
     for machine in &net.machines {
-        assert_eq!(machine.serving(), Serving::Admitted);
+        assert_eq!(machine.admission_status(), AdmissionStatus::Admitted);
         let Count { granted, fences, .. } = machine.application();
-        assert!(granted.iter().all(|(_, stamp, until, _)| *until == stamp + LEASE), "{granted:?}");
-        // Each word was counted once, and what the holder made of them came with the leaves.
-        assert!(granted.windows(2).all(|two| two[1].3 == two[0].3 + 7), "{granted:?}");
+        let lasts_a_lease = |grant: &Grant| grant.expires_at == grant.requested_at + LEASE;
+        assert!(granted.iter().all(lasts_a_lease), "{granted:?}");
+        // Each report was counted once, and what the leader made of them came with the grants.
+        let counted_once = |two: &[Grant]| two[1].count == two[0].count + COUNT_PER_REPORT;
+        assert!(granted.windows(2).all(counted_once), "{granted:?}");
         assert_eq!(fences.last().map(|fence| &fence.name), Some(&name(first)));
         assert!(fences.is_sorted(), "{fences:?}");
     }
     net.gone = BTreeSet::from([first]);
     net.play(5 * LEASE);
-    let second = net.holder();
-    // Who parted is heard of, and all others are heard anew: each of their first words is marked.
-    assert!(net.notes.contains(&("parted", process(first))), "{:?}", net.notes);
+    let second = net.leader();
+    // That the first has left is heard of, and all others report anew: each of their first reports is marked.
+    assert!(net.events.contains(&Event::Left(process(first))), "{:?}", net.events);
     for (place, machine) in net.machines.iter().enumerate().filter(|(place, _)| *place != first) {
         let Count { granted, fences, .. } = machine.application();
-        assert_eq!(granted.last().map(|(ballot, ..)| &ballot.name), Some(&name(second)), "{place}");
+        assert_eq!(granted.last().map(|grant| &grant.ballot.name), Some(&name(second)), "{place}");
         assert_eq!(fences.last().map(|fence| &fence.name), Some(&name(second)));
     }
 }
 
 #[test]
-fn one_that_hurries_is_heard_soon_and_at_a_bounded_pace() {
+fn a_process_that_wants_early_renewal_reports_soon_and_at_a_bounded_rate() {
     let mut net = Net::new();
     net.play(5 * LEASE);
     let regular = LEASE / 4;
-    let mut hurried = Vec::new();
+    let mut reports = Vec::new();
     for _ in 0..2 * LEASE / STEP {
-        net.machines[3].matter_mut().hurries = true;
-        let words = net.machines[3].application().words.len();
+        net.machines[3].application_mut().renews_early = true;
+        let before = net.machines[3].application().reports.len();
         net.play(STEP);
-        hurried.extend(net.machines[3].application().words[words..].to_vec());
+        reports.extend(net.machines[3].application().reports[before..].to_vec());
     }
-    let pauses: Vec<Micros> = hurried.windows(2).map(|two| two[1] - two[0]).collect();
+    let pauses: Vec<Micros> = reports.windows(2).map(|two| two[1] - two[0]).collect();
     assert!(pauses.iter().all(|pause| *pause >= regular / 12), "{pauses:?}");
     // Far more often than the regular four in a lease.
     assert!(pauses.len() > 16 && pauses.iter().all(|pause| *pause < regular / 2), "{pauses:?}");
--- a/lease/tests/stale.rs
+++ b/lease/tests/stale.rs
@@ -1,109 +1,129 @@
-//! Decisions that come too late, to another process, or from a time that is not yet: none changes anything. Each is shown
-//! beside the same decision in time, which does.
+//! Messages that come too late, for another process, or from a time that is not yet: none changes anything. Each is shown
+//! beside the same message in time, which does.
 
 use flaxhead_lease::{
-    Application, Around, Ballot, Config, Facts, Granted, Known, Machine, Member, Message, Micros, Name,
-    Never, Process, Room, Serving, Terms, Told, Unsettled, Version, Voters, Word,
+    AdmissionStatus, Application, ApplicationTypes, Ballot, CommandError, Config, Context, Facts,
+    LeaderContext, LeaseGrant, Machine, Member, Message, Micros, Name, NoCommand, Process, ReceivedGrant,
+    RecoveryReply, RecoveryState, RecoveryStatus, Version, Versioned, Voters,
 };
 use rand_pcg::Pcg32;
 use std::collections::BTreeSet;
 
-/// What was granted, and nothing else.
+/// Remembers what it was granted, and nothing else.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-struct Leaves(Vec<u32>);
+struct Grants(Vec<u32>);
 
-impl Terms for Leaves {
-    type Slate = ();
-    type Word = ();
-    type Leave = u32;
-    type Order = Never;
-    type Answer = Never;
-    type Refusal = Unsettled;
+impl ApplicationTypes for Grants {
+    type State = ();
+    type Report = ();
+    type Grant = u32;
+    type Command = NoCommand;
+    type Response = NoCommand;
+    type Rejection = CommandError;
     type Facts = ();
-    type Note = ();
-    const SLATE_MOST: usize = 0;
-    const WORD_MOST: usize = 0;
-    const LEAVE_MOST: usize = 5;
-    const ORDER_MOST: usize = 0;
+    type Event = ();
+    const MAX_STATE_BYTES: usize = 0;
+    const MAX_REPORT_BYTES: usize = 0;
+    const MAX_GRANT_BYTES: usize = 5;
+    const MAX_COMMAND_BYTES: usize = 0;
 }
 
-impl Application for Leaves {
-    type Desk = ();
+impl Application for Grants {
+    type LeaderData = ();
 
-    fn word(&mut self, _: Micros, _: &Member<Self>, _: &()) {}
+    fn report(&mut self, _: Micros, _: &Member<Self>, _: &()) {}
 
-    fn granted(&mut self, granted: &Granted<Self>) {
-        self.0.push(granted.leave);
+    fn granted(&mut self, granted: &ReceivedGrant<Self>) {
+        self.0.push(granted.grant);
     }
 
-    fn begin(&self, _: &mut Room<'_, Self>) {}
+    fn begin_leadership(&self, _: &mut LeaderContext<'_, Self>) {}
 
-    fn leave(&self, _: &mut (), _: &mut Room<'_, Self>, _: &Process) -> u32 {
+    fn grant(&self, _: &mut (), _: &mut LeaderContext<'_, Self>, _: &Process) -> u32 {
         0
     }
 
-    fn order(&self, _: &mut (), _: &mut Room<'_, Self>, order: Never) -> Result<Never, Unsettled> {
-        match order {}
+    fn command(
+        &self,
+        _: &mut (),
+        _: &mut LeaderContext<'_, Self>,
+        command: NoCommand,
+    ) -> Result<NoCommand, CommandError> {
+        match command {}
     }
 }
 
 const NOW: Micros = 10_000_000;
-const LIFE: u64 = 7;
+const INCARNATION: u64 = 7;
 
 fn name(text: &str) -> Name {
     Name::new(text).expect("a name")
 }
 
 fn ballot(round: u64) -> Ballot {
-    Ballot { round, name: name("a"), life: 1 }
+    Ballot { round, name: name("a"), incarnation: 1 }
 }
 
-/// One that waits to be let in, once these came from the voters.
-fn after(messages: Vec<(&str, Message<Leaves>)>) -> Machine<Leaves> {
+/// A process that waits for its admission, once these messages came from the voters.
+fn after(messages: Vec<(&str, Message<Grants>)>) -> Machine<Grants> {
     let voters = Voters::new(["a", "b", "c"].map(name).to_vec(), Vec::new()).expect("voters");
-    let me = Process { name: name("q"), life: LIFE, at: ([127, 0, 0, 1], 1).into() };
-    let mut machine = Machine::new(Config::default(), Leaves::default(), voters, me, NOW - 1_000);
+    let me = Process { name: name("q"), incarnation: INCARNATION, address: ([127, 0, 0, 1], 1).into() };
+    let mut machine = Machine::new(Config::default(), Grants::default(), voters, me, NOW - 1_000);
     let (facts, mut random) = (Facts::default(), Pcg32::new(1, 1));
     for (from, message) in messages {
-        let mut around = Around { now: NOW, facts: &facts, random: &mut random };
-        machine.receive(&mut around, &name(from), message, &mut Vec::new());
+        let mut context = Context { now: NOW, facts: &facts, random: &mut random };
+        machine.receive(&mut context, &name(from), message, &mut Vec::new());
     }
     machine
 }
 
 #[test]
-fn leave_counts_for_the_process_that_asked_and_of_the_highest_holder() {
-    let granted = |round, life, stamp| {
-        let (remembers, leave) = (true, 5);
-        ("a", Message::Granted { ballot: ballot(round), life, stamp, remembers, leave })
+fn a_lease_counts_for_the_process_that_asked_and_of_the_highest_leader() {
+    let granted = |round, incarnation, requested_at| {
+        let grant =
+            LeaseGrant { ballot: ballot(round), incarnation, requested_at, is_recovered: true, grant: 5 };
+        ("a", Message::Granted(Box::new(grant)))
     };
-    let took = |messages| after(messages).application().0.len();
-    assert_eq!(took(vec![granted(1, LIFE, NOW)]), 1);
-    assert_eq!(took(vec![granted(1, LIFE - 1, NOW)]), 0, "to the process before it with this name");
+    let taken = |messages| after(messages).application().0.len();
+    assert_eq!(taken(vec![granted(1, INCARNATION, NOW)]), 1);
+    assert_eq!(taken(vec![granted(1, INCARNATION - 1, NOW)]), 0, "to an earlier process of this name");
     assert_eq!(
-        took(vec![granted(1, LIFE, NOW + 1)]),
+        taken(vec![granted(1, INCARNATION, NOW + 1)]),
         0,
         "asked for at a time that is not yet: a clock went back"
     );
-    let later =
-        Message::Tell { told: Told { version: Version { fence: Some(ballot(2)), seq: 1 }, slate: () } };
+    let version = Version { fence: Some(ballot(2)), seq: 1 };
+    let later = Message::StateUpdate { state: Versioned { version, state: () } };
     assert_eq!(
-        took(vec![("a", later), granted(1, LIFE, NOW)]),
+        taken(vec![("a", later), granted(1, INCARNATION, NOW)]),
         0,
-        "of a holder that froze and was followed by another"
+        "of a leader that froze and was followed by another"
     );
 }
 
 #[test]
 fn what_voters_have_forgotten_counts_for_the_process_that_asked_and_for_a_lease() {
-    let informed = |from, life, stamp| {
-        let (knows, leave, holder, named) = (false, false, None, BTreeSet::new());
-        let word = Word { known: Some(Known::Cold), knows, leave, holder, named };
-        (from, Message::Informed { life, stamp, word, told: None })
+    let reply = |from, incarnation, requested_at| {
+        let status = RecoveryStatus {
+            voter: Some(RecoveryState::StateLost),
+            has_complete_state: false,
+            has_lease: false,
+            leader: None,
+            informed_peers: BTreeSet::new(),
+        };
+        let reply = RecoveryReply { incarnation, requested_at, status, state: None };
+        (from, Message::RecoveryReply(Box::new(reply)))
     };
-    let serves = |life, stamp| after(vec![informed("a", LIFE, NOW), informed("b", life, stamp)]).serving();
-    assert_eq!(serves(LIFE, NOW - 1_000), Serving::Alone);
-    assert_eq!(serves(LIFE - 1, NOW - 1_000), Serving::Waits, "to the process before it with this name");
-    assert_eq!(serves(LIFE, NOW + 1), Serving::Waits, "a clock went back");
-    assert_eq!(serves(LIFE, NOW - Config::default().lease - 1), Serving::Waits, "that voter may hold by now");
+    let status = |incarnation, requested_at| {
+        after(vec![reply("a", INCARNATION, NOW), reply("b", incarnation, requested_at)]).admission_status()
+    };
+    assert_eq!(status(INCARNATION, NOW - 1_000), AdmissionStatus::Autonomous);
+    assert_eq!(
+        status(INCARNATION - 1, NOW - 1_000),
+        AdmissionStatus::Pending,
+        "to an earlier process of this name"
+    );
+    assert_eq!(status(INCARNATION, NOW + 1), AdmissionStatus::Pending, "a clock went back");
+    let expired = NOW - Config::default().lease - 1;
+    assert_eq!(status(INCARNATION, expired), AdmissionStatus::Pending, "that voter may lead by now");
 }
--- a/maintenance/src/application.rs
+++ b/maintenance/src/application.rs
@@ -5,13 +5,13 @@
 use crate::order::{Answer, Order, Refusal};
 use crate::spare::spared_from;
 use crate::turns::{Turns, Word};
-use flaxhead_lease::{Application, Member, Micros, Process, Room};
+use flaxhead_lease::{Application, LeaderContext, Member, Micros, Process};
 
 impl Application for Turns {
     /// All that the holder must keep is on the board, and in the words of the processes.
-    type Desk = ();
+    type LeaderData = ();
 
-    fn word(&mut self, _: Micros, member: &Member<Self>, facts: &HostFacts) -> Word {
+    fn report(&mut self, _: Micros, member: &Member<Self>, facts: &HostFacts) -> Word {
         // Only hosts that are left alone are of interest.
         let spared = |host: &&String| spared_from(member, host).is_some();
         let busy = self.usage.in_hand.iter().filter(|(host, calls)| **calls > 0 && spared(host));
@@ -22,20 +22,25 @@
         }
     }
 
-    fn begin(&self, room: &mut Room<'_, Self>) {
-        for turn in &mut room.slate_mut().turns {
+    fn begin_leadership(&self, room: &mut LeaderContext<'_, Self>) {
+        for turn in &mut room.state_mut().turns {
             // All confirm it anew: what was confirmed to another is not known here.
             (turn.since_seq, turn.free) = (1, false);
         }
     }
 
-    fn leave(&self, _: &mut (), _: &mut Room<'_, Self>, _: &Process) {}
+    fn grant(&self, _: &mut (), _: &mut LeaderContext<'_, Self>, _: &Process) {}
 
-    fn step(&self, _: &mut (), room: &mut Room<'_, Self>) {
+    fn step(&self, _: &mut (), room: &mut LeaderContext<'_, Self>) {
         Desk::new(&self.rules, room).step();
     }
 
-    fn order(&self, _: &mut (), room: &mut Room<'_, Self>, order: Order) -> Result<Answer, Refusal> {
+    fn command(
+        &self,
+        _: &mut (),
+        room: &mut LeaderContext<'_, Self>,
+        order: Order,
+    ) -> Result<Answer, Refusal> {
         Desk::new(&self.rules, room).order(order)
     }
 }
--- a/maintenance/src/board.rs
+++ b/maintenance/src/board.rs
@@ -2,7 +2,7 @@
 
 use crate::ask::Ask;
 use crate::stage::{End, Stage};
-use flaxhead_lease::{Micros, Slate};
+use flaxhead_lease::{Micros, ReplicatedState};
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
@@ -89,8 +89,8 @@
     }
 }
 
-impl Slate for Board {
-    fn age(&mut self, by: Micros) {
+impl ReplicatedState for Board {
+    fn advance(&mut self, by: Micros) {
         for turn in &mut self.turns {
             turn.age = turn.age.saturating_add(by);
             turn.ask.not_before = turn.ask.not_before.saturating_sub(by);
--- a/maintenance/src/desk/orders.rs
+++ b/maintenance/src/desk/orders.rs
@@ -31,7 +31,7 @@
                     Stage::Out => {
                         self.note(turn, "back", format!("done by {by}"));
                         self.move_to(turn, Stage::Back);
-                        self.room.change();
+                        self.room.publish();
                     }
                     stage => return Err(Refusal::WrongStage { turn, stage }),
                 }
@@ -39,7 +39,7 @@
             }
             Order::Gone { name, by } => self.gone(name, by),
             Order::Known { by } => {
-                if self.room.remember() {
+                if self.room.declare_recovered() {
                     self.note(0, "known", format!("all that is out is on the board, by the word of {by}"));
                 }
                 Ok(Answer::Done)
@@ -54,7 +54,7 @@
         self.note(turn, "withdrawn", format!("by {by}"));
         let past_most = self.rules.past_most;
         self.board_mut().end(turn, End::Withdrawn { by }, past_most);
-        self.room.change();
+        self.room.publish();
         Ok(())
     }
 
@@ -77,7 +77,7 @@
             let (why, by) = (ask.kind.clone(), ask.by.clone());
             let id = self.board_mut().add(ask, Stage::Out);
             self.note(id, "out", format!("{why}, by {by}: it was out already"));
-            self.room.change();
+            self.room.publish();
             self.move_to(id, Stage::Out);
             return Ok(Answer::Turn { id, stage: Stage::Out });
         }
@@ -85,16 +85,16 @@
             return Err(Refusal::Never(format!("the limit {limit} is 0")));
         }
         // Before it has a list itself it can say nothing of hosts.
-        if self.room.facts.own.hosts.is_empty() {
+        if self.room.facts.application.hosts.is_empty() {
             return Err(Refusal::NoHolder);
         }
-        if !self.room.facts.own.hosts.contains_key(&ask.host) {
+        if !self.room.facts.application.hosts.contains_key(&ask.host) {
             return Err(Refusal::UnknownHost(ask.host));
         }
         let why = format!("{}, by {}", ask.kind, ask.by);
         let id = self.board_mut().add(ask, Stage::Asked);
         self.note(id, "asked", why);
-        self.room.change();
+        self.room.publish();
         Ok(Answer::Turn { id, stage: Stage::Asked })
     }
 
@@ -105,14 +105,14 @@
         }
         let runs = |p: &Process| {
             let fact = self.room.facts.members.get(&p.name);
-            fact.is_some_and(|f| f.life == p.life && f.presence == Presence::Runs)
+            fact.is_some_and(|f| f.incarnation == p.incarnation && f.presence == Presence::Alive)
         };
-        let silent = waited().filter(|(p, heard)| !runs(p) && !self.room.lately(heard));
+        let silent = waited().filter(|(p, heard)| !runs(p) && !self.room.heard_recently(heard));
         let silent: Vec<Process> = silent.map(|(process, _)| process.clone()).collect();
         if silent.is_empty() {
             return Err(Refusal::Runs(name));
         }
-        silent.iter().for_each(|process| self.room.forget(process));
+        silent.iter().for_each(|process| self.room.remove_process(process));
         self.note(0, "gone", format!("{name} does not run any more, by the word of {by}"));
         Ok(Answer::Done)
     }
--- a/maintenance/src/desk/steps.rs
+++ b/maintenance/src/desk/steps.rs
@@ -15,7 +15,7 @@
         }
         moved |= self.settle_next();
         if moved {
-            self.room.change();
+            self.room.publish();
         }
     }
 
@@ -27,21 +27,21 @@
     /// Whom a settled turn waits for: all must know that it is announced.
     fn not_announced(&self, seq: u64) -> Option<&Process> {
         let mut processes = self.room.processes();
-        processes.find(|(_, heard)| !self.room.goes_by(heard, seq)).map(|(process, _)| process)
+        processes.find(|(_, heard)| !self.room.has_applied(heard, seq)).map(|(process, _)| process)
     }
 
     /// Whom a draining turn waits for, and why: all have stopped and have nothing there, or their leave has run out
     /// and with it whatever they can have had in hand.
     fn not_drained(&self, seq: u64, host: &str) -> Option<String> {
-        let longest_call = Config::longest(self.room.config.longest_call);
+        let longest_call = Config::with_max_drift(self.room.config.max_call_duration);
         self.room.processes().find_map(|(process, heard)| {
-            let knows = self.room.goes_by(heard, seq);
-            let busy = heard.word().and_then(|word| word.busy.get(host)).copied().unwrap_or(0);
+            let knows = self.room.has_applied(heard, seq);
+            let busy = heard.report().and_then(|word| word.busy.get(host)).copied().unwrap_or(0);
             let name = &process.name;
             match (knows, busy) {
                 (true, 0) => None,
                 (true, calls) => Some(format!("{name} has {calls} calls in hand there")),
-                (false, _) if self.room.now >= heard.permitted() + longest_call => None,
+                (false, _) if self.room.now >= heard.lease_expiry() + longest_call => None,
                 (false, _) => {
                     Some(format!("{name} has not confirmed, and may send until its permission runs out"))
                 }
@@ -83,7 +83,7 @@
                 }
                 Some(why) => why,
             },
-            Stage::Out if !free && self.room.on_record(seq) => {
+            Stage::Out if !free && self.room.is_committed(seq) => {
                 self.note(id, "free", "a majority of voters knows that it is out".to_owned());
                 if let Some(turn) = self.board_mut().turn_mut(id) {
                     turn.free = true;
@@ -93,7 +93,7 @@
             Stage::Out if overdue => "it is overdue: it should be back".to_owned(),
             Stage::Out => String::new(),
             Stage::Back => {
-                let fact = self.room.facts.own.hosts.get(&host);
+                let fact = self.room.facts.application.hosts.get(&host);
                 let warm = fact.is_some_and(|f| f.ready && f.warmth >= 1_000 && !f.failing);
                 if warm || age >= self.rules.back_most {
                     let why = if warm { "it is warm" } else { "it has not shown itself warm in time" };
--- a/maintenance/src/lib.rs
+++ b/maintenance/src/lib.rs
@@ -40,4 +40,4 @@
 /// What a process knows from elsewhere.
 pub type Facts = flaxhead_lease::Facts<HostFacts>;
 /// What a process is given with everything that happens.
-pub type Around<'a> = flaxhead_lease::Around<'a, HostFacts>;
+pub type Around<'a> = flaxhead_lease::Context<'a, HostFacts>;
--- a/maintenance/src/order.rs
+++ b/maintenance/src/order.rs
@@ -2,7 +2,7 @@
 
 use crate::ask::Ask;
 use crate::stage::{End, Stage};
-use flaxhead_lease::{Micros, Unsettled};
+use flaxhead_lease::{CommandError, Micros};
 use serde::{Deserialize, Serialize};
 
 /// Most characters of a name, a kind of work or an operator.
@@ -116,12 +116,12 @@
     (1..=TEXT_MOST).contains(&text.len()) && text.bytes().all(|b| b.is_ascii_graphic() || b == b' ')
 }
 
-impl From<Unsettled> for Refusal {
-    fn from(why: Unsettled) -> Refusal {
+impl From<CommandError> for Refusal {
+    fn from(why: CommandError) -> Refusal {
         match why {
-            Unsettled::NoHolder => Refusal::NoHolder,
-            Unsettled::TimedOut => Refusal::TimedOut,
-            Unsettled::TooMany(most) => Refusal::TooMany(most),
+            CommandError::NoLeader => Refusal::NoHolder,
+            CommandError::TimedOut => Refusal::TimedOut,
+            CommandError::TooManyPending(most) => Refusal::TooMany(most),
         }
     }
 }
--- a/maintenance/src/turns.rs
+++ b/maintenance/src/turns.rs
@@ -4,7 +4,7 @@
 use crate::facts::HostFacts;
 use crate::limits::Rules;
 use crate::order::{Answer, Order, Refusal};
-use flaxhead_lease::Terms;
+use flaxhead_lease::ApplicationTypes;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -60,20 +60,20 @@
     }
 }
 
-impl Terms for Turns {
-    type Slate = Board;
-    type Word = Word;
-    type Leave = ();
-    type Order = Order;
-    type Answer = Answer;
-    type Refusal = Refusal;
+impl ApplicationTypes for Turns {
+    type State = Board;
+    type Report = Word;
+    type Grant = ();
+    type Command = Order;
+    type Response = Answer;
+    type Rejection = Refusal;
     type Facts = HostFacts;
-    type Note = Step;
+    type Event = Step;
 
     // Some hundred open turns and as many past ones, with their longest texts and reasons.
-    const SLATE_MOST: usize = 1 << 18;
+    const MAX_STATE_BYTES: usize = 1 << 18;
     // The hosts of all open turns, and zones by their names.
-    const WORD_MOST: usize = 1 << 16;
-    const LEAVE_MOST: usize = 0;
-    const ORDER_MOST: usize = 1 << 12;
+    const MAX_REPORT_BYTES: usize = 1 << 16;
+    const MAX_GRANT_BYTES: usize = 0;
+    const MAX_COMMAND_BYTES: usize = 1 << 12;
 }
--- a/maintenance/src/view.rs
+++ b/maintenance/src/view.rs
@@ -3,7 +3,7 @@
 use crate::board::{Past, Turn};
 use crate::stage::Stage;
 use crate::turns::Turns;
-use flaxhead_lease::{Heard, Machine, Micros, Process, Standing};
+use flaxhead_lease::{LeaseStatus, Machine, Micros, PeerState, Process};
 use serde::{Deserialize, Serialize};
 
 /// An open turn, as it is shown.
@@ -65,7 +65,7 @@
 pub struct View {
     /// Who hands out turns, and how this process stands to it.
     #[serde(flatten)]
-    pub standing: Standing,
+    pub standing: LeaseStatus,
     /// Open turns.
     pub turns: Vec<TurnRow>,
     /// The last that ended.
@@ -76,24 +76,24 @@
 
 /// What there is to show of a process.
 pub fn view(machine: &Machine<Turns>, now: Micros) -> View {
-    let hold = machine.hold(now);
-    let mut board = machine.member().told_now(now).slate;
+    let hold = machine.leader_state(now);
+    let mut board = machine.member().current_state(now).state;
     if let Some(hold) = hold {
         // What its turns wait for is told with the next change only.
         for turn in &mut board.turns {
-            let own = hold.told().slate.turn(turn.id).map(|own| own.waits_for.clone());
+            let own = hold.state().state.turn(turn.id).map(|own| own.waits_for.clone());
             turn.waits_for = own.unwrap_or_default();
         }
     }
-    let row = |(process, heard): (&Process, &Heard<Turns>)| MemberRow {
+    let row = |(process, heard): (&Process, &PeerState<Turns>)| MemberRow {
         name: process.name.to_string(),
-        life: format!("{:016x}", process.life),
+        life: format!("{:016x}", process.incarnation),
         confirmed: heard.version().to_string(),
-        heard_ms: heard.at().map(|at| now.saturating_sub(at) / 1_000),
-        in_hand: f64::from(heard.word().map_or(0, |word| word.load)) / 1_000.0,
+        heard_ms: heard.last_report_at().map(|at| now.saturating_sub(at) / 1_000),
+        in_hand: f64::from(heard.report().map_or(0, |word| word.load)) / 1_000.0,
     };
     View {
-        standing: machine.standing(now),
+        standing: machine.status(now),
         turns: board.turns.iter().map(Into::into).collect(),
         past: board.past.iter().cloned().collect(),
         members: hold.map_or_else(Vec::new, |hold| hold.processes().map(row).collect()),
--- a/maintenance/src/view/tests.rs
+++ b/maintenance/src/view/tests.rs
@@ -10,6 +10,6 @@
                     \"free\":false,\"for_ms\":20,\"lasts_ms\":1000,\"waits_for\":\"\"}],\"past\":[],\"members\":\
                     [{\"name\":\"n2\",\"life\":\"0b\",\"confirmed\":\"none\",\"heard_ms\":null,\"in_hand\":0.5}]}";
     let view: View = serde_json::from_str(text).expect("a view");
-    assert_eq!(view.standing.holder.as_deref(), Some("n0"));
+    assert_eq!(view.standing.leader.as_deref(), Some("n0"));
     assert_eq!(serde_json::to_string(&view).expect("text"), text);
 }
--- a/maintenance/tests/disks/mod.rs
+++ b/maintenance/tests/disks/mod.rs
@@ -31,8 +31,8 @@
     pub(crate) fn judged(
         &self,
         world: &World,
-        on_disk: Option<(u8, Memory<Turns>)>,
-    ) -> Option<Memory<Turns>> {
+        on_disk: Option<(u8, PersistentState<Turns>)>,
+    ) -> Option<PersistentState<Turns>> {
         let moment = |step: u8| Moment { wall_ms: now(step), ..Moment::default() };
         let (written, memory) = on_disk?;
         let (header, parts) = (Header { written: moment(written), ..Header::default() }, Vec::new());
@@ -43,10 +43,11 @@
     }
 
     /// What a node knew at the step's beginning is on its disk.
-    pub(crate) fn write(&self, world: &mut World, node: usize) -> Vec<Letter<Turns>> {
+    pub(crate) fn write(&self, world: &mut World, node: usize) -> Vec<Envelope<Turns>> {
         let mut out = Vec::new();
         if self.disks {
-            world.own.disks[node] = Some((world.step, world.nodes[node].memory(self.time(world, node))));
+            world.model.disks[node] =
+                Some((world.step, world.nodes[node].persistent_state(self.time(world, node))));
             self.confirm(world, node, &mut out);
         }
         self.sent(world, node, out)
@@ -55,15 +56,15 @@
     /// It hears that this is so.
     pub(crate) fn confirm(&self, world: &mut World, node: usize, out: &mut Vec<Effect>) {
         let (facts, now) = (self.facts(world, node), self.time(world, node));
-        let mut random = Fixed::of(node);
+        let mut random = FixedRandom::of(node);
         let mut around = Around { now, facts: &facts, random: &mut random };
-        if let Some(mark) = world.nodes[node].mark() {
-            world.nodes[node].kept(&mut around, mark, out);
+        if let Some(mark) = world.nodes[node].persistence_mark() {
+            world.nodes[node].persisted(&mut around, mark, out);
         }
     }
 
     /// What becomes of what a node said: who is sent what.
-    pub(crate) fn sent(&self, world: &mut World, node: usize, out: Vec<Effect>) -> Vec<Letter<Turns>> {
+    pub(crate) fn sent(&self, world: &mut World, node: usize, out: Vec<Effect>) -> Vec<Envelope<Turns>> {
         self.judge(world);
         world.sent(node, out)
     }
@@ -88,21 +89,24 @@
     let mut fleet = Fleet::new(Broken::Nothing, 0, true, true);
     // Longer than all take to be let in again.
     fleet.works = 40;
-    let mut world = (0..6).fold(fleet.first.clone(), |world, _| fleet.next(&world, Act::Nothing));
+    let mut world = (0..6).fold(fleet.first.clone(), |world, _| fleet.next(&world, Fault::Nothing));
     // It falls before a message: there must be one.
-    while fleet.run(&world, Act::Nothing).1 == 0 {
-        world = fleet.next(&world, Act::Nothing);
+    while fleet.run(&world, Fault::Nothing).messages == 0 {
+        world = fleet.next(&world, Fault::Nothing);
     }
-    assert!(world.own.free.contains_key(&host(0)) && world.own.back.is_empty(), "one is out");
+    assert!(world.model.free.contains_key(&host(0)) && world.model.back.is_empty(), "one is out");
     let at = world.step;
-    world = fleet.next(&world, Act::Restart(found, 0));
-    assert!(world.nodes.iter().all(|node| node.serving() == Serving::Waits), "all were started again");
+    world = fleet.next(&world, Fault::RestartAll { found, place: 0 });
+    assert!(
+        world.nodes.iter().all(|node| node.admission_status() == AdmissionStatus::Pending),
+        "all were started again"
+    );
     let (mut forgot, mut spared_all) = (false, true);
-    while !world.nodes.iter().all(|node| node.serving() == Serving::Admitted) {
+    while !world.nodes.iter().all(|node| node.admission_status() == AdmissionStatus::Admitted) {
         spared_all &= world.nodes.iter().all(|node| spared(node).contains(&(host(0), 0)));
-        forgot |= world.nodes.iter().any(|node| view(node, now(world.step)).standing.forgotten);
+        forgot |= world.nodes.iter().any(|node| view(node, now(world.step)).standing.is_state_lost);
         assert!(world.step < at + ENDS, "{world:?}");
-        world = fleet.next(&world, Act::Nothing);
+        world = fleet.next(&world, Fault::Nothing);
     }
     assert_eq!(
         spared_all,
--- a/maintenance/tests/fleet/mod.rs
+++ b/maintenance/tests/fleet/mod.rs
@@ -2,7 +2,7 @@
 //! and are cut off, clocks that run apart, operators who ask for hosts one after the other. One seed gives one run.
 #![allow(dead_code)]
 
-use flaxhead_lease::{Config, MemberFact, Micros, Name, Presence, Process, Serving, Voters};
+use flaxhead_lease::{AdmissionStatus, Config, MemberStatus, Micros, Name, Presence, Process, Voters};
 use flaxhead_maintenance::{
     may_send, view, Around, Ask, Effect, Facts, HostFact, HostFacts, Limits, Machine, Message, Order, Rules,
     Stage, Turn, Turns, Usage,
@@ -131,9 +131,9 @@
 fn kind(message: &Message) -> Option<&'static str> {
     match message {
         Message::Prepare { .. } => Some("bids"),
-        Message::Recall { .. } => Some("recalls"),
+        Message::VoterRecoveryRequest { .. } => Some("recalls"),
         Message::Renew(_) => Some("leaves asked for"),
-        Message::Inquire { .. } => Some("questions of those that wait"),
+        Message::RecoveryQuery { .. } => Some("questions of those that wait"),
         _ => None,
     }
 }
@@ -224,13 +224,13 @@
         let limits = Limits { all: self.plan.limit, zone: self.plan.limit, pod: 1, ..Limits::default() };
         let config = Config {
             lease: self.plan.lease,
-            longest_call: 2 * SECOND,
-            alone_after: Micros::MAX,
+            max_call_duration: 2 * SECOND,
+            autonomy_timeout: Micros::MAX,
             ..Config::default()
         };
         let rules = Rules { limits, back_most: 10 * SECOND, ..Rules::default() };
         let at = SocketAddr::from(([10, 0, (place / 250) as u8, (place % 250) as u8], 7_946));
-        let me = Process { name: name(place), life: self.lives, at };
+        let me = Process { name: name(place), incarnation: self.lives, address: at };
         let now = self.local(place);
         let (lives, since) = (self.lives, self.now);
         let of = &mut self.places[place];
@@ -257,18 +257,19 @@
             let gone = self.places[place].machine.is_none();
             let cut = *frozen || *apart || self.places[of].apart;
             let presence = match (gone, cut) {
-                (true, _) if away > 2 * SECOND => Presence::Ended,
-                (_, true) if away > 10 * SECOND => Presence::Silent,
-                (_, true) if away > 3 * SECOND => Presence::Doubted,
-                _ => Presence::Runs,
+                (true, _) if away > 2 * SECOND => Presence::Exited,
+                (_, true) if away > 10 * SECOND => Presence::Unreachable,
+                (_, true) if away > 3 * SECOND => Presence::Suspected,
+                _ => Presence::Alive,
             };
             let at = SocketAddr::from(([10, 0, (place / 250) as u8, (place % 250) as u8], 7_946));
-            (name(place), MemberFact { life: *life, at, presence, since: 0 })
+            (name(place), MemberStatus { incarnation: *life, address: at, presence, since: 0 })
         };
         Facts {
-            own: HostFacts { hosts: self.hosts.clone(), lost_zones: BTreeSet::new() },
+            application: HostFacts { hosts: self.hosts.clone(), lost_zones: BTreeSet::new() },
             members: (0..self.places.len()).filter(|place| *place != of).map(fact).collect(),
-            takes_part: !self.places[of].apart || self.now.saturating_sub(self.places[of].since) < 3 * SECOND,
+            participates: !self.places[of].apart
+                || self.now.saturating_sub(self.places[of].since) < 3 * SECOND,
         }
     }
 
@@ -286,20 +287,20 @@
         let mut in_hand: BTreeMap<String, u32> = BTreeMap::new();
         self.places[place].calls.retain(|(_, until)| *until > now);
         self.places[place].calls.iter().for_each(|(host, _)| *in_hand.entry(host.clone()).or_default() += 1);
-        machine.matter_mut().use_of_hosts(Usage { in_hand, load: 1_000 });
+        machine.application_mut().use_of_hosts(Usage { in_hand, load: 1_000 });
         let mut out = Vec::new();
         let mut around = Around { now: local, facts: &facts, random: &mut self.random };
         act(&mut machine, &mut around, &mut out);
         if place < self.plan.voters {
-            self.holding(place, machine.holds(local).map(|ballot| ballot.round));
+            self.holding(place, machine.leading_ballot(local).map(|ballot| ballot.round));
         }
         if let Some(together) = &mut self.together {
-            if machine.serving() != Serving::Waits && together.served.insert(place) {
+            if machine.admission_status() != AdmissionStatus::Pending && together.served.insert(place) {
                 together.serving.push(self.now - together.started);
             }
         }
         let turns: Vec<(String, bool)> = machine
-            .slate()
+            .state()
             .turns
             .iter()
             .map(|t| (t.ask.host.clone(), t.free && t.stage == Stage::Out))
@@ -475,7 +476,8 @@
         let number = self.below(self.plan.hosts as u64);
         let host = format!("h{number:03}");
         let local = self.local(place);
-        let may = |m: &Machine| m.serving() == Serving::Admitted && may_send(m, local, &host);
+        let may =
+            |m: &Machine| m.admission_status() == AdmissionStatus::Admitted && may_send(m, local, &host);
         if self.places[place].machine.as_ref().is_some_and(may) {
             let until = self.now + self.below(2 * SECOND);
             self.places[place].calls.push((host, until));
@@ -509,7 +511,7 @@
         self.orders += 1;
         let id = self.orders;
         let patience = 60 * self.plan.lease;
-        self.act(place, |machine, around, out| machine.order(around, id, order, patience, out));
+        self.act(place, |machine, around, out| machine.submit(around, id, order, patience, out));
     }
 
     fn someone(&mut self) -> usize {
@@ -549,7 +551,7 @@
     fn say_done(&mut self, host: &str) {
         let place = self.someone();
         let turn =
-            self.places.iter().filter_map(|p| p.machine.as_ref()?.slate().of_host(host)).map(|t| t.id).max();
+            self.places.iter().filter_map(|p| p.machine.as_ref()?.state().of_host(host)).map(|t| t.id).max();
         if let Some(turn) = turn {
             self.order(place, Order::Done { turn, by: "ops".to_owned() });
         }
@@ -559,7 +561,8 @@
     fn remember(&mut self) {
         let forgot = |place: &usize| {
             let of = &self.places[*place];
-            of.machine.as_ref().is_some_and(|m| view(m, self.local(*place)).standing.forgotten) && !of.frozen
+            of.machine.as_ref().is_some_and(|m| view(m, self.local(*place)).standing.is_state_lost)
+                && !of.frozen
         };
         let whole = self.places.iter().all(|p| p.machine.is_some() && !p.frozen && !p.apart);
         let holder = (0..self.plan.voters).find(forgot).filter(|_| whole);
@@ -572,7 +575,7 @@
             self.order(place, Order::Known { by: "ops".to_owned() });
         }
         let Some((holder, _)) = self.held else { return };
-        let Some(board) = self.places[holder].machine.as_ref().map(|m| m.slate().clone()) else { return };
+        let Some(board) = self.places[holder].machine.as_ref().map(|m| m.state().clone()) else { return };
         let waiting: Vec<String> = self
             .working
             .iter()
--- a/maintenance/tests/model.rs
+++ b/maintenance/tests/model.rs
@@ -7,13 +7,14 @@
 
 use disks::Found;
 use flaxhead_lease::{
-    Ballot, Config, Known, Memory, Micros, Name, Presence, Process, Roster, Serving, Told, Voters,
+    AdmissionStatus, Ballot, Config, Micros, Name, PersistentState, Presence, Process, RecoveryState, Roster,
+    Versioned, VoterRecoveryResponse, Voters,
 };
 use flaxhead_maintenance::{
-    may_send, spared, view, Around, Ask, Board, Effect, Facts, HostFact, HostFacts, Machine, Message, Order,
-    Rules, Stage, Turns, Usage,
+    may_send, spared, view, Around, Ask, Effect, Facts, HostFact, HostFacts, Machine, Message, Order, Rules,
+    Stage, Turns, Usage,
 };
-use flaxhead_rig::{Bounds, Fixed, Fleet as _, Lasting, Letter};
+use flaxhead_rig::{ActiveFault, Bounds, Envelope, FixedRandom, Fleet as _, LastingFault};
 use stateright::{Checker, Model, Property};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -68,13 +69,13 @@
     back: BTreeSet<String>,
     fences: BTreeSet<Ballot>,
     /// What is on each disk, and since which step: what a process knew at the step's beginning.
-    disks: Vec<Option<(u8, Memory<Turns>)>>,
+    disks: Vec<Option<(u8, PersistentState<Turns>)>>,
     alone_after: Micros,
     known_wait: Micros,
 }
 
 type World = flaxhead_rig::World<Turns, Work>;
-type Act = flaxhead_rig::Act<Found>;
+type Fault = flaxhead_rig::Fault<Found>;
 
 struct Fleet {
     broken: Broken,
@@ -86,7 +87,7 @@
     disks: bool,
     /// Steps that work takes.
     works: u8,
-    kinds: &'static [Lasting],
+    kinds: &'static [LastingFault],
     /// Nodes that faults befall.
     hit: Vec<usize>,
     /// One that nobody hears, though the membership has it that it runs.
@@ -137,24 +138,24 @@
             first.nodes.push(if disks { machine.with_disk(time, None, 0) } else { machine });
         }
         let (works, kinds, hit, mute) =
-            (if disks { 12 } else { 3 }, Lasting::ALL, (0..nodes).collect(), None);
+            (if disks { 12 } else { 3 }, LastingFault::ALL, (0..nodes).collect(), None);
         let mut fleet = Fleet { broken, faults, fine, disks, works, kinds, hit, mute, first };
         let mut world = fleet.first.clone();
         // Until one holds, all are let in and the operators have said that nothing is out yet.
         for _ in 0..30 {
-            world = fleet.next(&world, Act::Nothing);
+            world = fleet.next(&world, Fault::Nothing);
             if let Some(holder) =
-                (0..world.nodes.len()).find(|n| world.nodes[*n].holds(now(world.step)).is_some())
+                (0..world.nodes.len()).find(|n| world.nodes[*n].leading_ballot(now(world.step)).is_some())
             {
                 fleet.order(&mut world, holder, Order::Known { by: "ops".to_owned() });
             }
         }
-        assert!(world.nodes.iter().all(|n| n.serving() == Serving::Admitted), "{world:?}");
+        assert!(world.nodes.iter().all(|n| n.admission_status() == AdmissionStatus::Admitted), "{world:?}");
         for number in 0..2 {
             fleet.order(&mut world, number, Order::Ask(ask(host(number))));
         }
         let held = |node| ((node, host(0)), 3);
-        world.own.in_hand = BTreeMap::from([held(1), held(2)]);
+        world.model.in_hand = BTreeMap::from([held(1), held(2)]);
         fleet.first = world;
         fleet
     }
@@ -168,11 +169,11 @@
             warmth: 1_000,
             weight: 1_000,
         };
-        let presence = |node| if world.is_away(of, node) { Presence::Silent } else { Presence::Runs };
+        let presence = |node| if world.is_away(of, node) { Presence::Unreachable } else { Presence::Alive };
         Facts {
             members: world.members(of, presence),
-            takes_part: true,
-            own: HostFacts {
+            participates: true,
+            application: HostFacts {
                 hosts: (0..2).map(|number| (host(number), fact.clone())).collect(),
                 lost_zones: BTreeSet::new(),
             },
@@ -181,17 +182,19 @@
 
     fn order(&self, world: &mut World, node: usize, order: Order) {
         let (facts, time) = (self.facts(world, node), now(world.step));
-        let mut random = Fixed::of(node);
+        let mut random = FixedRandom::of(node);
         let mut around = Around { now: time, facts: &facts, random: &mut random };
         // What it sends is lost; it is sent again.
-        world.nodes[node].order(&mut around, time + node as u64, order, 20 * LEASE, &mut Vec::new());
+        world.nodes[node].submit(&mut around, time + node as u64, order, 20 * LEASE, &mut Vec::new());
     }
 
     /// The time as a node sees it.
     fn time(&self, world: &World, node: usize) -> Micros {
-        match world.lasting {
-            Some((who, Lasting::Frozen, left)) if who == node && self.broken == Broken::LeaseEnds => {
-                now(world.step.saturating_sub(LASTS - left))
+        match world.active_fault {
+            Some(ActiveFault { node: frozen, kind: LastingFault::Frozen, steps_left })
+                if frozen == node && self.broken == Broken::LeaseEnds =>
+            {
+                now(world.step.saturating_sub(LASTS - steps_left))
             }
             _ => now(world.step),
         }
@@ -201,22 +204,23 @@
     fn tampered(&self, world: &World, to: usize, mut message: Message) -> Message {
         match (&mut message, self.broken) {
             (Message::Renew(renewal), Broken::AllConfirm) => {
-                renewal.version = world.nodes[to].member().told().version.clone();
+                renewal.version = world.nodes[to].member().state().version.clone();
             }
-            (Message::Tell { told }, Broken::Newest) => {
-                let own = &world.nodes[to].member().told().version;
-                if told.version < *own {
-                    told.version = own.clone();
+            (Message::StateUpdate { state }, Broken::Newest) => {
+                let own = &world.nodes[to].member().state().version;
+                if state.version < *own {
+                    state.version = own.clone();
                 }
             }
-            (Message::Informed { word, .. }, Broken::Named) => word.named.clear(),
-            (Message::Informed { word, told, .. }, Broken::Shown) => {
-                *told = told.take().map(|_| Told::default());
-                word.knows = true;
+            (Message::RecoveryReply(reply), Broken::Named) => reply.status.informed_peers.clear(),
+            (Message::RecoveryReply(reply), Broken::Shown) => {
+                reply.state = reply.state.take().map(|_| Versioned::default());
+                reply.status.has_complete_state = true;
             }
-            (Message::Informed { word, .. }, Broken::Alone) => {
-                (word.known, word.knows, word.leave) = (None, false, false);
-                word.named.clear();
+            (Message::RecoveryReply(reply), Broken::Alone) => {
+                let status = &mut reply.status;
+                (status.voter, status.has_complete_state, status.has_lease) = (None, false, false);
+                status.informed_peers.clear();
             }
             _ => {}
         }
@@ -226,23 +230,24 @@
     fn judge(&self, world: &mut World) {
         let mut wrong = None;
         for node in 0..world.nodes.len() {
-            for turn in &world.nodes[node].slate().turns {
-                if turn.free && turn.stage == Stage::Out && !world.own.back.contains(&turn.ask.host) {
-                    world.own.free.entry(turn.ask.host.clone()).or_insert(world.step);
+            for turn in &world.nodes[node].state().turns {
+                if turn.free && turn.stage == Stage::Out && !world.model.back.contains(&turn.ask.host) {
+                    world.model.free.entry(turn.ask.host.clone()).or_insert(world.step);
                 }
             }
         }
-        let holding: Vec<&Ballot> =
-            (0..world.nodes.len()).filter_map(|n| world.nodes[n].holds(self.time(world, n))).collect();
+        let holding: Vec<&Ballot> = (0..world.nodes.len())
+            .filter_map(|n| world.nodes[n].leading_ballot(self.time(world, n)))
+            .collect();
         if holding.len() > 1 {
             wrong = Some("two hold at once");
         }
-        let highest = world.own.fences.last();
-        if holding.iter().any(|b| !world.own.fences.contains(b) && highest.is_some_and(|h| h > b)) {
+        let highest = world.model.fences.last();
+        if holding.iter().any(|b| !world.model.fences.contains(b) && highest.is_some_and(|h| h > b)) {
             wrong = Some("a fence went back");
         }
-        world.own.fences.extend(holding.into_iter().cloned().collect::<Vec<_>>());
-        let out = world.own.free.keys().filter(|host| !world.own.back.contains(*host));
+        world.model.fences.extend(holding.into_iter().cloned().collect::<Vec<_>>());
+        let out = world.model.free.keys().filter(|host| !world.model.back.contains(*host));
         if out.clone().count() > 1 {
             wrong = Some("more out than may be");
         }
@@ -251,13 +256,13 @@
                 if self.sends(world, node, host) {
                     wrong = Some("something new is sent to a host that was told free");
                 }
-                let until = world.own.in_hand.get(&(node, host.clone())).copied().unwrap_or(0);
+                let until = world.model.in_hand.get(&(node, host.clone())).copied().unwrap_or(0);
                 if world.step < until + self.first.step && until > 0 {
                     wrong = Some("something runs at a host that was told free");
                 }
             }
         }
-        world.wrong = world.wrong.or(wrong);
+        world.violation = world.violation.or(wrong);
     }
 
     fn sends(&self, world: &World, node: usize, host: &str) -> bool {
@@ -265,7 +270,9 @@
         let may = |from: Option<Micros>| from.is_none_or(|from| time < from);
         let from = spared(machine).into_iter().find(|(name, _)| name == host).map(|(_, from)| from);
         match self.broken {
-            Broken::PermissionEnds => machine.serving() != Serving::Waits && from != Some(0),
+            Broken::PermissionEnds => {
+                machine.admission_status() != AdmissionStatus::Pending && from != Some(0)
+            }
             Broken::AsksFirst => may(from),
             _ => may_send(machine, time, host),
         }
@@ -273,49 +280,47 @@
 
     fn start_again(&self, world: &mut World, node: usize, found: Found) {
         let fresh = machine(self.broken, node, world, false);
-        let on_disk = world.own.disks[node].clone().filter(|_| found != Found::Lost);
+        let on_disk = world.model.disks[node].clone().filter(|_| found != Found::Lost);
         let on_disk = match found {
-            Found::Old => self.first.own.disks[node].clone(),
+            Found::Old => self.first.model.disks[node].clone(),
             Found::OneLost if node == 0 => None,
             Found::OneOldYetFresh if node == 0 => {
-                self.first.own.disks[node].clone().map(|(_, memory)| (world.step, memory))
+                self.first.model.disks[node].clone().map(|(_, memory)| (world.step, memory))
             }
             _ => on_disk,
         };
         let (taken, time) = (self.judged(world, on_disk), now(world.step));
         world.nodes[node] = if self.disks { fresh.with_disk(time, taken, 0) } else { fresh };
         if self.broken == Broken::Silence {
-            let (roster, told, promised) = Default::default();
             self.react(world, node, None);
             for other in (0..world.nodes.len()).filter(|other| *other != node) {
-                let known = Known::Sure;
-                let forged = Message::Recalled {
+                let forged = Message::VoterRecoveryResponse(Box::new(VoterRecoveryResponse {
                     nonce: 1,
-                    known,
-                    promised: Option::clone(&promised),
+                    recovery: RecoveryState::Recovered,
+                    promised: None,
                     lease_left: 0,
-                    roster: Roster::clone(&roster),
-                    told: Told::<Board>::clone(&told),
-                };
+                    roster: Roster::default(),
+                    state: Versioned::default(),
+                }));
                 self.react(world, node, Some((other, forged)));
             }
         }
         // What it had in hand is gone with it.
-        world.own.in_hand.retain(|(who, _), _| *who != node);
+        world.model.in_hand.retain(|(who, _), _| *who != node);
     }
 
     /// Where the proxies have forgotten and all of them are there again, the operators say what is out, and that it is
     /// all.
     fn remember(&self, world: &mut World) {
         let time = now(world.step);
-        let forgot = |node: &usize| view(&world.nodes[*node], time).standing.forgotten;
-        let Some(node) = (0..world.nodes.len()).find(forgot).filter(|_| world.lasting.is_none()) else {
+        let forgot = |node: &usize| view(&world.nodes[*node], time).standing.is_state_lost;
+        let Some(node) = (0..world.nodes.len()).find(forgot).filter(|_| world.active_fault.is_none()) else {
             return;
         };
         let out: Vec<String> =
-            world.own.free.keys().filter(|h| !world.own.back.contains(*h)).cloned().collect();
+            world.model.free.keys().filter(|h| !world.model.back.contains(*h)).cloned().collect();
         for host in &out {
-            if world.nodes[node].slate().of_host(host).is_none_or(|turn| turn.stage < Stage::Out) {
+            if world.nodes[node].state().of_host(host).is_none_or(|turn| turn.stage < Stage::Out) {
                 self.order(world, node, Order::Ask(Ask { already_out: true, ..ask(host.clone()) }));
             }
         }
@@ -336,25 +341,25 @@
         self.remember(world);
         // Whoever waits asks again.
         for (node, host) in (0..2).map(|n| (n, host(n))) {
-            let unseen = !world.own.free.contains_key(&host) && world.step.is_multiple_of(10);
+            let unseen = !world.model.free.contains_key(&host) && world.step.is_multiple_of(10);
             if unseen && !world.is_frozen(node) {
                 self.order(world, node, Order::Ask(ask(host)));
             }
         }
         let ready: Vec<String> = world
-            .own
+            .model
             .free
             .iter()
-            .filter(|(h, at)| world.step >= **at + self.works && !world.own.back.contains(*h))
+            .filter(|(h, at)| world.step >= **at + self.works && !world.model.back.contains(*h))
             .map(|(h, _)| h.clone())
             .collect();
         for host in ready {
             // The host serves from here on, whenever the proxies hear of it.
-            world.own.back.insert(host);
+            world.model.back.insert(host);
         }
-        for host in world.own.back.clone() {
+        for host in world.model.back.clone() {
             for node in 0..world.nodes.len() {
-                let turn = world.nodes[node].slate().of_host(&host).filter(|turn| turn.stage == Stage::Out);
+                let turn = world.nodes[node].state().of_host(&host).filter(|turn| turn.stage == Stage::Out);
                 if let Some(turn) = turn.map(|turn| turn.id).filter(|_| !world.is_frozen(node)) {
                     self.order(world, node, Order::Done { turn, by: "ops".to_owned() });
                 }
@@ -362,39 +367,54 @@
         }
     }
 
-    fn next(&self, world: &World, act: Act) -> World {
-        self.run(world, act).0
+    fn next(&self, world: &World, fault: Fault) -> World {
+        self.run(world, fault).world
     }
 }
 
 impl flaxhead_rig::Fleet for Fleet {
     type Application = Turns;
-    type Own = Work;
+    type Model = Work;
     type Found = Found;
 
     fn bounds(&self) -> Bounds<'_, Found> {
         let Fleet { faults, fine, hit, kinds, .. } = self;
         let (first, faulty) = (self.first.step, self.faulty());
         let found = if self.disks { Found::ALL } else { &[] };
-        Bounds { first, faults: *faults, fine: *fine, hit, kinds, lasts: LASTS, found, faulty, ends: ENDS }
+        Bounds {
+            first_step: first,
+            max_faults: *faults,
+            is_fine: *fine,
+            nodes: hit,
+            lasting_kinds: kinds,
+            lasting_steps: LASTS,
+            found,
+            faulty_steps: faulty,
+            steps: ENDS,
+        }
     }
 
-    fn react(&self, world: &mut World, node: usize, message: Option<(usize, Message)>) -> Vec<Letter<Turns>> {
+    fn react(
+        &self,
+        world: &mut World,
+        node: usize,
+        message: Option<(usize, Message)>,
+    ) -> Vec<Envelope<Turns>> {
         let facts = self.facts(world, node);
         let time = self.time(world, node);
-        let mut random = Fixed::of(node);
+        let mut random = FixedRandom::of(node);
         let mut around = Around { now: time, facts: &facts, random: &mut random };
         let mut out = Vec::new();
         let in_hand = |number: usize| {
             let held = world
-                .own
+                .model
                 .in_hand
                 .get(&(node, host(number)))
                 .is_some_and(|until| world.step < *until + self.first.step);
             (host(number), u32::from(held && self.broken != Broken::Drains))
         };
         let in_hand = (0..2).map(in_hand).collect();
-        world.nodes[node].matter_mut().use_of_hosts(Usage { in_hand, load: 0 });
+        world.nodes[node].application_mut().use_of_hosts(Usage { in_hand, load: 0 });
         match message {
             None => world.nodes[node].tick(&mut around, &mut out),
             Some((from, message)) => {
@@ -412,47 +432,52 @@
         self.start_again(world, node, Found::Last);
     }
 
-    fn restart(&self, world: &mut World, found: Found) {
+    fn restart_all(&self, world: &mut World, found: Found) {
         (0..world.nodes.len()).for_each(|node| self.start_again(world, node, found));
         if matches!(found, Found::Lost | Found::Old) {
             // Nobody is left that knows of any number.
-            world.own.fences.clear();
+            world.model.fences.clear();
         }
     }
 
-    fn woken(&self, world: &mut World, _: usize) {
+    fn resume(&self, world: &mut World, _: usize) {
         self.judge(world);
     }
 
-    fn turn(&self, world: &mut World, node: usize) -> Vec<Letter<Turns>> {
+    fn act(&self, world: &mut World, node: usize) -> Vec<Envelope<Turns>> {
         let mut out = self.write(world, node);
         out.extend(self.react(world, node, None));
         out
     }
 
-    fn between(&self, world: &mut World) {
+    fn after_acting(&self, world: &mut World) {
         if self.first.step > 0 {
             self.operators(world);
         }
     }
 
-    fn is_heard(&self, world: &World, node: usize) -> bool {
-        world.is_heard(node) && self.mute != Some(node)
+    fn is_received(&self, world: &World, node: usize) -> bool {
+        world.is_received(node) && self.mute != Some(node)
     }
 }
 
 fn machine(broken: Broken, node: usize, world: &mut World, first: bool) -> Machine {
-    world.lives += 1;
+    world.starts += 1;
     let voters = Voters::new((0..VOTERS).map(name).collect(), Vec::new()).expect("voters");
-    let Work { alone_after, known_wait, .. } = world.own;
-    let config =
-        Config { lease: LEASE, longest_call: 2 * STEP, alone_after, known_wait, ..Config::default() };
+    let Work { alone_after, known_wait, .. } = world.model;
+    let config = Config {
+        lease: LEASE,
+        max_call_duration: 2 * STEP,
+        autonomy_timeout: alone_after,
+        operator_wait: known_wait,
+        ..Config::default()
+    };
     let mut rules = Rules { back_most: STEP, drain_most: 100 * LEASE, ..Rules::default() };
     if broken == Broken::Limits {
         rules.limits.all = 2;
         (rules.limits.zone, rules.limits.pod) = (2, 2);
     }
-    let me = Process { name: name(node), life: 100 * world.lives + node as u64, at: at(node) };
+    let me = Process { name: name(node), incarnation: 100 * world.starts + node as u64, address: at(node) };
     let time = now(world.step);
     let begun = if broken == Broken::Silence && !first { time - 3 * LEASE } else { time };
     Machine::new(config, Turns::new(rules), voters, me, begun)
@@ -460,27 +485,27 @@
 
 impl Model for Fleet {
     type State = World;
-    type Action = Act;
+    type Action = Fault;
 
     fn init_states(&self) -> Vec<World> {
         vec![self.first.clone()]
     }
 
-    fn actions(&self, world: &World, acts: &mut Vec<Act>) {
-        self.acts(world, acts);
+    fn actions(&self, world: &World, faults: &mut Vec<Fault>) {
+        flaxhead_rig::Fleet::faults(self, world, faults);
     }
 
-    fn next_state(&self, world: &World, act: Act) -> Option<World> {
-        Some(self.next(world, act))
+    fn next_state(&self, world: &World, fault: Fault) -> Option<World> {
+        Some(self.next(world, fault))
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("nothing is wrong", |_, world: &World| world.wrong.is_none()),
+            Property::always("nothing is wrong", |_, world: &World| world.violation.is_none()),
             Property::always(
                 "both hosts had their turn once faults ended",
                 |fleet: &Fleet, world: &World| {
-                    world.step < fleet.first.step + ENDS || world.own.back.len() == 2
+                    world.step < fleet.first.step + ENDS || world.model.back.len() == 2
                 },
             ),
         ]
@@ -497,11 +522,11 @@
     let checker = fleet.checker().threads(threads).spawn_bfs().join();
     for (name, path) in checker.discoveries() {
         if broken == Broken::Nothing {
-            let acts: Vec<Act> = path.clone().into_actions();
+            let faults: Vec<Fault> = path.clone().into_actions();
             let last = path.last_state().clone();
-            let acts: Vec<(usize, &Act)> =
-                acts.iter().enumerate().filter(|(_, a)| **a != Act::Nothing).collect();
-            println!("{name}: {acts:?}\n{:?}, {:?}", last.wrong, last.own.free);
+            let faults: Vec<(usize, &Fault)> =
+                faults.iter().enumerate().filter(|(_, a)| **a != Fault::Nothing).collect();
+            println!("{name}: {faults:?}\n{:?}, {:?}", last.violation, last.model.free);
             for node in &last.nodes {
                 println!("{:?}", view(node, now(last.step)));
             }
@@ -547,14 +572,16 @@
 /// A voter that hears nobody for longer than its lease lasts, and one that forgets meanwhile: then one more fault.
 fn after_two_faults(broken: Broken, disks: bool) -> (u64, Vec<&'static str>) {
     let mut fleet = Fleet::new(broken, 3, true, disks);
-    let holder =
-        (0..VOTERS).find(|n| fleet.first.nodes[*n].holds(now(fleet.first.step)).is_some()).expect("a holder");
+    let holder = (0..VOTERS)
+        .find(|n| fleet.first.nodes[*n].leading_ballot(now(fleet.first.step)).is_some())
+        .expect("a holder");
     let others: Vec<usize> = (0..VOTERS).filter(|node| *node != holder).collect();
-    let mut world = fleet.next(&fleet.first, Act::Begin(others[0], Lasting::Deaf, 0));
-    while world.lasting.is_some_and(|(_, _, left)| left > 2) {
-        world = fleet.next(&world, Act::Nothing);
+    let mut world =
+        fleet.next(&fleet.first, Fault::Begin { node: others[0], kind: LastingFault::Deaf, place: 0 });
+    while world.active_fault.is_some_and(|fault| fault.steps_left > 2) {
+        world = fleet.next(&world, Fault::Nothing);
     }
-    fleet.first = fleet.next(&world, Act::Crash(others[1], 0));
+    fleet.first = fleet.next(&world, Fault::Crash { node: others[1], place: 0 });
     check_from(fleet)
 }
 
@@ -574,10 +601,10 @@
 fn after_all_voters_forgot(nodes: usize, broken: Broken, faults: u8) -> Fleet {
     let mut fleet = Fleet::of(nodes, broken, faults, true, false);
     fleet.works = 30;
-    fleet.first.own.in_hand.clear();
+    fleet.first.model.in_hand.clear();
     let mut world = fleet.first.clone();
-    while world.own.free.is_empty() {
-        world = fleet.next(&world, Act::Nothing);
+    while world.model.free.is_empty() {
+        world = fleet.next(&world, Fault::Nothing);
     }
     for voter in 0..VOTERS {
         fleet.start_again(&mut world, voter, Found::Lost);
@@ -605,13 +632,13 @@
 fn let_in_late(broken: Broken) -> Fleet {
     let mut fleet = Fleet::of(VOTERS, broken, 2, false, false);
     fleet.works = 30;
-    fleet.kinds = &[Lasting::Frozen];
-    fleet.first.own.in_hand.clear();
+    fleet.kinds = &[LastingFault::Frozen];
+    fleet.first.model.in_hand.clear();
     let mut world = fleet.first.clone();
-    while world.own.free.is_empty() {
-        world = fleet.next(&world, Act::Nothing);
+    while world.model.free.is_empty() {
+        world = fleet.next(&world, Fault::Nothing);
     }
-    world.own.alone_after = 8 * STEP;
+    world.model.alone_after = 8 * STEP;
     fleet.first = world;
     fleet
 }
@@ -632,8 +659,8 @@
     let both_went = |mute: Option<usize>| {
         let mut fleet = after_all_voters_forgot(VOTERS + 1, Broken::Nothing, 0);
         (fleet.works, fleet.mute) = (1, mute);
-        let end = (0..ENDS).fold(fleet.first.clone(), |world, _| fleet.next(&world, Act::Nothing));
-        end.own.back.len() == 2
+        let end = (0..ENDS).fold(fleet.first.clone(), |world, _| fleet.next(&world, Fault::Nothing));
+        end.model.back.len() == 2
     };
     assert!(both_went(None));
     assert!(!both_went(Some(VOTERS)), "nobody has heard from it whether it sends to the next host");
--- a/maintenance/tests/wire_format.rs
+++ b/maintenance/tests/wire_format.rs
@@ -2,7 +2,9 @@
 //! variants by position, so a reordered variant or an inserted field changes the protocol: these bytes must not change.
 
 use flaxhead_lease::{
-    Ballot, Known, Memory, Message, Name, Process, Promise, Renewal, Roster, Told, Version, Word as LeaseWord,
+    Acceptance, Ballot, Denial, LeaseGrant, Message, Name, PersistentState, Process, Promise, Proposal,
+    RecoveryQuery, RecoveryReply, RecoveryState, RecoveryStatus as LeaseWord, Renewal, Roster, Version,
+    Versioned, VoterRecoveryResponse, VoterSetHashes,
 };
 use flaxhead_maintenance::{Answer, Ask, Board, End, Order, Past, Refusal, Stage, Turn, Turns, Word};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -30,7 +32,7 @@
 }
 
 fn ballot() -> Ballot {
-    Ballot { round: 300, name: name("n1"), life: 7 }
+    Ballot { round: 300, name: name("n1"), incarnation: 7 }
 }
 
 fn version() -> Version {
@@ -38,7 +40,7 @@
 }
 
 fn process() -> Process {
-    Process { name: name("n2"), life: 9, at: SocketAddr::from(([127, 0, 0, 2], 7_946)) }
+    Process { name: name("n2"), incarnation: 9, address: SocketAddr::from(([127, 0, 0, 2], 7_946)) }
 }
 
 fn roster() -> Roster {
@@ -69,8 +71,8 @@
     Board { next_id: 4, turns: vec![turn(Stage::Out)], past: VecDeque::from([past(End::Done)]) }
 }
 
-fn told() -> Told<Board> {
-    Told { version: version(), slate: board() }
+fn told() -> Versioned<Board> {
+    Versioned { version: version(), state: board() }
 }
 
 fn word() -> Word {
@@ -83,54 +85,98 @@
 
 fn lease_word() -> LeaseWord {
     LeaseWord {
-        known: Some(Known::Recalling),
-        knows: true,
-        leave: false,
-        holder: Some(name("n1")),
-        named: BTreeSet::from([name("n3")]),
+        voter: Some(RecoveryState::Recovering),
+        has_complete_state: true,
+        has_lease: false,
+        leader: Some(name("n1")),
+        informed_peers: BTreeSet::from([name("n3")]),
     }
 }
 
 #[test]
 fn every_message_keeps_its_bytes() {
     let order = Order::Done { turn: 3, by: "ops".to_owned() };
-    let promise = Promise { ballot: ballot(), life: 9, known: Known::Sure, roster: roster(), told: told() };
+    let promise = Promise {
+        ballot: ballot(),
+        incarnation: 9,
+        recovery: RecoveryState::Recovered,
+        roster: roster(),
+        state: told(),
+    };
     let renewal = Renewal {
         process: process(),
-        stamp: 1_000,
-        knows: true,
+        sent_at: 1_000,
+        has_complete_state: true,
         version: version(),
         fence: Some(ballot()),
-        word: word(),
+        report: word(),
     };
     let messages: Vec<(&str, Message<Turns>)> = vec![
-        ("Prepare", Message::Prepare { ballot: ballot(), marks: (1, 2) }),
+        (
+            "Prepare",
+            Message::Prepare { ballot: ballot(), voter_sets: VoterSetHashes { current: 1, next: 2 } },
+        ),
         ("Promised", Message::Promised(Box::new(promise))),
-        ("Denied", Message::Denied { ballot: ballot(), promised: Some(ballot()), lease_left: 6 }),
-        ("Propose", Message::Propose { ballot: ballot(), round: 2, life: 9, sure: true, roster: roster() }),
-        ("Accepted", Message::Accepted { ballot: ballot(), round: 2, life: 9, roster: version() }),
-        ("Recall", Message::Recall { nonce: 11, marks: (1, 2) }),
+        ("Denied", Message::Denied(Denial { ballot: ballot(), promised: Some(ballot()), lease_left: 6 })),
+        (
+            "Propose",
+            Message::Propose(Proposal {
+                ballot: ballot(),
+                round: 2,
+                incarnation: 9,
+                is_recovered: true,
+                roster: roster(),
+            }),
+        ),
+        (
+            "Accepted",
+            Message::Accepted(Acceptance { ballot: ballot(), round: 2, incarnation: 9, roster: version() }),
+        ),
+        (
+            "Recall",
+            Message::VoterRecoveryRequest { nonce: 11, voter_sets: VoterSetHashes { current: 1, next: 2 } },
+        ),
         (
             "Recalled",
-            Message::Recalled {
+            Message::VoterRecoveryResponse(Box::new(VoterRecoveryResponse {
                 nonce: 11,
-                known: Known::Cold,
+                recovery: RecoveryState::StateLost,
                 promised: None,
                 lease_left: 6,
                 roster: roster(),
-                told: told(),
-            },
+                state: told(),
+            })),
         ),
-        ("Tell", Message::Tell { told: told() }),
+        ("Tell", Message::StateUpdate { state: told() }),
         ("Renew", Message::Renew(Box::new(renewal))),
-        ("Show", Message::Show { ballot: ballot() }),
-        ("Shown", Message::Shown { ballot: ballot(), told: told(), admitted: true }),
-        ("Granted", Message::Granted { ballot: ballot(), life: 9, stamp: 1_000, remembers: true, leave: () }),
-        ("Inquire", Message::Inquire { life: 9, stamp: 1_000, slate: true }),
-        ("Informed", Message::Informed { life: 9, stamp: 1_000, word: lease_word(), told: Some(told()) }),
-        ("NotHolder", Message::NotHolder { holder: Some(name("n1")), fence: Some(ballot()) }),
-        ("Order", Message::Order { id: 4, order }),
-        ("Answer", Message::Answer { id: 4, result: Ok(Answer::Done) }),
+        ("Show", Message::StateRequest { ballot: ballot() }),
+        ("Shown", Message::StateResponse { ballot: ballot(), state: told(), is_complete: true }),
+        (
+            "Granted",
+            Message::Granted(Box::new(LeaseGrant {
+                ballot: ballot(),
+                incarnation: 9,
+                requested_at: 1_000,
+                is_recovered: true,
+                grant: (),
+            })),
+        ),
+        (
+            "Inquire",
+            Message::RecoveryQuery(RecoveryQuery { incarnation: 9, sent_at: 1_000, wants_state: true }),
+        ),
+        (
+            "Informed",
+            Message::RecoveryReply(Box::new(RecoveryReply {
+                incarnation: 9,
+                requested_at: 1_000,
+                status: lease_word(),
+                state: Some(told()),
+            })),
+        ),
+        ("NotHolder", Message::NotLeader { leader: Some(name("n1")), fence: Some(ballot()) }),
+        ("Order", Message::Command { id: 4, command: order }),
+        ("Answer", Message::CommandResponse { id: 4, result: Ok(Answer::Done) }),
     ];
     let encoded: Vec<Encoded> = messages.iter().map(|(name, message)| (*name, bytes(message))).collect();
     assert_encoded(&encoded, EXPECTED_MESSAGES);
@@ -142,7 +188,12 @@
 
 #[test]
 fn every_state_of_a_voter_keeps_its_number() {
-    let states = [Known::Silent, Known::Recalling, Known::Cold, Known::Sure];
+    let states = [
+        RecoveryState::Quarantined,
+        RecoveryState::Recovering,
+        RecoveryState::StateLost,
+        RecoveryState::Recovered,
+    ];
     assert_eq!(states.map(|state| bytes(&state)), [[0], [1], [2], [3]]);
     let texts = states.map(|state| serde_json::to_string(&state).expect("text"));
     assert_eq!(texts, ["\"silent\"", "\"recalling\"", "\"cold\"", "\"sure\""]);
@@ -266,13 +317,13 @@
 
 #[test]
 fn the_record_on_disk_keeps_its_bytes() {
-    let memory: Memory<Turns> = Memory {
-        sure: true,
-        voters: (1, 2),
+    let memory: PersistentState<Turns> = PersistentState {
+        is_recovered: true,
+        voter_sets: VoterSetHashes { current: 1, next: 2 },
         promised: Some(ballot()),
         fence: None,
         roster: roster(),
-        told: told(),
+        state: told(),
     };
     assert_encoded(&[("Memory", bytes(&memory))], EXPECTED_RECORD);
 }
--- a/proxy/src/features/shares/driver.rs
+++ b/proxy/src/features/shares/driver.rs
@@ -120,7 +120,7 @@
     loop {
         sleep(LOOK).await;
         let mut why = coordinator
-            .look(|machine, now| machine.desk(now).map(|ledger| ledger.view(now).why))
+            .look(|machine, now| machine.leader_data(now).map(|ledger| ledger.view(now).why))
             .unwrap_or_default();
         // That is over by itself.
         why.retain(|why| !why.starts_with("learning"));
--- a/proxy/src/features/shares/shown.rs
+++ b/proxy/src/features/shares/shown.rs
@@ -59,8 +59,8 @@
     ) -> Shown {
         let (seat, granted_by, fleet) = coordinator.map_or((Seat::Has, None, None), |coordinator| {
             coordinator.look(|machine, now| {
-                let view = machine.desk(now).map(|ledger| ledger.view(now));
-                (machine.application().seat(), machine.standing(now).holder, view)
+                let view = machine.leader_data(now).map(|ledger| ledger.view(now));
+                (machine.application().seat(), machine.status(now).leader, view)
             })
         });
         let (gates, allowance) = lines.shown();
--- a/proxy/src/features/tests.rs
+++ b/proxy/src/features/tests.rs
@@ -91,7 +91,12 @@
     let second = 1_000_000;
     let work = features.work.as_ref().expect("on");
     assert_eq!(
-        (work.config.lease, work.config.cold_wait, work.config.alone_after, work.config.known_wait),
+        (
+            work.config.lease,
+            work.config.state_loss_timeout,
+            work.config.autonomy_timeout,
+            work.config.operator_wait
+        ),
         (2 * second, 12 * second, 13 * second, 14 * second)
     );
     assert_eq!((work.rules.drain_most, work.rules.back_most), (11 * second, 15 * second));
