--- a/proxy/src/features/work.rs
+++ b/proxy/src/features/work.rs
@@ -38,9 +38,9 @@
     let second = 1_000_000;
     span("lease_ms", (500, 60_000), 1_000, &mut config.lease)?;
     span("drain_s", (1, 86_400), second, &mut rules.drain_most)?;
-    span("forgotten_s", (1, 86_400), second, &mut config.cold_wait)?;
-    span("alone_s", (1, 3_600), second, &mut config.alone_after)?;
-    span("known_s", (0, 3_600), second, &mut config.known_wait)?;
+    span("forgotten_s", (1, 86_400), second, &mut config.state_loss_timeout)?;
+    span("alone_s", (1, 3_600), second, &mut config.autonomy_timeout)?;
+    span("known_s", (0, 3_600), second, &mut config.operator_wait)?;
     span("back_s", (1, 3_600), second, &mut rules.back_most)?;
     let Limits { mut all, mut zone, mut pod, mut host_calls, mut margin, mut longest } = rules.limits;
     span("longest_s", (1, 7 * 86_400), second, &mut longest)?;
--- a/proxy/src/side.rs
+++ b/proxy/src/side.rs
@@ -91,7 +91,7 @@
         let peers = peers.transpose()?;
         let work = features.work.zip(peers.clone()).map(|(mut settings, peers)| {
             let longest = config.settings.classes.iter().map(|class| class.deadline).max();
-            settings.config.longest_call = longest.unwrap_or(settings.config.longest_call);
+            settings.config.max_call_duration = longest.unwrap_or(settings.config.max_call_duration);
             let disk = memory.as_ref().map(|memory| memory.application("turns", recollection.as_mut()));
             Work::start(settings, peers, config.seed.rotate_left(32), disk)
         });
--- a/proxy/src/work.rs
+++ b/proxy/src/work.rs
@@ -237,7 +237,7 @@
 /// The turns, those that ended and those that are waited for.
 pub fn table(view: &View) -> String {
     let mut text = String::new();
-    let holder = match (&view.standing.holder, view.standing.holds, view.standing.forgotten) {
+    let holder = match (&view.standing.leader, view.standing.is_leader, view.standing.is_state_lost) {
         (_, true, true) => "hands out turns, but does not know what is out".to_owned(),
         (_, true, false) => "hands out turns".to_owned(),
         (Some(holder), ..) => format!("follows {holder}"),
@@ -247,7 +247,7 @@
     let _ = writeln!(
         text,
         "{} {holder}, {}, board {}",
-        view.standing.me, view.standing.serving, view.standing.version
+        view.standing.me, view.standing.admission, view.standing.version
     );
     for row in &view.turns {
         let _ = writeln!(text, "{} since {}", line(row), seconds(row.for_ms));
--- a/quota/src/application.rs
+++ b/quota/src/application.rs
@@ -8,8 +8,8 @@
 use crate::pace::Pace;
 use crate::word::{Leave, Seat, Stamp, Usage, Word};
 use flaxhead_lease::{
-    Application, Ballot, Config, Granted, Member, MemberFact, Micros, Name, Never, Presence, Process, Room,
-    Said, Terms, Unsettled,
+    Application, ApplicationTypes, Ballot, CommandError, Config, LeaderContext, Member, MemberStatus, Micros,
+    Name, NoCommand, Presence, Process, ReceivedGrant, ReceivedReport,
 };
 
 /// One process's part.
@@ -19,7 +19,7 @@
 /// What is to be done.
 pub type Effect = flaxhead_lease::Effect<Shares>;
 /// What a process is given with everything that happens.
-pub type Around<'a> = flaxhead_lease::Around<'a, Vec<Host>>;
+pub type Around<'a> = flaxhead_lease::Context<'a, Vec<Host>>;
 /// What a process knows from elsewhere.
 pub type Facts = flaxhead_lease::Facts<Vec<Host>>;
 
@@ -44,10 +44,10 @@
     pub fn config(pace: &Pace) -> Config {
         Config {
             lease: pace.lease,
-            longest_call: pace.longest_call,
-            cold_wait: pace.all_over(),
-            alone_after: pace.alone_after,
-            known_wait: 0,
+            max_call_duration: pace.longest_call,
+            state_loss_timeout: pace.all_over(),
+            autonomy_timeout: pace.alone_after,
+            operator_wait: 0,
         }
     }
 
@@ -94,27 +94,27 @@
     }
 }
 
-impl Terms for Shares {
-    type Slate = ();
-    type Word = Word;
-    type Leave = Leave;
-    type Order = Never;
-    type Answer = Never;
-    type Refusal = Unsettled;
+impl ApplicationTypes for Shares {
+    type State = ();
+    type Report = Word;
+    type Grant = Leave;
+    type Command = NoCommand;
+    type Response = NoCommand;
+    type Rejection = CommandError;
     type Facts = Vec<Host>;
-    type Note = String;
+    type Event = String;
 
-    const SLATE_MOST: usize = 0;
+    const MAX_STATE_BYTES: usize = 0;
     // As many tenants as a book can have, with their names where settings differ.
-    const WORD_MOST: usize = 1 << 15;
-    const LEAVE_MOST: usize = 1 << 13;
-    const ORDER_MOST: usize = 0;
+    const MAX_REPORT_BYTES: usize = 1 << 15;
+    const MAX_GRANT_BYTES: usize = 1 << 13;
+    const MAX_COMMAND_BYTES: usize = 0;
 }
 
 impl Application for Shares {
-    type Desk = Ledger;
+    type LeaderData = Ledger;
 
-    fn word(&mut self, now: Micros, _: &Member<Self>, _: &Vec<Host>) -> Word {
+    fn report(&mut self, now: Micros, _: &Member<Self>, _: &Vec<Host>) -> Word {
         self.hurries = false;
         let said = self.usage.clone();
         for tenant in &mut self.usage.tenants {
@@ -124,47 +124,60 @@
         self.held.word(now, said)
     }
 
-    fn granted(&mut self, granted: &Granted<Self>) {
-        self.held.leave(&granted.ballot, granted.until, granted.leave.clone());
+    fn granted(&mut self, granted: &ReceivedGrant<Self>) {
+        self.held.leave(&granted.ballot, granted.expires_at, granted.grant.clone());
     }
 
     fn fenced(&mut self, fence: &Ballot) {
         self.held.fence_rose(fence);
     }
 
-    fn forgotten(&mut self) {
+    fn state_lost(&mut self) {
         self.held.nobody_holds();
     }
 
-    fn hurries(&self) -> bool {
+    fn wants_early_renewal(&self) -> bool {
         self.hurries
     }
 
-    fn begin(&self, room: &mut Room<'_, Self>) -> Ledger {
-        let (ballot, sure) = (room.ballot().clone(), room.cold().is_none());
+    fn begin_leadership(&self, room: &mut LeaderContext<'_, Self>) -> Ledger {
+        let (ballot, sure) = (room.ballot().clone(), room.state_lost_since().is_none());
         let roster = room.processes().map(|(process, _)| process);
         Ledger::begin(room.now, self.held.book().clone(), self.pace.clone(), ballot, sure, roster)
     }
 
-    fn heard(&self, ledger: &mut Ledger, room: &mut Room<'_, Self>, said: &Said<'_, Self>) {
-        ledger.word(room.now, said.process, said.stamp, said.word.clone());
+    fn report_received(
+        &self,
+        ledger: &mut Ledger,
+        room: &mut LeaderContext<'_, Self>,
+        said: &ReceivedReport<'_, Self>,
+    ) {
+        ledger.word(room.now, said.process, said.sent_at, said.report.clone());
     }
 
-    fn leave(&self, ledger: &mut Ledger, room: &mut Room<'_, Self>, process: &Process) -> Leave {
-        ledger.hosts(&room.facts.own);
-        let runs = |fact: &MemberFact| !matches!(fact.presence, Presence::Ended);
+    fn grant(&self, ledger: &mut Ledger, room: &mut LeaderContext<'_, Self>, process: &Process) -> Leave {
+        ledger.hosts(&room.facts.application);
+        let runs = |fact: &MemberStatus| !matches!(fact.presence, Presence::Exited);
         let members = room.facts.members.iter().filter(|(_, fact)| runs(fact));
-        let listed =
-            |(name, fact): (&Name, &MemberFact)| Process { name: name.clone(), life: fact.life, at: fact.at };
+        let listed = |(name, fact): (&Name, &MemberStatus)| Process {
+            name: name.clone(),
+            incarnation: fact.incarnation,
+            address: fact.address,
+        };
         ledger.members(members.map(listed));
         ledger.leave(room.now, process)
     }
 
-    fn parted(&self, ledger: &mut Ledger, _: &mut Room<'_, Self>, process: &Process) {
+    fn process_left(&self, ledger: &mut Ledger, _: &mut LeaderContext<'_, Self>, process: &Process) {
         ledger.forgotten(process);
     }
 
-    fn order(&self, _: &mut Ledger, _: &mut Room<'_, Self>, order: Never) -> Result<Never, Unsettled> {
+    fn command(
+        &self,
+        _: &mut Ledger,
+        _: &mut LeaderContext<'_, Self>,
+        order: NoCommand,
+    ) -> Result<NoCommand, CommandError> {
         match order {}
     }
 }
--- a/quota/src/ledger/seats.rs
+++ b/quota/src/ledger/seats.rs
@@ -18,15 +18,16 @@
     pub(super) fn seat_for(&self, process: &Process) -> bool {
         let most = self.agreed.proxies_least() as usize;
         let has = |entry: &Entry| entry.said_seat == Seat::Has || entry.seat;
-        let others = self.entries.iter().filter(|(other, entry)| other.at != process.at && has(entry));
+        let others =
+            self.entries.iter().filter(|(other, entry)| other.address != process.address && has(entry));
         if self.entries.get(process).is_some_and(has) {
-            let before = others.filter(|(other, _)| *other < process).map(|(other, _)| other.at);
+            let before = others.filter(|(other, _)| *other < process).map(|(other, _)| other.address);
             return before.collect::<BTreeSet<_>>().len() < most;
         }
         let unsaid = |other: &&Process| self.entries.get(*other).is_none_or(|entry| entry.at.is_none());
         let unsaid = self.members.iter().chain(self.awaited.iter().flatten()).filter(unsaid);
-        let others = unsaid.chain(others.map(|(other, _)| other)).map(|other| other.at);
-        others.filter(|at| *at != process.at).collect::<BTreeSet<_>>().len() < most
+        let others = unsaid.chain(others.map(|(other, _)| other)).map(|other| other.address);
+        others.filter(|at| *at != process.address).collect::<BTreeSet<_>>().len() < most
     }
 
     /// Processes without a seat, for the log and the status.
--- a/quota/tests/disks.rs
+++ b/quota/tests/disks.rs
@@ -123,13 +123,13 @@
     fleet.play(2 * LEASE);
     let voters: Vec<Name> = (0..3).map(|place| Name::new(&format!("p{place:03}")).expect("a name")).collect();
     let pace = Pace { lease: LEASE, longest_call: 10 * SECOND, alone_after: 15 * SECOND };
-    let (facts, mut random) = (Facts { takes_part: true, ..Facts::default() }, Pcg64::seed_from_u64(3));
+    let (facts, mut random) = (Facts { participates: true, ..Facts::default() }, Pcg64::seed_from_u64(3));
     let mut bids = |place: usize| {
         let at = SocketAddr::from(([10, 0, 0, place as u8], 7_946));
-        let me = Process { name: voters[place].clone(), life: 99, at };
+        let me = Process { name: voters[place].clone(), incarnation: 99, address: at };
         let shares = Shares::new(0, fleet.book().clone(), pace.clone());
         let list = Voters::new(voters.clone(), Vec::new()).expect("voters");
-        let found = fleet.memory(place).filter(|memory| memory.sure);
+        let found = fleet.memory(place).filter(|memory| memory.is_recovered);
         assert!(found.is_some(), "it is sure");
         let mut machine =
             Machine::new(Shares::config(&pace), shares, list, me, 0).with_disk(0, found, SECOND);
--- a/quota/tests/fleet/mod.rs
+++ b/quota/tests/fleet/mod.rs
@@ -8,7 +8,7 @@
 
 pub use sites::{site, Site};
 
-use flaxhead_lease::{Config, MemberFact, Memory, Presence, Voters};
+use flaxhead_lease::{Config, MemberStatus, PersistentState, Presence, Voters};
 use flaxhead_quota::{
     Allowance, Book, Facts, Host, Machine, Message, Micros, Name, Pace, Process, Shares, Terms,
 };
@@ -221,7 +221,7 @@
     pub fn holder(&self) -> Option<usize> {
         (0..self.plan.voters.min(self.places.len())).find(|place| {
             let of = &self.places[*place];
-            !of.frozen && of.machine.as_ref().is_some_and(|m| m.holds(self.local(*place)).is_some())
+            !of.frozen && of.machine.as_ref().is_some_and(|m| m.leading_ballot(self.local(*place)).is_some())
         })
     }
 
@@ -248,8 +248,8 @@
     }
 
     /// What a process has on its disk.
-    pub fn memory(&self, place: usize) -> Option<Memory<Shares>> {
-        self.places[place].machine.as_ref().map(|machine| machine.memory(self.local(place)))
+    pub fn memory(&self, place: usize) -> Option<PersistentState<Shares>> {
+        self.places[place].machine.as_ref().map(|machine| machine.persistent_state(self.local(place)))
     }
 
     /// Starts a process that goes by no disk.
@@ -258,7 +258,7 @@
     }
 
     /// Starts one that goes by a disk, and finds this there.
-    pub fn launch_with(&mut self, place: usize, found: Option<Memory<Shares>>) {
+    pub fn launch_with(&mut self, place: usize, found: Option<PersistentState<Shares>>) {
         self.start(place, |machine, now| machine.with_disk(now, found, SECOND));
     }
 
@@ -267,7 +267,7 @@
         let voters = (0..self.plan.voters).map(name).collect();
         let voters = Voters::new(voters, Vec::new()).expect("voters");
         let config: Config = Shares::config(&self.plan.pace);
-        let me = Process { name: name(place), life: self.lives, at: at(place) };
+        let me = Process { name: name(place), incarnation: self.lives, address: at(place) };
         let now = self.local(place);
         let shares = Shares::new(now, self.book.clone(), self.plan.pace.clone());
         let (lives, since) = (self.lives, self.now);
@@ -296,17 +296,18 @@
             let gone = self.places[place].machine.is_none();
             let cut = *frozen || *apart || self.places[of].apart;
             let presence = match (gone, cut) {
-                (true, _) if away > 2 * SECOND => Presence::Ended,
-                (_, true) if away > 10 * SECOND => Presence::Silent,
-                (_, true) if away > 3 * SECOND => Presence::Doubted,
-                _ => Presence::Runs,
+                (true, _) if away > 2 * SECOND => Presence::Exited,
+                (_, true) if away > 10 * SECOND => Presence::Unreachable,
+                (_, true) if away > 3 * SECOND => Presence::Suspected,
+                _ => Presence::Alive,
             };
-            (name(place), MemberFact { life: *life, at: at(place), presence, since: 0 })
+            (name(place), MemberStatus { incarnation: *life, address: at(place), presence, since: 0 })
         };
         Facts {
-            own: self.hosts.clone(),
+            application: self.hosts.clone(),
             members: (0..self.places.len()).filter(|place| *place != of).map(fact).collect(),
-            takes_part: !self.places[of].apart || self.now.saturating_sub(self.places[of].since) < 3 * SECOND,
+            participates: !self.places[of].apart
+                || self.now.saturating_sub(self.places[of].since) < 3 * SECOND,
         }
     }
 }
--- a/quota/tests/fleet/play.rs
+++ b/quota/tests/fleet/play.rs
@@ -81,16 +81,16 @@
         self.end_calls(place);
         let (local, usage) = (self.local(place), self.usage(place));
         let Some(mut machine) = self.places[place].machine.take() else { return };
-        machine.matter_mut().use_now(local, usage);
+        machine.application_mut().use_now(local, usage);
         let mut out = Vec::new();
         let mut around = Around { now: local, facts: &facts, random: &mut self.random };
         act(&mut machine, &mut around, &mut out);
         // A disk has at once what is to be kept.
-        if let Some(mark) = machine.mark() {
-            machine.kept(&mut around, mark, &mut out);
+        if let Some(mark) = machine.persistence_mark() {
+            machine.persisted(&mut around, mark, &mut out);
         }
         let mut allowance = match self.plan.mode {
-            Mode::Settled => machine.matter_mut().allowance(local),
+            Mode::Settled => machine.application_mut().allowance(local),
             Mode::Fixed => self.fixed(place),
             Mode::Nothing => Allowance::default(),
         };
--- a/quota/tests/ledger.rs
+++ b/quota/tests/ledger.rs
@@ -19,11 +19,11 @@
 
 fn process(number: u8) -> Process {
     let name = Name::new(&format!("n{number}")).expect("a name");
-    Process { name, life: 1, at: SocketAddr::from(([127, 0, 0, number], 7_946)) }
+    Process { name, incarnation: 1, address: SocketAddr::from(([127, 0, 0, number], 7_946)) }
 }
 
 fn ballot(round: u64) -> Ballot {
-    Ballot { round, name: process(1).name, life: 1 }
+    Ballot { round, name: process(1).name, incarnation: 1 }
 }
 
 /// In hand and wanted, of the first tenant.
@@ -172,7 +172,7 @@
     fleet.now += 7 * SECOND;
     assert_eq!(fleet.cap(2), 0);
     // Another process listens where the first did: one of the two has ended, and they have one seat.
-    let (again, now) = (Process { life: 2, ..process(1) }, fleet.now);
+    let (again, now) = (Process { incarnation: 2, ..process(1) }, fleet.now);
     let mut held = Held::new(now, book(&["etna 8"], 2), pace());
     let word = held.word(now, usage(0, 0));
     fleet.ledger.word(now, &again, now, word);
--- a/quota/tests/model/main.rs
+++ b/quota/tests/model/main.rs
@@ -9,7 +9,7 @@
 use flaxhead_rig::Fleet as _;
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use world::{
-    in_hand, now, usable, Act, Broken, Fleet, Site, World, ENDS, PARTS_FOR_ALL, TWO_BESIDE, VOTERS,
+    in_hand, now, usable, Broken, Fault, Fleet, Site, World, ENDS, PARTS_FOR_ALL, TWO_BESIDE, VOTERS,
     VOTERS_ALONE,
 };
 
@@ -17,23 +17,23 @@
 
 impl Model for Fleet {
     type State = World;
-    type Action = Act;
+    type Action = Fault;
 
     fn init_states(&self) -> Vec<World> {
         vec![self.first.clone()]
     }
 
-    fn actions(&self, world: &World, acts: &mut Vec<Act>) {
-        self.acts(world, acts);
+    fn actions(&self, world: &World, faults: &mut Vec<Fault>) {
+        flaxhead_rig::Fleet::faults(self, world, faults);
     }
 
-    fn next_state(&self, world: &World, act: Act) -> Option<World> {
-        Some(self.run(world, act).0)
+    fn next_state(&self, world: &World, fault: Fault) -> Option<World> {
+        Some(self.run(world, fault).world)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always(NOTHING_WRONG, |_, world: &World| world.wrong.is_none()),
+            Property::always(NOTHING_WRONG, |_, world: &World| world.violation.is_none()),
             Property::always(
                 "the whole cap can be used once faults ended",
                 |fleet: &Fleet, world: &World| {
@@ -62,11 +62,14 @@
     for (name, path) in checker.discoveries() {
         if broken == Broken::Nothing {
             let last = path.last_state().clone();
-            let acts: Vec<Act> = path.into_actions();
-            let acts: Vec<(usize, &Act)> =
-                acts.iter().enumerate().filter(|(_, a)| **a != Act::Nothing).collect();
-            println!("{name}: {acts:?}\n{:?}, {:?}, {:?}", last.wrong, last.own.allowances, last.own.calls);
-            last.nodes.iter().for_each(|node| println!("{:?}", node.standing(now(last.step))));
+            let faults: Vec<Fault> = path.into_actions();
+            let faults: Vec<(usize, &Fault)> =
+                faults.iter().enumerate().filter(|(_, a)| **a != Fault::Nothing).collect();
+            println!(
+                "{name}: {faults:?}\n{:?}, {:?}, {:?}",
+                last.violation, last.model.allowances, last.model.calls
+            );
+            last.nodes.iter().for_each(|node| println!("{:?}", node.status(now(last.step))));
         }
     }
     (checker.unique_state_count(), checker.discoveries().into_keys().collect())
--- a/quota/tests/model/world.rs
+++ b/quota/tests/model/world.rs
@@ -1,11 +1,11 @@
 //! The processes, what is on the way between them, and what goes wrong; a step at a time.
 
-use flaxhead_lease::{Ballot, Known, Never, Presence, Voters};
+use flaxhead_lease::{Ballot, NoCommand, Presence, RecoveryState, Voters};
 use flaxhead_quota::{
     Allowance, Around, Book, Facts, Machine, Message, Micros, Name, Pace, Process, Seat, Shares, Terms,
     Usage, Use,
 };
-use flaxhead_rig::{Bounds, Fixed, Fleet as _, Lasting, Letter};
+use flaxhead_rig::{Bounds, Envelope, FixedRandom, Fleet as _, LastingFault};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -53,7 +53,7 @@
 }
 
 pub type World = flaxhead_rig::World<Shares, Calls>;
-pub type Act = flaxhead_rig::Act<Never>;
+pub type Fault = flaxhead_rig::Fault<NoCommand>;
 
 /// Who takes part, and what there is for them.
 #[derive(Clone, Copy, Debug)]
@@ -105,14 +105,14 @@
 }
 
 fn machine(site: &Site, node: usize, world: &mut World) -> Machine {
-    world.lives += 1;
+    world.starts += 1;
     let voters = Voters::new((0..VOTERS).map(name).collect(), Vec::new()).expect("voters");
     let terms =
         Terms { proxies_most: site.seats, caps: vec![format!("others {}", site.cap)], ..Terms::default() };
     let book = Book::new(&terms, []).expect("terms");
     let longest_call = Micros::from(site.call) * STEP;
     let pace = Pace { lease: LEASE, longest_call, alone_after: Micros::MAX };
-    let me = Process { name: name(node), life: 100 * world.lives + node as u64, at: at(node) };
+    let me = Process { name: name(node), incarnation: 100 * world.starts + node as u64, address: at(node) };
     let time = now(world.step);
     Machine::new(Shares::config(&pace), Shares::new(time, book, pace), voters, me, time)
 }
@@ -134,34 +134,36 @@
             first: world.clone(),
         };
         for _ in 0..40 {
-            world = fleet.run(&world, Act::Nothing).0;
+            world = fleet.run(&world, Fault::Nothing).world;
         }
         // Three that start at once, where nobody remembers anything, each take the one seat until a holder has answered.
         let early = (site.seats == 1).then_some("more have a seat than there are");
-        assert!(world.wrong.take() == early && usable(&world) == site.cap, "{world:?}");
+        assert!(world.violation.take() == early && usable(&world) == site.cap, "{world:?}");
         (fleet.first, fleet.broken) = (world, broken);
         fleet
     }
 
     /// Faults befall none but the one that holds at first, and the one that has calls at first.
     pub fn spare_others(mut self) -> Fleet {
-        let holds = |node: &usize| self.first.nodes[*node].holds(now(self.first.step)).is_some();
+        let holds = |node: &usize| self.first.nodes[*node].leading_ballot(now(self.first.step)).is_some();
         let is_hit = |node: &usize| holds(node) || *node == self.site.busy[0];
         self.hit = (0..self.site.nodes).filter(is_hit).collect();
         self
     }
 
     fn facts(&self, world: &World, of: usize) -> Facts {
-        let silent = if self.broken == Broken::KeepsUnheard { Presence::Ended } else { Presence::Silent };
-        let begins =
-            world.nodes[of].holds(now(world.step)).is_some_and(|b| world.own.begun.as_ref() != Some(b));
+        let silent =
+            if self.broken == Broken::KeepsUnheard { Presence::Exited } else { Presence::Unreachable };
+        let begins = world.nodes[of]
+            .leading_ballot(now(world.step))
+            .is_some_and(|b| world.model.begun.as_ref() != Some(b));
         let ended = begins && self.broken == Broken::Learns;
         let presence = |node: usize| match (ended, world.is_away(of, node)) {
-            (true, _) => Presence::Ended,
+            (true, _) => Presence::Exited,
             (false, true) => silent,
-            (false, false) => Presence::Runs,
+            (false, false) => Presence::Alive,
         };
-        Facts { members: world.members(of, presence), takes_part: true, own: Vec::new() }
+        Facts { members: world.members(of, presence), participates: true, application: Vec::new() }
     }
 
     /// Calls that a process has: as many as it may, up to two, in its time.
@@ -178,7 +180,7 @@
     fn begin_calls(&self, world: &mut World, node: usize) {
         let wants = self.wants(world, node);
         while in_hand(world, node) < wants.min(may(world, self.broken, node)) {
-            world.own.calls.push((node, world.step + self.site.call));
+            world.model.calls.push((node, world.step + self.site.call));
         }
     }
 
@@ -186,28 +188,32 @@
     fn tampered(&self, world: &World, to: usize, mut message: Message) -> Message {
         match (&mut message, self.broken) {
             (Message::Renew(renewal), Broken::Confirmed) => {
-                let word = &mut renewal.word;
+                let word = &mut renewal.report;
                 (word.held, word.left) = (Vec::new(), 0);
                 word.by.iter_mut().for_each(|by| by.seq += 1);
                 word.usage.tenants.iter_mut().for_each(|tenant| tenant.in_hand = 0);
             }
-            (Message::Granted { ballot, leave, .. }, Broken::Fence) => {
+            (Message::Granted(granted), Broken::Fence) => {
                 let fence = world.nodes[to].application().fence();
-                let newest = fence.filter(|fence| fence.ballot == *ballot).map_or(0, |fence| fence.seq);
-                leave.seq = leave.seq.max(newest);
+                let newest =
+                    fence.filter(|fence| fence.ballot == granted.ballot).map_or(0, |fence| fence.seq);
+                granted.grant.seq = granted.grant.seq.max(newest);
             }
-            (Message::Granted { leave, .. }, Broken::Seats) => leave.seat = true,
-            (Message::Recalled { known, .. }, Broken::Forgotten) => *known = Known::Sure,
-            (Message::Promised(promise), Broken::Forgotten) => promise.known = Known::Sure,
+            (Message::Granted(granted), Broken::Seats) => granted.grant.seat = true,
+            (Message::VoterRecoveryResponse(response), Broken::Forgotten) => {
+                response.recovery = RecoveryState::Recovered;
+            }
+            (Message::Promised(promise), Broken::Forgotten) => promise.recovery = RecoveryState::Recovered,
             _ => {}
         }
         message
     }
 
     pub fn judge(&self, world: &mut World) {
-        let holding = (0..world.nodes.len()).filter(|n| world.nodes[*n].holds(now(world.step)).is_some());
+        let holding =
+            (0..world.nodes.len()).filter(|n| world.nodes[*n].leading_ballot(now(world.step)).is_some());
         let holding: BTreeMap<usize, &Ballot> =
-            holding.filter_map(|n| Some((n, world.nodes[n].holds(now(world.step))?))).collect();
+            holding.filter_map(|n| Some((n, world.nodes[n].leading_ballot(now(world.step))?))).collect();
         let used = (0..world.nodes.len())
             .map(|node| in_hand(world, node).max(may(world, self.broken, node)))
             .sum::<u32>();
@@ -219,28 +225,28 @@
             (used > self.site.cap, "more than the cap may be used or is in hand"),
             (seats > self.site.seats as usize, "more have a seat than there are"),
         ];
-        world.wrong = world.wrong.or(wrong.into_iter().find(|(is, _)| *is).map(|(_, what)| what));
+        world.violation = world.violation.or(wrong.into_iter().find(|(is, _)| *is).map(|(_, what)| what));
     }
 }
 
 impl flaxhead_rig::Fleet for Fleet {
     type Application = Shares;
-    type Own = Calls;
-    type Found = Never;
+    type Model = Calls;
+    type Found = NoCommand;
 
-    fn bounds(&self) -> Bounds<'_, Never> {
+    fn bounds(&self) -> Bounds<'_, NoCommand> {
         let Fleet { faults, fine, hit, .. } = self;
-        let (first, kinds, found) = (self.first.step, Lasting::ALL, [].as_slice());
+        let (first, kinds, found) = (self.first.step, LastingFault::ALL, [].as_slice());
         Bounds {
-            first,
-            faults: *faults,
-            fine: *fine,
-            hit,
-            kinds,
-            lasts: LASTS,
+            first_step: first,
+            max_faults: *faults,
+            is_fine: *fine,
+            nodes: hit,
+            lasting_kinds: kinds,
+            lasting_steps: LASTS,
             found,
-            faulty: FAULTY,
-            ends: ENDS,
+            faulty_steps: FAULTY,
+            steps: ENDS,
         }
     }
 
@@ -249,9 +255,9 @@
         world: &mut World,
         node: usize,
         message: Option<(usize, Message)>,
-    ) -> Vec<Letter<Shares>> {
+    ) -> Vec<Envelope<Shares>> {
         let (facts, time) = (self.facts(world, node), now(world.step));
-        let mut random = Fixed::of(node);
+        let mut random = FixedRandom::of(node);
         let mut around = Around { now: time, facts: &facts, random: &mut random };
         let (in_hand, wants) = (in_hand(world, node), self.wants(world, node));
         let told = if self.broken == Broken::InHand { 0 } else { in_hand };
@@ -260,16 +266,16 @@
         let usage = Usage { tenants: vec![usage], ..Usage::default() };
         let message = message.map(|(from, message)| (from, self.tampered(world, node, message)));
         let machine = &mut world.nodes[node];
-        machine.matter_mut().use_now(time, usage);
+        machine.application_mut().use_now(time, usage);
         let mut out = Vec::new();
         let ticks = message.is_none();
         match message {
             None => machine.tick(&mut around, &mut out),
             Some((from, message)) => machine.receive(&mut around, &name(from), message, &mut out),
         }
-        world.own.allowances[node] = machine.matter_mut().allowance(time);
+        world.model.allowances[node] = machine.application_mut().allowance(time);
         if ticks {
-            world.own.begun = machine.holds(time).cloned().or(world.own.begun.take());
+            world.model.begun = machine.leading_ballot(time).cloned().or(world.model.begun.take());
         }
         self.begin_calls(world, node);
         self.judge(world);
@@ -278,35 +284,35 @@
 
     fn crash(&self, world: &mut World, node: usize) {
         let fresh = machine(&self.site, node, world);
-        (world.nodes[node], world.own.allowances[node]) = (fresh, Allowance::default());
+        (world.nodes[node], world.model.allowances[node]) = (fresh, Allowance::default());
         // What it had in hand is gone with it.
-        world.own.calls.retain(|(who, _)| *who != node);
-        world.own.allowances[node] = world.nodes[node].matter_mut().allowance(now(world.step));
+        world.model.calls.retain(|(who, _)| *who != node);
+        world.model.allowances[node] = world.nodes[node].application_mut().allowance(now(world.step));
     }
 
-    fn restart(&self, _: &mut World, found: Never) {
+    fn restart_all(&self, _: &mut World, found: NoCommand) {
         match found {}
     }
 
     /// Calls that waited for it begin.
-    fn woken(&self, world: &mut World, node: usize) {
+    fn resume(&self, world: &mut World, node: usize) {
         self.begin_calls(world, node);
         self.judge(world);
     }
 
-    fn begins(&self, world: &mut World) {
+    fn begin_step(&self, world: &mut World) {
         let step = world.step;
-        world.own.calls.retain(|(_, until)| *until > step);
+        world.model.calls.retain(|(_, until)| *until > step);
     }
 }
 
 pub fn in_hand(world: &World, node: usize) -> u32 {
-    world.own.calls.iter().filter(|(who, until)| *who == node && *until > world.step).count() as u32
+    world.model.calls.iter().filter(|(who, until)| *who == node && *until > world.step).count() as u32
 }
 
 /// What a gate lets in now.
 pub fn may(world: &World, broken: Broken, node: usize) -> u32 {
-    let allowance = &world.own.allowances[node];
+    let allowance = &world.model.allowances[node];
     if broken == Broken::Ends {
         return allowance.tenants.first().and_then(|units| units.cap).unwrap_or(0);
     }
--- a/quota/tests/wire_format.rs
+++ b/quota/tests/wire_format.rs
@@ -1,7 +1,9 @@
 //! The bytes of what a process and the lease holder exchange over tenant quotas. postcard encodes fields and variants by
 //! position, so a reordered variant or an inserted field changes the protocol: these bytes must not change.
 
-use flaxhead_lease::{Memory, Message, Promise, Renewal, Roster, Told, Version};
+use flaxhead_lease::{
+    LeaseGrant, Message, PersistentState, Promise, Renewal, Roster, Version, Versioned, VoterSetHashes,
+};
 use flaxhead_quota::{
     Ballot, Book, Deal, Leave, Name, Process, Seat, Shares, Stamp, Terms, Usage, Use, Word,
 };
@@ -17,7 +19,7 @@
 }
 
 fn ballot() -> Ballot {
-    Ballot { round: 300, name: name("n1"), life: 7 }
+    Ballot { round: 300, name: name("n1"), incarnation: 7 }
 }
 
 fn book() -> Book {
@@ -57,35 +59,43 @@
 }
 
 fn renewal(seat: Seat) -> Message<Shares> {
-    let process = Process { name: name("n2"), life: 9, at: SocketAddr::from(([127, 0, 0, 2], 7_946)) };
+    let process =
+        Process { name: name("n2"), incarnation: 9, address: SocketAddr::from(([127, 0, 0, 2], 7_946)) };
     let (version, fence) = (Version { fence: None, seq: 0 }, Some(ballot()));
-    Message::Renew(Box::new(Renewal { process, stamp: 1_000, knows: true, version, fence, word: word(seat) }))
+    Message::Renew(Box::new(Renewal {
+        process,
+        sent_at: 1_000,
+        has_complete_state: true,
+        version,
+        fence,
+        report: word(seat),
+    }))
 }
 
 #[test]
 fn every_message_that_carries_quotas_keeps_its_bytes() {
-    let granted = Message::<Shares>::Granted {
+    let granted = Message::<Shares>::Granted(Box::new(LeaseGrant {
         ballot: ballot(),
-        life: 9,
-        stamp: 1_000,
-        remembers: true,
-        leave: leave(),
-    };
-    let told = Told { version: Version { fence: None, seq: 1 }, slate: () };
+        incarnation: 9,
+        requested_at: 1_000,
+        is_recovered: true,
+        grant: leave(),
+    }));
+    let told = Versioned { version: Version { fence: None, seq: 1 }, state: () };
     let promise = Promise::<Shares> {
         ballot: ballot(),
-        life: 9,
-        known: flaxhead_lease::Known::Sure,
+        incarnation: 9,
+        recovery: flaxhead_lease::RecoveryState::Recovered,
         roster: Roster::default(),
-        told: told.clone(),
+        state: told.clone(),
     };
-    let memory = Memory::<Shares> {
-        sure: true,
-        voters: (1, 2),
+    let memory = PersistentState::<Shares> {
+        is_recovered: true,
+        voter_sets: VoterSetHashes { current: 1, next: 2 },
         promised: None,
         fence: Some(ballot()),
         roster: Roster::default(),
-        told,
+        state: told,
     };
     let actual = [
         ("Renew, Seat::Waits", hex(&renewal(Seat::Waits))),
--- a/zones/src/desk/look.rs
+++ b/zones/src/desk/look.rs
@@ -21,12 +21,12 @@
 
 impl Work<'_, '_> {
     pub(super) fn note(&mut self, what: &'static str, whom: &str, why: String) {
-        self.room.note(Noted { what, whom: whom.to_owned(), why });
+        self.room.record_event(Noted { what, whom: whom.to_owned(), why });
     }
 
     /// What each zone can do now, and would if all its hosts were warm.
     fn rooms(&self) -> (Vec<u64>, Vec<u64>) {
-        let (mut now, whole) = facts::rooms(&self.room.facts.own, self.map, self.pace);
+        let (mut now, whole) = facts::rooms(&self.room.facts.application, self.map, self.pace);
         now.iter_mut().zip(&self.desk.learned).for_each(|(room, learned)| *room = portion(*room, *learned));
         (now, whole)
     }
@@ -39,9 +39,9 @@
         let mut asked: Vec<Vec<u64>> = vec![Vec::new(); map.count()];
         let mut done = vec![0_u64; map.count()];
         let mut doubts: BTreeMap<Process, Doubt> = BTreeMap::new();
-        for (process, heard) in self.room.processes().filter(|(_, heard)| self.room.lately(heard)) {
-            let Some(word) = heard.word() else { continue };
-            let fresh = heard.at().is_some_and(|at| now.saturating_sub(at) <= pace.stale);
+        for (process, heard) in self.room.processes().filter(|(_, heard)| self.room.heard_recently(heard)) {
+            let Some(word) = heard.report() else { continue };
+            let fresh = heard.last_report_at().is_some_and(|at| now.saturating_sub(at) <= pace.stale);
             let own = word.check(map, most.max(1)).and_then(|own| {
                 if fresh {
                     opinions.add(own, word, map, pace)?;
@@ -109,14 +109,14 @@
     /// Whether enough is heard that what is asked for is known.
     pub(super) fn knows(&self) -> bool {
         let all = self.room.processes().count();
-        let heard = self.room.processes().filter(|(_, heard)| self.room.lately(heard)).count();
+        let heard = self.room.processes().filter(|(_, heard)| self.room.heard_recently(heard)).count();
         let long = self.room.now.saturating_sub(self.desk.began) > self.room.config.lease;
         (heard * 3 >= all * 2 || long) && self.desk.asked.iter().flatten().any(|asked| *asked > 0)
     }
 
     /// What is found of a zone's room. One that is strained does no more than it does now.
     pub(super) fn learn(&mut self) {
-        let (rooms, _) = facts::rooms(&self.room.facts.own, self.map, self.pace);
+        let (rooms, _) = facts::rooms(&self.room.facts.application, self.map, self.pace);
         for (zone, learned) in self.desk.learned.iter_mut().enumerate() {
             if self.desk.judge.strained(zone) {
                 let does = self.desk.done[zone].saturating_mul(1_000_000) / rooms[zone].max(1);
@@ -150,7 +150,7 @@
         let new = |zone: usize| now.saturating_sub(self.desk.seen[zone].1) < self.pace.back_for;
         let back = |zone: usize| judge.just_back(now, zone, self.pace) || new(zone);
         let back = (0..map.count()).map(back).collect();
-        let emptied = (0..map.count()).map(|zone| self.room.slate().emptied(map.name(zone))).collect();
+        let emptied = (0..map.count()).map(|zone| self.room.state().emptied(map.name(zone))).collect();
         Step { scene: Scene { map, asked, room, ways }, whole, back, emptied }
     }
 }
--- a/zones/src/desk/orders.rs
+++ b/zones/src/desk/orders.rs
@@ -8,13 +8,13 @@
     /// Takes an order; the answer counts once it is on record.
     pub(crate) fn order(&mut self, order: Order) -> Result<Done, Refusal> {
         order.check()?;
-        if let Some(since) = self.room.cold() {
-            let left = (since + self.room.config.cold_wait).saturating_sub(self.room.now);
+        if let Some(since) = self.room.state_lost_since() {
+            let left = (since + self.room.config.state_loss_timeout).saturating_sub(self.room.now);
             return Err(Refusal::Forgotten(left.div_ceil(1_000_000)));
         }
         let changed = match &order {
             Order::Hold { by } => self.hold(by),
-            Order::Release { .. } => self.room.slate_mut().held.take().is_some(),
+            Order::Release { .. } => self.room.state_mut().held.take().is_some(),
             Order::Evacuate { zone, by } => self.evacuate(zone, by)?,
             Order::Return { zone, .. } => self.back(zone)?,
         };
@@ -33,7 +33,7 @@
     }
 
     fn hold(&mut self, by: &str) -> bool {
-        let held = &mut self.room.slate_mut().held;
+        let held = &mut self.room.state_mut().held;
         let stood = held.is_some();
         held.get_or_insert_with(|| Standing { by: by.to_owned(), age: 0 });
         !stood
@@ -42,14 +42,14 @@
     /// What must be so for a zone to be emptied or filled again.
     fn may_move(&self, zone: &str) -> Result<usize, Refusal> {
         let place = self.map.index(zone).ok_or_else(|| Refusal::UnknownZone(zone.to_owned()))?;
-        match &self.room.slate().held {
+        match &self.room.state().held {
             Some(held) => Err(Refusal::Held(held.by.clone())),
             None => Ok(place),
         }
     }
 
     fn evacuate(&mut self, zone: &str, by: &str) -> Result<bool, Refusal> {
-        if self.room.slate().emptied(zone) {
+        if self.room.state().emptied(zone) {
             return Ok(false);
         }
         let place = self.may_move(zone)?;
@@ -65,16 +65,16 @@
             short => return Err(Refusal::NoSpare { zone: zone.to_owned(), short: short.div_ceil(1_000) }),
         }
         let standing = Standing { by: by.to_owned(), age: 0 };
-        self.room.slate_mut().emptied.push((zone.to_owned(), standing));
+        self.room.state_mut().emptied.push((zone.to_owned(), standing));
         Ok(true)
     }
 
     fn back(&mut self, zone: &str) -> Result<bool, Refusal> {
-        if self.map.index(zone).is_some() && !self.room.slate().emptied(zone) {
+        if self.map.index(zone).is_some() && !self.room.state().emptied(zone) {
             return Ok(false);
         }
         self.may_move(zone)?;
-        self.room.slate_mut().emptied.retain(|(emptied, _)| emptied != zone);
+        self.room.state_mut().emptied.retain(|(emptied, _)| emptied != zone);
         Ok(true)
     }
 }
--- a/zones/src/desk/state.rs
+++ b/zones/src/desk/state.rs
@@ -7,7 +7,7 @@
 use crate::steps::{Share, Shares};
 use crate::word::{Doubt, Sight};
 use crate::zones::Zones;
-use flaxhead_lease::{Micros, Process, Room, Version};
+use flaxhead_lease::{LeaderContext, Micros, Process, Version};
 use std::collections::BTreeMap;
 
 /// What the holder keeps of the plan; gone with the lease. All that must outlive it is in the plan.
@@ -36,20 +36,20 @@
     pub map: &'a Map,
     pub pace: &'a Pace,
     pub desk: &'a mut Desk,
-    pub room: &'a mut Room<'b, Zones>,
+    pub room: &'a mut LeaderContext<'b, Zones>,
 }
 
 impl Desk {
     /// Goes on where the last holder was, as far as the plan says it.
-    pub(crate) fn begin(map: &Map, pace: &Pace, room: &mut Room<'_, Zones>) -> Desk {
+    pub(crate) fn begin(map: &Map, pace: &Pace, room: &mut LeaderContext<'_, Zones>) -> Desk {
         let now = room.now;
         let mut judge = Judge::new(now, map);
         let mut learned = vec![1_000; map.count()];
-        if room.slate().check(map).is_err() {
+        if room.state().check(map).is_err() {
             // Nobody could go by it: only what it is not wrong about is of use, and that is not known.
-            *room.slate_mut() = Plan::default();
+            *room.state_mut() = Plan::default();
         }
-        for pair in &room.slate().pairs {
+        for pair in &room.state().pairs {
             let places = map.index(&pair.from).zip(map.index(&pair.to));
             let sight = [Sight::Well, Sight::Strained, Sight::Lost].get(usize::from(pair.sight)).copied();
             if let (Some((from, to)), Some(sight)) = (places, sight) {
@@ -57,13 +57,13 @@
                 judge.set(from, to, Steady::had(sight, since, pair.witnesses, pair.falls));
             }
         }
-        for of in &room.slate().rooms {
+        for of in &room.state().rooms {
             if let Some(zone) = map.index(&of.zone) {
                 learned[zone] = of.learned.clamp(1, 1_000);
             }
         }
-        let number = Version { fence: Some(room.ballot().clone()), seq: room.seq() };
-        room.slate_mut().number = number;
+        let number = Version { fence: Some(room.ballot().clone()), seq: room.state_seq() };
+        room.state_mut().number = number;
         Desk {
             judge,
             learned,
--- a/zones/src/desk/write.rs
+++ b/zones/src/desk/write.rs
@@ -18,13 +18,13 @@
         }
         self.desk.look_at = now + LOOK;
         // Before it has a list itself it can say nothing of what zones can do.
-        if self.room.facts.own.is_empty() {
+        if self.room.facts.application.is_empty() {
             return;
         }
-        let forgotten = self.room.slate().held.as_ref().filter(|held| held.age > self.pace.hold_most);
+        let forgotten = self.room.state().held.as_ref().filter(|held| held.age > self.pace.hold_most);
         if let Some(by) = forgotten.map(|held| held.by.clone()) {
             self.note("released", "", format!("{by} held it for too long"));
-            self.room.slate_mut().held = None;
+            self.room.state_mut().held = None;
             self.desk.move_at = now;
             self.tell();
         }
@@ -37,12 +37,12 @@
         }
         self.desk.move_at = now + self.pace.step_every;
         let urgent = std::mem::take(&mut self.desk.urgent);
-        if self.room.slate().held.is_some() && !urgent {
+        if self.room.state().held.is_some() && !urgent {
             return;
         }
         let step = self.scene();
-        let had = shares(self.room.slate(), self.map);
-        let none = self.room.slate().rows.is_empty();
+        let had = shares(self.room.state(), self.map);
+        let none = self.room.state().rows.is_empty();
         let next = step.next((!none).then_some(&had), self.pace);
         if none || urgent || moved(&step, &had, &next, self.pace) {
             let rooms = step.scene.room.clone();
@@ -77,21 +77,21 @@
                 }
             }
         }
-        let plan = self.room.slate_mut();
+        let plan = self.room.state_mut();
         (plan.rows, plan.rooms, plan.pairs) = (rows, rooms, pairs);
         self.tell();
         let crossing = |(from, share): (usize, &Option<crate::steps::Share>)| {
             share.as_ref().map(|share| format!("{} keeps {}", map.name(from), share.parts[from] / 100))
         };
         let shares: Vec<String> = next.iter().enumerate().filter_map(crossing).collect();
-        let number = self.room.slate().number.to_string();
+        let number = self.room.state().number.to_string();
         self.note("plan", "", format!("{number}: {} of 100", shares.join(", ")));
     }
 
     /// The plan is another: it gets the next number, and all are told.
     pub(super) fn tell(&mut self) {
-        self.room.change();
-        let number = Version { fence: Some(self.room.ballot().clone()), seq: self.room.seq() };
-        self.room.slate_mut().number = number;
+        self.room.publish();
+        let number = Version { fence: Some(self.room.ballot().clone()), seq: self.room.state_seq() };
+        self.room.state_mut().number = number;
     }
 }
--- a/zones/src/lib.rs
+++ b/zones/src/lib.rs
@@ -51,4 +51,4 @@
 /// What a process knows from elsewhere.
 pub type Facts = flaxhead_lease::Facts<Vec<Host>>;
 /// What a process is given with everything that happens.
-pub type Around<'a> = flaxhead_lease::Around<'a, Vec<Host>>;
+pub type Around<'a> = flaxhead_lease::Context<'a, Vec<Host>>;
--- a/zones/src/order.rs
+++ b/zones/src/order.rs
@@ -1,7 +1,7 @@
 //! What operators order, and what they are told.
 
 use crate::map::{good, NAME_MOST};
-use flaxhead_lease::Unsettled;
+use flaxhead_lease::CommandError;
 use serde::{Deserialize, Serialize};
 
 /// What an operator says.
@@ -79,12 +79,12 @@
     Held(String),
 }
 
-impl From<Unsettled> for Refusal {
-    fn from(why: Unsettled) -> Refusal {
+impl From<CommandError> for Refusal {
+    fn from(why: CommandError) -> Refusal {
         match why {
-            Unsettled::NoHolder => Refusal::NoHolder,
-            Unsettled::TimedOut => Refusal::TimedOut,
-            Unsettled::TooMany(most) => Refusal::TooMany(most),
+            CommandError::NoLeader => Refusal::NoHolder,
+            CommandError::TimedOut => Refusal::TimedOut,
+            CommandError::TooManyPending(most) => Refusal::TooMany(most),
         }
     }
 }
--- a/zones/src/plan.rs
+++ b/zones/src/plan.rs
@@ -3,7 +3,7 @@
 use crate::fill::{Level, PARTS};
 use crate::map::{good, Map, ZONES_MOST};
 use crate::word::Sight;
-use flaxhead_lease::{Micros, Slate, Version};
+use flaxhead_lease::{Micros, ReplicatedState, Version};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
@@ -175,8 +175,8 @@
     }
 }
 
-impl Slate for Plan {
-    fn age(&mut self, by: Micros) {
+impl ReplicatedState for Plan {
+    fn advance(&mut self, by: Micros) {
         let orders = self.emptied.iter_mut().map(|(_, standing)| standing).chain(&mut self.held);
         let ages =
             orders.map(|standing| &mut standing.age).chain(self.pairs.iter_mut().map(|pair| &mut pair.age));
--- a/zones/src/view.rs
+++ b/zones/src/view.rs
@@ -72,10 +72,10 @@
 
     /// The plan that is gone by.
     pub fn in_force<'a>(&'a self, now: Micros, member: &'a Member<Zones>) -> Result<&'a Plan, Lapse> {
-        if !member.admitted() {
+        if !member.is_admitted() {
             return Err(Lapse::NotLetIn);
         }
-        if now >= member.permitted() {
+        if now >= member.lease_expiry() {
             return Err(Lapse::RanOut);
         }
         // The last good one: where the one that was told last cannot be gone by, it is kept.
--- a/zones/src/zones.rs
+++ b/zones/src/zones.rs
@@ -7,7 +7,7 @@
 use crate::plan::{Plan, PlanError};
 use crate::tally::Tally;
 use crate::word::Word;
-use flaxhead_lease::{Config, Micros, Terms};
+use flaxhead_lease::{ApplicationTypes, Config, Micros};
 
 /// A step, for the trail and the log of the holder.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -42,7 +42,13 @@
     /// How the machine is to be paced. A plan that is forgotten is made anew from figures; a lease is how long an old
     /// one may be gone by at the longest.
     pub fn config(lease: Micros) -> Config {
-        Config { lease, longest_call: lease, cold_wait: 2 * lease, alone_after: 2 * lease, known_wait: 0 }
+        Config {
+            lease,
+            max_call_duration: lease,
+            state_loss_timeout: 2 * lease,
+            autonomy_timeout: 2 * lease,
+            operator_wait: 0,
+        }
     }
 
     /// The zones.
@@ -76,19 +82,19 @@
     }
 }
 
-impl Terms for Zones {
-    type Slate = Plan;
-    type Word = Word;
-    type Leave = ();
-    type Order = Order;
-    type Answer = Done;
-    type Refusal = Refusal;
+impl ApplicationTypes for Zones {
+    type State = Plan;
+    type Report = Word;
+    type Grant = ();
+    type Command = Order;
+    type Response = Done;
+    type Rejection = Refusal;
     type Facts = Vec<Host>;
-    type Note = Noted;
+    type Event = Noted;
 
     // As many zones as a map can have, with their longest names, each lost to and served by all.
-    const SLATE_MOST: usize = 1 << 18;
-    const WORD_MOST: usize = 1 << 12;
-    const LEAVE_MOST: usize = 0;
-    const ORDER_MOST: usize = 1 << 9;
+    const MAX_STATE_BYTES: usize = 1 << 18;
+    const MAX_REPORT_BYTES: usize = 1 << 12;
+    const MAX_GRANT_BYTES: usize = 0;
+    const MAX_COMMAND_BYTES: usize = 1 << 9;
 }
--- a/zones/tests/failover.rs
+++ b/zones/tests/failover.rs
@@ -142,7 +142,7 @@
     // Nothing of a goes to b any more, and b is as it was to others.
     assert_eq!(fleet.part(0, 1), Some(0));
     let machine = fleet.machine(fleet.holder().expect("a holder")).expect("runs");
-    let lost = machine.slate().pairs.iter().filter(|pair| pair.sight == 2 && pair.to == "b");
+    let lost = machine.state().pairs.iter().filter(|pair| pair.sight == 2 && pair.to == "b");
     assert_eq!(lost.map(|pair| pair.from.as_str()).collect::<Vec<_>>(), ["a"]);
     fleet.site.cut.clear();
     fleet.site.back(0, 0.1);
@@ -471,7 +471,7 @@
     fleet.play(10 * SECOND);
     let machine = fleet.machine(5).expect("runs");
     let now = fleet.places[5].local(fleet.now);
-    let row = machine.slate().row("b").expect("a row");
+    let row = machine.state().row("b").expect("a row");
     let given = |zone: usize| row.shares.iter().any(|(to, part)| to == fleet.map.name(zone) && *part > 0);
     assert!(!given(1) && [0, 2, 3].into_iter().all(given));
     for drawn in 0..256_u32 {
--- a/zones/tests/fleet/mod.rs
+++ b/zones/tests/fleet/mod.rs
@@ -202,7 +202,7 @@
         self.lives += 1;
         let voters = (0..5.min(self.plan.processes | 1)).map(name).collect();
         let voters = Voters::new(voters, Vec::new()).expect("voters");
-        let me = Process { name: name(place), life: self.lives, at: at(place) };
+        let me = Process { name: name(place), incarnation: self.lives, address: at(place) };
         let now = self.local(place);
         let zones = Zones::new(now, self.map.clone(), self.pace.clone(), self.places[place].zone);
         let machine = Machine::new(Zones::config(LEASE), zones, voters, me, now);
@@ -253,7 +253,7 @@
 
     /// An operator orders something at a process; the answer comes to [`Seen::answers`].
     pub fn order(&mut self, place: usize, id: u64, order: flaxhead_zones::Order) {
-        self.act(place, |machine, around, out| machine.order(around, id, order, 5 * SECOND, out));
+        self.act(place, |machine, around, out| machine.submit(around, id, order, 5 * SECOND, out));
     }
 
     pub fn holder(&self) -> Option<usize> {
@@ -261,7 +261,7 @@
             let of = &self.places[*place];
             !of.frozen
                 && !of.apart
-                && of.machine.as_ref().is_some_and(|m| m.holds(self.local(*place)).is_some())
+                && of.machine.as_ref().is_some_and(|m| m.leading_ballot(self.local(*place)).is_some())
         })
     }
 
@@ -273,7 +273,7 @@
     pub fn claim_all_lost(&mut self, place: usize) {
         let count = self.map.count();
         let Some(machine) = self.places[place].machine.as_mut() else { return };
-        let tally = machine.matter_mut().tally_mut();
+        let tally = machine.application_mut().tally_mut();
         (0..count).for_each(|zone| tally.stands(zone, 1, true));
     }
 
@@ -336,7 +336,7 @@
     /// How much of what is asked for in a zone goes to another, by the plan at the holder, in parts of ten thousand.
     pub fn part(&self, from: usize, to: usize) -> Option<u32> {
         let machine = self.machine(self.holder()?)?;
-        let row = machine.slate().row(self.map.name(from))?;
+        let row = machine.state().row(self.map.name(from))?;
         Some(row.shares.iter().find(|(zone, _)| zone == self.map.name(to)).map_or(0, |(_, part)| *part))
     }
 
--- a/zones/tests/fleet/net.rs
+++ b/zones/tests/fleet/net.rs
@@ -1,7 +1,7 @@
 //! Messages between the processes.
 
 use super::{at, name, Fleet, Place, What, SECOND};
-use flaxhead_lease::{MemberFact, Presence};
+use flaxhead_lease::{MemberStatus, Presence};
 use flaxhead_zones::{Around, Effect, Facts, Machine, Message};
 use rand_core::RngCore;
 
@@ -31,18 +31,18 @@
         // Only voters look at facts: for the others they need not be made.
         let facts = if place < 5 { self.known(place) } else { Facts::default() };
         let mut out = Vec::new();
-        machine.matter_mut().look(local);
+        machine.application_mut().look(local);
         let mut around = Around { now: local, facts: &facts, random: &mut self.random };
         act(&mut machine, &mut around, &mut out);
         self.places[place].machine = Some(machine);
         for effect in out {
             match effect {
                 Effect::Send { to, message } => self.send(place, &to, message),
-                Effect::Noted(noted) => self.seen.noted(self.now, noted),
-                Effect::Answer { id, result } => {
+                Effect::Event(noted) => self.seen.noted(self.now, noted),
+                Effect::CommandCompleted { id, result } => {
                     self.seen.answers.insert(id, result);
                 }
-                Effect::Holds(_) => {}
+                Effect::LeadershipChanged(_) => {}
             }
         }
         self.wake(place);
@@ -53,7 +53,7 @@
         if let Message::Renew(renewal) = &message {
             self.seen.words += 1;
             if self.seen.words.is_multiple_of(50) {
-                let bytes = postcard::to_stdvec(&renewal.word).expect("a word").len();
+                let bytes = postcard::to_stdvec(&renewal.report).expect("a word").len();
                 self.seen.word_most = self.seen.word_most.max(bytes);
             }
         }
@@ -89,7 +89,7 @@
             }
         };
         facts.members.remove(&name(of));
-        facts.takes_part =
+        facts.participates =
             !self.places[of].apart || self.now.saturating_sub(self.places[of].since) < 3 * SECOND;
         facts
     }
@@ -99,14 +99,14 @@
             let Place { life, since, frozen, apart, machine, .. } = &self.places[place];
             let away = self.now.saturating_sub(*since);
             let presence = match (machine.is_none(), *frozen || *apart) {
-                (true, _) if away > 2 * SECOND => Presence::Ended,
-                (_, true) if away > 10 * SECOND => Presence::Silent,
-                (_, true) if away > 3 * SECOND => Presence::Doubted,
-                _ => Presence::Runs,
+                (true, _) if away > 2 * SECOND => Presence::Exited,
+                (_, true) if away > 10 * SECOND => Presence::Unreachable,
+                (_, true) if away > 3 * SECOND => Presence::Suspected,
+                _ => Presence::Alive,
             };
-            (name(place), MemberFact { life: *life, at: at(place), presence, since: 0 })
+            (name(place), MemberStatus { incarnation: *life, address: at(place), presence, since: 0 })
         };
         let members = (0..self.places.len()).map(fact).collect();
-        Facts { own: self.site.hosts(), members, takes_part: true }
+        Facts { application: self.site.hosts(), members, participates: true }
     }
 }
--- a/zones/tests/fleet/site.rs
+++ b/zones/tests/fleet/site.rs
@@ -200,8 +200,8 @@
             let of = &mut self.places[place];
             let news = !of.frozen
                 && of.machine.as_mut().is_some_and(|machine| {
-                    machine.matter_mut().look(local);
-                    machine.application().hurries()
+                    machine.application_mut().look(local);
+                    machine.application().wants_early_renewal()
                 });
             if news {
                 self.wake(place);
@@ -220,7 +220,7 @@
             .collect();
         let of = &mut self.places[place];
         let Some(machine) = of.machine.as_mut() else { return 0.0 };
-        let tally = machine.matter_mut().tally_mut();
+        let tally = machine.application_mut().tally_mut();
         let whole = |sum: &mut f64, more: f64| {
             *sum += more;
             let count = sum.floor();
--- a/zones/tests/model/world.rs
+++ b/zones/tests/model/world.rs
@@ -1,6 +1,6 @@
 //! The processes, what is on the way between them, and what goes wrong; a step at a time.
 
-use flaxhead_lease::{MemberFact, Presence, Version, Voters};
+use flaxhead_lease::{MemberStatus, Presence, Version, Voters};
 use flaxhead_zones::{
     Around, Effect, Facts, Host, Lapse, Machine, Map, MapTerms, Message, Micros, Name, Pace, Plan, Process,
     Row, Zones,
@@ -130,7 +130,7 @@
 fn machine(node: usize, world: &mut World) -> Machine {
     world.lives += 1;
     let voters = Voters::new((0..NODES).map(name).collect(), Vec::new()).expect("voters");
-    let me = Process { name: name(node), life: 100 * world.lives + node as u64, at: at(node) };
+    let me = Process { name: name(node), incarnation: 100 * world.lives + node as u64, address: at(node) };
     let time = now(world.step);
     let zones = Zones::new(time, map(), Pace::default(), node);
     Machine::new(Zones::config(LEASE), zones, voters, me, time)
@@ -173,15 +173,15 @@
     fn facts(&self, world: &World, of: usize) -> Facts {
         let away = |node: usize| world.lasting.is_some_and(|(who, _, _)| who == node || who == of);
         let member = |node: usize| {
-            let presence = if away(node) { Presence::Silent } else { Presence::Runs };
-            let life = world.nodes[node].me().life;
-            (name(node), MemberFact { life, at: at(node), presence, since: 0 })
+            let presence = if away(node) { Presence::Unreachable } else { Presence::Alive };
+            let life = world.nodes[node].me().incarnation;
+            (name(node), MemberStatus { incarnation: life, address: at(node), presence, since: 0 })
         };
         let host = |zone: usize| Host { zone, ready: true, warmth: 1_000, size: 1_000 };
         Facts {
             members: (0..NODES).filter(|node| *node != of).map(member).collect(),
-            takes_part: true,
-            own: (0..NODES).flat_map(|zone| [host(zone), host(zone)]).collect(),
+            participates: true,
+            application: (0..NODES).flat_map(|zone| [host(zone), host(zone)]).collect(),
         }
     }
 
@@ -225,14 +225,14 @@
         let mut out = Vec::new();
         match message {
             None => {
-                let tally = machine.matter_mut().tally_mut();
+                let tally = machine.application_mut().tally_mut();
                 tally.asked(time, 0, 50);
                 for zone in 0..NODES {
                     let gone = lost && zone == NODES - 1;
                     tally.done(time, zone, if gone { 0 } else { 20 }, 10);
                     tally.stands(zone, 0, gone);
                 }
-                machine.matter_mut().look(time);
+                machine.application_mut().look(time);
                 machine.tick(&mut around, &mut out);
             }
             Some((from, message)) => {
@@ -252,8 +252,8 @@
 
     /// What a broken rule makes of a message.
     fn tampered(&self, mut message: Message) -> Message {
-        if let (Message::Tell { told }, Broken::Number) = (&mut message, self.broken) {
-            told.slate.number.seq = 1;
+        if let (Message::StateUpdate { state }, Broken::Number) = (&mut message, self.broken) {
+            state.state.number.seq = 1;
         }
         message
     }
@@ -262,7 +262,7 @@
         let time = now(world.step);
         let mut wrong = None;
         let holding: Vec<usize> =
-            (0..NODES).filter(|node| world.nodes[*node].holds(time).is_some()).collect();
+            (0..NODES).filter(|node| world.nodes[*node].leading_ballot(time).is_some()).collect();
         if holding.len() > 1 {
             wrong = Some("two hold at once");
         }
@@ -270,8 +270,8 @@
             if self.is_frozen(world, node) {
                 continue;
             }
-            let Some(hold) = world.nodes[node].hold(time) else { continue };
-            let plan = hold.told().slate.clone();
+            let Some(hold) = world.nodes[node].leader_state(time) else { continue };
+            let plan = hold.state().state.clone();
             world.settled.insert(plan.number, (plan.rows, world.step));
         }
         for node in 0..NODES {
--- a/zones/tests/plan.rs
+++ b/zones/tests/plan.rs
@@ -1,6 +1,6 @@
 //! What a plan may say, how long it can get, and how it narrows a process's choice.
 
-use flaxhead_lease::{Application, Ballot, Slate, Terms, Version};
+use flaxhead_lease::{Application, ApplicationTypes, Ballot, ReplicatedState, Version};
 use flaxhead_zones::fill::{Level, PARTS};
 use flaxhead_zones::{
     Map, MapTerms, Name, Pace, Pair, Plan, PlanError, Room, Row, Standing, Toward, Word, Zones, CLASSES,
@@ -21,7 +21,7 @@
 }
 
 fn plan(seq: u64, rows: Vec<Row>) -> Plan {
-    let fence = Some(Ballot { round: 1, name: Name::new("p1").expect("a name"), life: 1 });
+    let fence = Some(Ballot { round: 1, name: Name::new("p1").expect("a name"), incarnation: 1 });
     Plan { number: Version { fence, seq }, rows, ..Plan::default() }
 }
 
@@ -50,11 +50,11 @@
     ];
     for (bad, what) in cases {
         let mut zones = Zones::new(0, abc(), Pace::default(), 0);
-        zones.told(0, &good);
-        zones.told(1, &bad);
+        zones.state_changed(0, &good);
+        zones.state_changed(1, &bad);
         assert!(zones.refused().is_some_and(what), "{bad:?}: {:?}", zones.refused());
         assert_eq!(zones.good(), &good);
-        zones.told(2, &Plan { number: plan(3, Vec::new()).number, ..good.clone() });
+        zones.state_changed(2, &Plan { number: plan(3, Vec::new()).number, ..good.clone() });
         assert_eq!((zones.refused(), zones.good().number.seq), (None, 3));
     }
 }
@@ -98,7 +98,7 @@
     let word = postcard::to_stdvec(&word).expect("a word").len();
     let longest = postcard::to_stdvec(&longest).expect("a plan").len();
     println!("{word} bytes, {longest} bytes");
-    assert!(word <= Zones::WORD_MOST && longest <= Zones::SLATE_MOST, "{word}, {longest}");
+    assert!(word <= Zones::MAX_REPORT_BYTES && longest <= Zones::MAX_STATE_BYTES, "{word}, {longest}");
 }
 
 #[test]
