--- a/coordination/src/wire/tests.rs
+++ b/coordination/src/codec/tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `wire`.
+//! Unit tests of the codec.
 
 use super::*;
 use flaxhead_lease::{
@@ -7,9 +7,9 @@
 };
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Words;
+struct Texts;
 
-impl ApplicationTypes for Words {
+impl ApplicationTypes for Texts {
     type State = ();
     type Report = String;
     type Grant = String;
@@ -24,7 +24,7 @@
     const MAX_COMMAND_BYTES: usize = 0;
 }
 
-impl Application for Words {
+impl Application for Texts {
     type LeaderData = ();
 
     fn report(&mut self, _: Micros, _: &Member<Self>, (): &()) -> String {
@@ -41,37 +41,33 @@
         &self,
         (): &mut (),
         _: &mut LeaderContext<'_, Self>,
-        order: NoCommand,
+        command: NoCommand,
     ) -> Result<NoCommand, CommandError> {
-        match order {}
+        match command {}
     }
 }
 
-fn granted(length: usize) -> Message<Words> {
+fn granted(length: usize) -> Message<Texts> {
     let ballot = Ballot { round: 1, name: Name::new("a").expect("a name"), incarnation: 1 };
-    Message::Granted(Box::new(LeaseGrant {
-        ballot,
-        incarnation: 1,
-        requested_at: 1,
-        is_recovered: true,
-        grant: "x".repeat(length),
-    }))
+    let grant = "x".repeat(length);
+    let grant = LeaseGrant { ballot, incarnation: 1, requested_at: 1, is_recovered: true, grant };
+    Message::Granted(Box::new(grant))
 }
 
 #[test]
-fn what_is_longer_than_its_matter_says_is_neither_sent_nor_taken() {
+fn a_message_that_is_longer_than_its_application_allows_is_neither_sent_nor_taken() {
     let good = granted(1_000);
-    let bytes = encode(&good).expect("fits");
-    assert_eq!(decode::<Words>(&bytes), Ok(good));
-    // As long as a word may be, but it is a leave.
+    let bytes = encode(&good).expect("it fits");
+    assert_eq!(decode::<Texts>(&bytes), Ok(good));
+    // As long as a report may be, but it is a grant.
     let long = granted(1_900);
-    assert_eq!(encode(&long), Err(Unfit::Long));
+    assert_eq!(encode(&long), Err(CodecError::TooLong));
     let bytes = postcard::to_allocvec(&long).expect("bytes");
-    assert_eq!(decode::<Words>(&bytes), Err(Unfit::Long));
-    let huge = vec![0; Message::<Words>::MAX_BYTES + 1];
-    assert_eq!(decode::<Words>(&huge), Err(Unfit::Long));
-    assert_eq!(decode::<Words>(&[0xff, 1, 2]), Err(Unfit::Malformed));
-    let mut more = encode(&granted(1)).expect("fits");
-    more.push(0);
-    assert_eq!(decode::<Words>(&more), Err(Unfit::Malformed));
+    assert_eq!(decode::<Texts>(&bytes), Err(CodecError::TooLong));
+    let huge = vec![0; Message::<Texts>::MAX_BYTES + 1];
+    assert_eq!(decode::<Texts>(&huge), Err(CodecError::TooLong));
+    assert_eq!(decode::<Texts>(&[0xff, 1, 2]), Err(CodecError::Malformed));
+    let mut excess = encode(&granted(1)).expect("it fits");
+    excess.push(0);
+    assert_eq!(decode::<Texts>(&excess), Err(CodecError::Malformed));
 }
--- a/coordination/src/members.rs
+++ b/coordination/src/members.rs
@@ -1,35 +1,40 @@
-//! The membership, as what is settled in common goes by it.
+//! The membership, as a machine sees it.
 
 use flaxhead_lease::{MemberStatus, Presence};
 use flaxhead_membership::{Cause, Machine, Member, Micros, Name, State};
 use std::collections::BTreeMap;
 
-/// All others that are known.
-pub(crate) fn facts(machine: &Machine, now: Micros) -> BTreeMap<Name, MemberStatus> {
+const MICROS_PER_MILLI: Micros = 1_000;
+
+/// All other members that are known.
+pub(crate) fn statuses(machine: &Machine, now: Micros) -> BTreeMap<Name, MemberStatus> {
     let view = machine.view(now);
     let since = |name: &Name| {
         let for_ms = view.member(name).map_or(0, |member| member.for_ms);
-        now.saturating_sub(for_ms.saturating_mul(1_000))
+        now.saturating_sub(for_ms.saturating_mul(MICROS_PER_MILLI))
     };
-    let fact = |member: &Member| {
-        let card = &member.card;
-        let (life, at, since) = (card.stamp.life, card.at, since(&card.name));
-        (
-            card.name.clone(),
-            MemberStatus { incarnation: life, address: at, presence: presence(member), since },
-        )
+    let status = |member: &Member| {
+        let record = &member.record;
+        let status = MemberStatus {
+            incarnation: record.stamp.incarnation,
+            address: record.address,
+            presence: presence(member),
+            since: since(&record.name),
+        };
+        (record.name.clone(), status)
     };
-    machine.table().others().map(fact).collect()
+    machine.table().others().map(status).collect()
 }
 
 fn presence(member: &Member) -> Presence {
+    let has_exited = || member.suspicions.iter().any(|suspicion| suspicion.cause == Cause::Refused);
     match member.state {
         State::Left => Presence::Left,
-        // Only its own machine's word that nothing listens there is proof that the process has ended.
-        State::Dead if member.words.iter().any(|word| word.cause == Cause::Refused) => Presence::Exited,
+        // Only its own machine's report that nothing listens there is proof that the process has ended.
+        State::Dead if has_exited() => Presence::Exited,
         State::Dead => Presence::Unreachable,
         State::Suspect => Presence::Suspected,
-        State::Alive | State::Heard if member.card.cut_off.is_some() => Presence::Suspected,
-        State::Alive | State::Heard => Presence::Alive,
+        State::Alive | State::Vouched if member.record.cut_off.is_some() => Presence::Suspected,
+        State::Alive | State::Vouched => Presence::Alive,
     }
 }
--- a/lab/benches/members.rs
+++ b/lab/benches/members.rs
@@ -3,7 +3,7 @@
 //! `cargo bench -p flaxhead-lab --bench members`
 
 use flaxhead_lab::peers::virtual_net::{Fault, Net, SECOND};
-use flaxhead_membership::{Card, Config, Kind, Machine, Micros, Name, Packet, Stamp, State, Update};
+use flaxhead_membership::{Config, Kind, Machine, MemberRecord, Micros, Name, Packet, Stamp, State, Update};
 use stats_alloc::{Region, StatsAlloc, INSTRUMENTED_SYSTEM};
 use std::alloc::System;
 use std::net::SocketAddr;
@@ -16,7 +16,7 @@
 const HOUR: Micros = 3_600 * SECOND;
 
 fn config(plain: bool) -> Config {
-    Config { plain, ..Config::default() }
+    Config { is_plain_swim: plain, ..Config::default() }
 }
 
 /// An hour under a trouble: removals of processes that run, each at each member, for each member and hour.
@@ -56,13 +56,19 @@
     };
     let card = |place: u32| {
         let name = Name::new(&format!("n{place}")).expect("a name");
-        Card { name, at: at(place), stamp: Stamp::first(place.into()), uptime_ms: 0, cut_off: None }
+        MemberRecord {
+            name,
+            address: at(place),
+            stamp: Stamp::first(place.into()),
+            uptime_ms: 0,
+            cut_off: None,
+        }
     };
-    let others = (2..members + 2).map(|place| Update { card: card(place), state: State::Alive, by: None });
-    let packet = Packet { from: card(1), digest: 0, kind: Kind::News, updates: others.collect() };
+    let others = (2..members + 2).map(|place| Update { record: card(place), state: State::Alive, by: None });
+    let packet = Packet { from: card(1), digest: 0, kind: Kind::Gossip, updates: others.collect() };
     let mut machine = Machine::new(card(0).name, at(0), Vec::new(), config(false), 1, 0);
     let region = Region::new(ALLOCATOR);
-    machine.exchanged(0, at(1), packet.clone(), &mut Vec::new());
+    machine.receive_full_state(0, at(1), packet.clone(), &mut Vec::new());
     let change = region.change();
     // What the copy of the packet took is freed by now.
     (change.bytes_allocated as f64 - change.bytes_deallocated as f64) / f64::from(members)
--- a/lab/src/peers/virtual_net.rs
+++ b/lab/src/peers/virtual_net.rs
@@ -2,7 +2,7 @@
 //! processes. One seed gives one run.
 
 use flaxhead_membership::{
-    Card, Change, Config, Effect, Kind, Machine, Micros, Name, Packet, State, Update, Verdict,
+    Change, CheckResult, Config, Effect, Kind, Machine, MemberRecord, Micros, Name, Packet, State, Update,
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
@@ -95,7 +95,7 @@
     names: BTreeMap<Name, usize>,
     events: BinaryHeap<Reverse<(Micros, u64, Event)>>,
     packets: BTreeMap<u64, Packet>,
-    verdicts: BTreeMap<u64, Verdict>,
+    verdicts: BTreeMap<u64, CheckResult>,
     number: u64,
     random: Pcg64,
     /// What is wrong everywhere.
@@ -114,20 +114,20 @@
     /// Processes that all know of each other.
     pub fn whole(count: usize, config: Config, seed: u64) -> Net {
         let mut net = Net::strangers(count, config, seed);
-        let cards: Vec<Card> =
+        let cards: Vec<MemberRecord> =
             net.nodes.iter().filter_map(|n| n.machine.as_ref()).map(|m| m.table().me().clone()).collect();
         for place in 0..count {
             // As one full exchange brings it: only whom it is with is news to send on.
             let from = cards[(place + 1) % count].clone();
-            let other = |card: &&Card| card.name != from.name && card.name != cards[place].name;
+            let other = |card: &&MemberRecord| card.name != from.name && card.name != cards[place].name;
             let updates = cards.iter().filter(other).map(|card| Update {
-                card: card.clone(),
+                record: card.clone(),
                 state: State::Alive,
                 by: None,
             });
-            let packet = Packet { updates: updates.collect(), from, digest: 0, kind: Kind::News };
+            let packet = Packet { updates: updates.collect(), from, digest: 0, kind: Kind::Gossip };
             let Some(machine) = net.nodes[place].machine.as_mut() else { continue };
-            machine.exchanged(0, address((place + 1) % count), packet, &mut Vec::new());
+            machine.receive_full_state(0, address((place + 1) % count), packet, &mut Vec::new());
         }
         net
     }
@@ -371,13 +371,15 @@
                 let Some(verdict) = self.verdicts.remove(&number) else { return };
                 // A process that was started anew has asked nothing.
                 if self.life(to) == Some(life) {
-                    self.with(to, |machine, now, out| machine.checked(now, seq, verdict, out));
+                    self.with(to, |machine, now, out| machine.check_completed(now, seq, verdict, out));
                 }
             }
             Event::Exchange { from, to, number, answer } => {
                 let Some(packet) = self.packets.remove(&number) else { return };
-                let back = self.machine(to).map(Machine::exchange);
-                self.with(to, |machine, now, out| machine.exchanged(now, address(from), packet, out));
+                let back = self.machine(to).map(Machine::full_state);
+                self.with(to, |machine, now, out| {
+                    machine.receive_full_state(now, address(from), packet, out)
+                });
                 if let Some(back) = back.filter(|_| answer) {
                     self.exchange(to, from, back, false);
                 }
@@ -387,27 +389,27 @@
     }
 
     fn life(&self, place: usize) -> Option<u64> {
-        self.machine(place).map(|m| m.table().me().stamp.life)
+        self.machine(place).map(|m| m.table().me().stamp.incarnation)
     }
 
     /// A question over a connection arrives at a machine.
     fn asked(&mut self, from: usize, to: usize, seq: u32, life: u64) {
         let node = &self.nodes[to];
         let (verdict, wait) = match &node.machine {
-            None if node.vanished => (Verdict::Unreachable, CHECK_WAIT),
-            None => (Verdict::Refused, 0),
-            Some(_) if node.frozen => (Verdict::Stalled, CHECK_WAIT),
-            Some(machine) => (Verdict::Answered(machine.table().me().clone()), 0),
+            None if node.vanished => (CheckResult::Unreachable, CHECK_WAIT),
+            None => (CheckResult::Refused, 0),
+            Some(_) if node.frozen => (CheckResult::Stalled, CHECK_WAIT),
+            Some(machine) => (CheckResult::Answered(machine.table().me().clone()), 0),
         };
         let way = self.pass(to, from, 1);
         let (verdict, after) = match way {
             Some(way) => (verdict, way + wait),
-            None => (Verdict::Unreachable, CHECK_WAIT),
+            None => (CheckResult::Unreachable, CHECK_WAIT),
         };
         self.verdict(from, seq, verdict, after, life);
     }
 
-    fn verdict(&mut self, to: usize, seq: u32, verdict: Verdict, after: Micros, life: u64) {
+    fn verdict(&mut self, to: usize, seq: u32, verdict: CheckResult, after: Micros, life: u64) {
         self.number += 1;
         self.verdicts.insert(self.number, verdict);
         let number = self.number;
@@ -459,16 +461,18 @@
                     }
                 }
             }
-            Effect::Check { seq, at } => {
-                let (Some(&to), Some(life)) = (self.places.get(&at), self.life(from)) else { return };
+            Effect::Check { seq, address } => {
+                let (Some(&to), Some(life)) = (self.places.get(&address), self.life(from)) else { return };
                 match self.pass(from, to, 1) {
                     Some(way) => self.push(self.now + way, Event::Asked { from, to, seq, life }),
-                    None => self.verdict(from, seq, Verdict::Unreachable, CHECK_WAIT, life),
+                    None => self.verdict(from, seq, CheckResult::Unreachable, CHECK_WAIT, life),
                 }
             }
-            Effect::Exchange { at } => {
-                let (Some(&to), Some(machine)) = (self.places.get(&at), self.machine(from)) else { return };
-                let packet = machine.exchange();
+            Effect::Exchange { address } => {
+                let (Some(&to), Some(machine)) = (self.places.get(&address), self.machine(from)) else {
+                    return;
+                };
+                let packet = machine.full_state();
                 self.exchange(from, to, packet, true);
             }
             Effect::Changed(change) => {
@@ -484,14 +488,15 @@
     /// Whether the very process runs that `by` has just taken for gone.
     fn runs(&self, by: usize, name: &Name) -> bool {
         let Some(&place) = self.names.get(name) else { return false };
-        let taken: Option<&Card> = self.machine(by).and_then(|m| m.table().get(name)).map(|m| &m.card);
-        self.life(place).is_some() && taken.map(|card| card.stamp.life) == self.life(place)
+        let taken: Option<&MemberRecord> =
+            self.machine(by).and_then(|m| m.table().get(name)).map(|m| &m.record);
+        self.life(place).is_some() && taken.map(|card| card.stamp.incarnation) == self.life(place)
     }
 
     /// The names that are taken to run, at each process that runs.
     pub fn views(&self) -> BTreeSet<Vec<String>> {
         let names = |m: &Machine| {
-            let mut names: Vec<String> = m.table().others().map(|o| o.card.name.to_string()).collect();
+            let mut names: Vec<String> = m.table().others().map(|o| o.record.name.to_string()).collect();
             names.push(m.table().me().name.to_string());
             names.sort();
             names
--- a/lab/tests/peers_net.rs
+++ b/lab/tests/peers_net.rs
@@ -117,10 +117,10 @@
         .expect("it finds out");
     net.run(120 * SECOND);
     assert_eq!(net.mistakes(), 0);
-    let told = net.machine(5).and_then(|m| m.table().get(&name(0))).map(|m| (m.state, m.card.cut_off));
+    let told = net.machine(5).and_then(|m| m.table().get(&name(0))).map(|m| (m.state, m.record.cut_off));
     assert_eq!(told.and_then(|t| t.1), Some(CutOff::Deaf), "{told:?}");
     (1..9).for_each(|other| net.link(other, 0, Fault::default()));
-    net.until(20 * SECOND, |net| net.agreed() && net.machine(0).is_some_and(|m| m.takes_part()))
+    net.until(20 * SECOND, |net| net.agreed() && net.machine(0).is_some_and(|m| m.participates()))
         .expect("it is back");
 }
 
@@ -139,7 +139,7 @@
     };
     assert_eq!(net.noticed().iter().filter(about).count(), 0);
     (1..9).for_each(|other| net.link(0, other, Fault::default()));
-    net.until(60 * SECOND, |net| net.agreed() && net.machine(0).is_some_and(|m| m.takes_part()))
+    net.until(60 * SECOND, |net| net.agreed() && net.machine(0).is_some_and(|m| m.participates()))
         .expect("it is back");
 }
 
@@ -179,7 +179,7 @@
     let mut net = whole(10, 12);
     (3..10).for_each(|place| net.crash(place));
     net.until(30 * SECOND, |net| (3..10).all(|place| net.known_gone(place))).expect("known");
-    assert!(net.running().iter().all(|&p| net.machine(p).is_some_and(|m| m.takes_part())));
+    assert!(net.running().iter().all(|&p| net.machine(p).is_some_and(|m| m.participates())));
     (3..10).for_each(|place| net.start(place));
     net.until(30 * SECOND, |net| net.agreed()).unwrap_or_else(|| panic!("{:?}", net.views()));
     // The same again, back before the dead are buried, and one of them gone again within its suspicion.
--- a/lab/tests/plugin/members.rs
+++ b/lab/tests/plugin/members.rs
@@ -13,7 +13,7 @@
         contacts: vec![relay.front(0)],
         cluster: "rig".into(),
         networks: vec!["127.0.0.0/8".parse().expect("a network")],
-        pace: Config::default(),
+        config: Config::default(),
     };
     let name = Name::new(&format!("app{place}")).expect("a name");
     let hosts = Hosts::Fixed(List { seq: 1, whole: true, hosts: Vec::new() });
--- a/lab/tests/returns_shares.rs
+++ b/lab/tests/returns_shares.rs
@@ -10,7 +10,7 @@
 use flaxhead_lab::proxy::Program;
 use flaxhead_lease::PersistentState;
 use flaxhead_quota::Shares;
-use flaxhead_snapshot::{disk, form, Snapshot};
+use flaxhead_snapshot::{disk, format, Snapshot};
 use serde_json::Value;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -82,14 +82,14 @@
 }
 
 fn change(file: &Path, change: impl FnOnce(&mut Snapshot)) {
-    let mut snapshot = form::read(&std::fs::read(file).expect("kept")).expect("whole");
+    let mut snapshot = format::decode(&std::fs::read(file).expect("kept")).expect("whole");
     change(&mut snapshot);
-    std::fs::write(file, form::write(snapshot).expect("it fits")).expect("written");
+    std::fs::write(file, format::encode(snapshot).expect("it fits")).expect("written");
 }
 
 /// Whether a voter has on its disk that it is sure of who takes part.
 fn sure(file: &Path) -> bool {
-    let parts = form::read(&std::fs::read(file).unwrap_or_default()).map(|snapshot| snapshot.parts);
+    let parts = format::decode(&std::fs::read(file).unwrap_or_default()).map(|snapshot| snapshot.parts);
     let parts = parts.unwrap_or_default();
     let shares = parts.iter().find(|part| part.name == "shares");
     let memory = shares.and_then(|part| postcard::from_bytes::<PersistentState<Shares>>(&part.bytes).ok());
--- a/lab/tests/state.rs
+++ b/lab/tests/state.rs
@@ -7,7 +7,7 @@
 use flaxhead_lab::proxy::Program;
 use flaxhead_lease::PersistentState;
 use flaxhead_maintenance::Turns;
-use flaxhead_snapshot::{disk, form, Snapshot};
+use flaxhead_snapshot::{disk, format, Snapshot};
 use orders::{work, PROGRAM};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -52,7 +52,7 @@
 /// Whether a voter has on its disk that it is sure of what it has there.
 fn sure(file: &Path) -> bool {
     let bytes = std::fs::read(file).unwrap_or_default();
-    let parts = form::read(&bytes).map(|snapshot| snapshot.parts).unwrap_or_default();
+    let parts = format::decode(&bytes).map(|snapshot| snapshot.parts).unwrap_or_default();
     let turns = parts.iter().find(|part| part.name == "turns");
     let memory = turns.and_then(|part| postcard::from_bytes::<PersistentState<Turns>>(&part.bytes).ok());
     memory.is_some_and(|memory| memory.is_recovered && !memory.state.state.turns.is_empty())
@@ -80,9 +80,9 @@
 }
 
 fn change(file: &Path, change: impl FnOnce(&mut Snapshot)) {
-    let mut snapshot = form::read(&std::fs::read(file).expect("kept")).expect("whole");
+    let mut snapshot = format::decode(&std::fs::read(file).expect("kept")).expect("whole");
     change(&mut snapshot);
-    std::fs::write(file, form::write(snapshot).expect("it fits")).expect("written");
+    std::fs::write(file, format::encode(snapshot).expect("it fits")).expect("written");
 }
 
 #[test]
--- a/maintenance/driver/src/driver.rs
+++ b/maintenance/driver/src/driver.rs
@@ -1,7 +1,7 @@
 //! The turns of one process, at their coordinator.
 
 use crate::side::{Hosts, Sparing};
-use flaxhead_coordination::{Coordinator, Disk};
+use flaxhead_coordination::{Coordinator, StateStore};
 use flaxhead_lease::{Config, Voters};
 use flaxhead_maintenance::{view, Answer, Order, Refusal, Rules, Turns, View};
 use flaxhead_peers::{Channel, Peers};
@@ -26,9 +26,9 @@
 
 impl Work {
     /// Runs over these peers, and remembers on the disk, where there is one. `seed` is new with each start.
-    pub fn start(settings: Settings, peers: Peers, seed: u64, disk: Option<Disk<Turns>>) -> Work {
+    pub fn start(settings: Settings, peers: Peers, seed: u64, disk: Option<StateStore<Turns>>) -> Work {
         let Settings { voters, config, rules } = settings;
-        let (channel, application) = (Channel::TURNS, Turns::new(rules));
+        let (channel, application) = (Channel::MAINTENANCE, Turns::new(rules));
         Work(Coordinator::start(
             flaxhead_coordination::Settings { channel, voters, config, application },
             peers,
@@ -39,7 +39,7 @@
 
     /// Tells when the process may send to hosts.
     pub fn open(&self) -> watch::Receiver<bool> {
-        self.0.open()
+        self.0.may_serve()
     }
 
     /// Takes part, with these hosts, until it is dropped. Runs inside a [`tokio::task::LocalSet`].
@@ -49,11 +49,11 @@
 
     /// What is shown.
     pub fn shown(&self) -> View {
-        self.0.look(view)
+        self.0.with_machine(view)
     }
 
     /// An operator's order, and what it led to.
     pub async fn order(&self, order: Order, patience: Duration) -> Result<Answer, Refusal> {
-        self.0.order(order, patience).await
+        self.0.submit(order, patience).await
     }
 }
--- a/maintenance/driver/src/lib.rs
+++ b/maintenance/driver/src/lib.rs
@@ -7,5 +7,5 @@
 mod side;
 
 pub use driver::{Settings, Work};
-pub use flaxhead_coordination::Disk;
+pub use flaxhead_coordination::{OpenedStore, StateStore};
 pub use side::Hosts;
--- a/maintenance/driver/src/side.rs
+++ b/maintenance/driver/src/side.rs
@@ -1,6 +1,6 @@
 //! The hosts of one process, as the turns go by them.
 
-use flaxhead_coordination::{Clock, Side};
+use flaxhead_coordination::{Clock, Participant};
 use flaxhead_lease::{Ballot, Machine, Micros};
 use flaxhead_maintenance::{spared, HostFacts, Step, Turns, Usage};
 use std::cell::RefCell;
@@ -31,16 +31,16 @@
     }
 }
 
-impl Side<Turns> for Sparing {
+impl Participant<Turns> for Sparing {
     fn facts(&self) -> HostFacts {
         self.hosts.facts()
     }
 
-    fn before(&self, application: &mut Turns) {
+    fn before_step(&self, application: &mut Turns) {
         application.use_of_hosts(self.hosts.usage());
     }
 
-    fn after(&self, machine: &Machine<Turns>, clock: Clock) {
+    fn after_step(&self, machine: &Machine<Turns>, clock: Clock) {
         let spared = spared(machine);
         if *self.spared.borrow() != spared {
             self.hosts.spare(spared.iter().map(|(host, from)| (host.clone(), clock.moment(*from))).collect());
@@ -48,14 +48,14 @@
         }
     }
 
-    fn holds(&self, fence: Option<&Ballot>) {
+    fn leadership_changed(&self, fence: Option<&Ballot>) {
         match fence {
             Some(fence) => tracing::info!("work: this proxy hands out turns, as {fence}"),
             None => tracing::info!("work: this proxy hands out turns no longer"),
         }
     }
 
-    fn noted(&self, step: Step) {
+    fn event(&self, step: Step) {
         let Step { turn, host, what, why } = &step;
         tracing::info!("work: turn {turn} of {host}: {what}: {why}");
         self.hosts.noted(&step);
--- a/maintenance/tests/disks/mod.rs
+++ b/maintenance/tests/disks/mod.rs
@@ -2,8 +2,8 @@
 //! somebody put back.
 
 use super::*;
-use flaxhead_snapshot::judge::judge;
-use flaxhead_snapshot::{Bounds, Header, Mine, Moment, Snapshot};
+use flaxhead_snapshot::validation::validate;
+use flaxhead_snapshot::{AgeLimits, ClockReading, Header, Identity, Snapshot};
 
 /// What processes that start again find on their disks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -33,13 +33,13 @@
         world: &World,
         on_disk: Option<(u8, PersistentState<Turns>)>,
     ) -> Option<PersistentState<Turns>> {
-        let moment = |step: u8| Moment { wall_ms: now(step), ..Moment::default() };
+        let moment = |step: u8| ClockReading { wall_ms: now(step), ..ClockReading::default() };
         let (written, memory) = on_disk?;
         let (header, parts) = (Header { written: moment(written), ..Header::default() }, Vec::new());
-        let mine = Mine { cluster: header.cluster.clone(), proxy: header.proxy.clone() };
+        let mine = Identity { cluster: header.cluster.clone(), proxy: header.proxy.clone() };
         let old_ms = if self.broken == Broken::Age { u64::MAX } else { STEP };
-        let bounds = Bounds { old_ms, ahead_ms: 0 };
-        judge(Snapshot { header, parts }, &mine, moment(world.step), bounds).ok().map(|_| memory)
+        let limits = AgeLimits { max_age_ms: old_ms, max_ahead_ms: 0 };
+        validate(Snapshot { header, parts }, &mine, moment(world.step), limits).ok().map(|_| memory)
     }
 
     /// What a node knew at the step's beginning is on its disk.
--- a/membership/src/health.rs
+++ b/membership/src/health.rs
@@ -4,12 +4,12 @@
 use serde::{Deserialize, Serialize};
 
 /// Most of the local health count (Lifeguard's S).
-const HEALTH_MOST: u32 = 8;
+const MAX_HEALTH: u32 = 8;
 /// Intervals without hearing anybody after which a process is deaf.
 const DEAF_INTERVALS: u64 = 4;
 /// Probes in vain without hearing anybody meanwhile, after which a process is deaf; and signs in a row that those who
 /// are heard do not hear it, after which it is mute.
-const SIGNS: u32 = 3;
+const MIN_SIGNS: u32 = 3;
 
 /// How a process is cut off from all others. By its own word: nobody else can tell.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -52,12 +52,12 @@
     /// Something that speaks for or against itself.
     pub(crate) fn add(&mut self, change: i32) {
         if self.on {
-            self.count = self.count.saturating_add_signed(change).min(HEALTH_MOST);
+            self.count = self.count.saturating_add_signed(change).min(MAX_HEALTH);
         }
     }
 
     /// Anything came from another.
-    pub(crate) fn hear(&mut self, now: Micros) {
+    pub(crate) fn heard_from_other(&mut self, now: Micros) {
         (self.heard, self.unheard) = (now, 0);
     }
 
@@ -67,7 +67,7 @@
     }
 
     /// A probe has ended in nothing.
-    pub(crate) fn in_vain(&mut self) {
+    pub(crate) fn probe_failed(&mut self) {
         self.unheard = self.unheard.saturating_add(1);
     }
 
@@ -91,8 +91,8 @@
         let silent = now.saturating_sub(self.heard) >= DEAF_INTERVALS * interval;
         match () {
             () if !self.on => None,
-            () if silent && self.unheard >= SIGNS => Some(CutOff::Deaf),
-            () if self.ignored >= SIGNS => Some(CutOff::Mute),
+            () if silent && self.unheard >= MIN_SIGNS => Some(CutOff::Deaf),
+            () if self.ignored >= MIN_SIGNS => Some(CutOff::Mute),
             () => None,
         }
     }
--- a/membership/src/lib.rs
+++ b/membership/src/lib.rs
@@ -25,11 +25,11 @@
 mod view;
 
 pub use health::CutOff;
-pub use machine::{Change, Config, Effect, Machine, Verdict};
+pub use machine::{Change, CheckResult, Config, Effect, Machine};
 pub use name::{Name, NameError, Stamp};
-pub use packet::{Card, Kind, Packet, Reject, Update};
-pub use table::{Cause, Member, Merge, State, Table, Word};
-pub use view::{MemberView, Reach, View};
+pub use packet::{Kind, MemberRecord, Packet, Rejection, Update};
+pub use table::{Cause, Member, MemberTable, MergeResult, State, SuspicionReport};
+pub use view::{MemberView, MembershipView, Reach};
 
 /// A moment or a span, in microseconds. Moments count from any fixed point before the machine's start.
 pub type Micros = u64;
--- a/membership/src/machine/contacts.rs
+++ b/membership/src/machine/contacts.rs
@@ -16,7 +16,7 @@
     /// Contacts at which no member is known. Each is asked until one is: a contact that others come to first knows
     /// them, and would ask no other contact; so those that start together could part into groups that never meet.
     pub(super) fn unmet(&self) -> impl Iterator<Item = SocketAddr> + '_ {
-        let met = |at: &SocketAddr| self.table.others().any(|member| member.card.at == *at);
+        let met = |at: &SocketAddr| self.table.others().any(|member| member.record.address == *at);
         self.contacts.iter().copied().filter(move |at| !met(at))
     }
 
@@ -31,28 +31,28 @@
             None => self.join_tries.min(JOIN_DOUBLINGS),
             Some(_) => self.unmet_tries.min(UNMET_DOUBLINGS),
         };
-        let wait = self.config.interval << doublings;
+        let wait = self.config.probe_interval << doublings;
         self.join_tries += 1;
         self.unmet_tries = self.unmet_tries.saturating_add(1);
         self.timers.join = now + wait / 2 + self.below(wait);
-        out.extend(unmet.get(place).map(|&at| Effect::Exchange { at }));
+        out.extend(unmet.get(place).map(|&at| Effect::Exchange { address: at }));
     }
 
     /// Asks one that is gone whether it is back: a cut that has healed is found out so.
     pub(super) fn reconnect(&mut self, now: Micros, out: &mut Vec<Effect>) {
-        let keep = self.config.keep;
+        let keep = self.config.retention;
         let is = |m: &&crate::Member, state| m.state == state;
         let gone = self.table.iter().filter(|m| is(m, State::Dead) || is(m, State::Left));
         let old = |m: &&crate::Member| {
-            self.peers.get(&m.card.name).is_some_and(|peer| now.saturating_sub(peer.since) >= keep)
+            self.peers.get(&m.record.name).is_some_and(|peer| now.saturating_sub(peer.since) >= keep)
         };
-        let old: Vec<Name> = gone.filter(old).map(|m| m.card.name.clone()).collect();
+        let old: Vec<Name> = gone.filter(old).map(|m| m.record.name.clone()).collect();
         for name in old {
-            self.table.forget(&name);
+            self.table.remove(&name);
             self.peers.remove(&name);
         }
         let dead: Vec<Name> =
-            self.table.iter().filter(|m| is(m, State::Dead)).map(|m| m.card.name.clone()).collect();
+            self.table.iter().filter(|m| is(m, State::Dead)).map(|m| m.record.name.clone()).collect();
         let place = self.below(dead.len() as u64) as usize;
         if let Some(name) = dead.get(place) {
             self.probe(now, name, Stage::Reconnect, false, out);
--- a/membership/src/machine/effect.rs
+++ b/membership/src/machine/effect.rs
@@ -1,16 +1,16 @@
 //! What a machine asks for, what comes of it, and what it has to tell.
 
 use crate::name::Name;
-use crate::packet::{Card, Packet};
+use crate::packet::{MemberRecord, Packet};
 use crate::table::Cause;
 use crate::CutOff;
 use std::net::SocketAddr;
 
 /// What a member's machine says when it is asked over a connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum CheckResult {
     /// The member answered.
-    Answered(Card),
+    Answered(MemberRecord),
     /// The connection came up and nothing was answered.
     Stalled,
     /// Nothing listens there.
@@ -36,7 +36,7 @@
         cause: Cause,
     },
     /// A member that was suspected, or taken for gone, runs.
-    Back(Name),
+    Recovered(Name),
     /// A member is taken for gone.
     Died {
         /// Which.
@@ -73,13 +73,13 @@
         /// Comes back with the verdict.
         seq: u32,
         /// Where.
-        at: SocketAddr,
+        address: SocketAddr,
     },
     /// A full exchange over a connection: what [`super::Machine::exchange`] gives goes there, what comes back to
     /// [`super::Machine::exchanged`].
     Exchange {
         /// Where.
-        at: SocketAddr,
+        address: SocketAddr,
     },
     /// Something changed.
     Changed(Change),
--- a/membership/src/machine/leaving.rs
+++ b/membership/src/machine/leaving.rs
@@ -7,14 +7,14 @@
 use std::collections::BTreeSet;
 
 /// Members that a leaving process wants to have told.
-const TOLD_LEAST: usize = 3;
+const MIN_NOTIFIED: usize = 3;
 /// How often it says so, and for how long at the most.
-const LEAVE_EVERY: Micros = 100_000;
-const LEAVE_MOST: Micros = 2_000_000;
+const LEAVE_INTERVAL: Micros = 100_000;
+const MAX_LEAVE_TIME: Micros = 2_000_000;
 
 #[derive(Clone, Debug)]
 pub(super) struct Leaving {
-    pub(super) told: BTreeSet<Name>,
+    pub(super) notified: BTreeSet<Name>,
     pub(super) next: Micros,
     pub(super) until: Micros,
 }
@@ -23,17 +23,17 @@
     /// This process goes. It says so until enough have heard it; [`Machine::is_gone`] tells when.
     pub fn leave(&mut self, now: Micros, out: &mut Vec<Effect>) {
         self.table.leave();
-        self.leaving = Some(Leaving { told: BTreeSet::new(), next: now, until: now + LEAVE_MOST });
-        self.say_goodbye(now, out);
+        self.leaving = Some(Leaving { notified: BTreeSet::new(), next: now, until: now + MAX_LEAVE_TIME });
+        self.announce_leave(now, out);
     }
 
     /// Whether a leaving process need not stay any longer.
     pub fn is_gone(&self, now: Micros) -> bool {
-        let least = self.table.others().count().min(TOLD_LEAST);
-        self.displaced || self.leaving.as_ref().is_some_and(|l| l.told.len() >= least || now >= l.until)
+        let least = self.table.others().count().min(MIN_NOTIFIED);
+        self.displaced || self.leaving.as_ref().is_some_and(|l| l.notified.len() >= least || now >= l.until)
     }
 
-    pub(super) fn say_goodbye(&mut self, now: Micros, out: &mut Vec<Effect>) {
+    pub(super) fn announce_leave(&mut self, now: Micros, out: &mut Vec<Effect>) {
         let due = self.leaving.as_ref().is_some_and(|l| now >= l.next);
         if !due || self.is_gone(now) {
             if let Some(leaving) = self.leaving.as_mut().filter(|_| due) {
@@ -41,13 +41,13 @@
             }
             return;
         }
-        for name in self.sample(TOLD_LEAST, None) {
-            let Some(to) = self.table.get(&name).map(|m| m.card.at) else { continue };
+        for name in self.sample(MIN_NOTIFIED, None) {
+            let Some(to) = self.table.get(&name).map(|m| m.record.address) else { continue };
             let seq = self.next_seq();
             self.send(Some(&name), to, Kind::Ping { seq, to: name.clone() }, out);
         }
         if let Some(leaving) = &mut self.leaving {
-            leaving.next = now + LEAVE_EVERY;
+            leaving.next = now + LEAVE_INTERVAL;
         }
     }
 }
--- a/membership/src/machine/mod.rs
+++ b/membership/src/machine/mod.rs
@@ -4,23 +4,23 @@
 mod contacts;
 mod dissemination;
 mod effect;
+mod gossip;
 mod leaving;
-mod oneself;
 mod probing;
 mod receive;
-mod shown;
+mod self_check;
 mod suspicion;
-mod words;
+mod view;
 
 pub use config::Config;
-pub use effect::{Change, Effect, Verdict};
+pub use effect::{Change, CheckResult, Effect};
 
 use crate::health::Health;
 use crate::name::{Name, Stamp};
-use crate::packet::{Card, Reject};
+use crate::packet::{MemberRecord, Rejection};
 use crate::probe::{Probe, Relay};
 use crate::queue::Queue;
-use crate::table::Table;
+use crate::table::MemberTable;
 use crate::view::Reach;
 use crate::{CutOff, Micros};
 use leaving::Leaving;
@@ -57,7 +57,7 @@
 #[derive(Clone, Debug)]
 pub struct Machine {
     config: Config,
-    table: Table,
+    table: MemberTable,
     peers: BTreeMap<Name, Peer>,
     random: Pcg32,
     started: Micros,
@@ -77,7 +77,7 @@
     unmet_tries: u32,
     leaving: Option<Leaving>,
     displaced: bool,
-    rejected: BTreeMap<Reject, u64>,
+    rejected: BTreeMap<Rejection, u64>,
     /// Counts the changes of the view.
     version: u64,
 }
@@ -95,10 +95,10 @@
     ) -> Machine {
         let mut random = Pcg32::seed_from_u64(seed);
         let life = random.next_u64();
-        let card = Card { name, at, stamp: Stamp::first(life), uptime_ms: 0, cut_off: None };
+        let card = MemberRecord { name, address: at, stamp: Stamp::first(life), uptime_ms: 0, cut_off: None };
         let contacts = contacts.into_iter().filter(|contact| *contact != at).collect();
         let mut machine = Machine {
-            table: Table::new(card),
+            table: MemberTable::new(card),
             peers: BTreeMap::new(),
             random,
             started: now,
@@ -111,7 +111,7 @@
             relays: BTreeMap::new(),
             deadlines: BTreeSet::new(),
             queue: Queue::default(),
-            health: Health::new(now, !config.plain),
+            health: Health::new(now, !config.is_plain_swim),
             cut_off: None,
             contacts,
             join_tries: 0,
@@ -123,14 +123,15 @@
             config,
         };
         // Processes that start together do not probe together.
-        machine.timers.probe = now + machine.below(machine.config.interval);
-        machine.timers.sync = now + machine.config.sync_every + machine.below(machine.config.sync_every);
-        machine.timers.reconnect = now + machine.below(machine.config.reconnect_every);
+        machine.timers.probe = now + machine.below(machine.config.probe_interval);
+        machine.timers.sync =
+            now + machine.config.sync_interval + machine.below(machine.config.sync_interval);
+        machine.timers.reconnect = now + machine.below(machine.config.reconnect_interval);
         machine
     }
 
     /// What is known.
-    pub fn table(&self) -> &Table {
+    pub fn table(&self) -> &MemberTable {
         &self.table
     }
 
@@ -140,12 +141,12 @@
     }
 
     /// Counts what came and was not taken.
-    pub fn rejected(&self) -> &BTreeMap<Reject, u64> {
+    pub fn rejected(&self) -> &BTreeMap<Rejection, u64> {
         &self.rejected
     }
 
     /// Whether the process may take part in what is settled in common.
-    pub fn takes_part(&self) -> bool {
+    pub fn participates(&self) -> bool {
         self.cut_off.is_none() && !self.displaced && self.leaving.is_none()
     }
 
@@ -174,11 +175,11 @@
         self.relays_due(now, out);
         self.suspicions_due(now, out);
         if now >= self.timers.probe {
-            self.timers.probe = now + self.config.interval * self.health.stretch();
+            self.timers.probe = now + self.config.probe_interval * self.health.stretch();
             self.start_probe(now, out);
         }
         if now >= self.timers.gossip && !self.queue.is_empty() {
-            self.timers.gossip = now + self.config.gossip_every;
+            self.timers.gossip = now + self.config.gossip_interval;
             self.gossip(out);
         }
         if now >= self.timers.sync {
@@ -187,14 +188,14 @@
             self.sync(now, out);
         }
         if now >= self.timers.reconnect {
-            self.timers.reconnect = now + self.config.reconnect_every;
+            self.timers.reconnect = now + self.config.reconnect_interval;
             self.reconnect(now, out);
         }
         if self.wants_contact() && now >= self.timers.join {
             self.join(now, out);
         }
-        self.say_goodbye(now, out);
-        self.look_at_oneself(now, out);
+        self.announce_leave(now, out);
+        self.assess_connectivity(now, out);
         // What was due before it was known to be is not late.
         self.due = self.next_wake().max(now);
     }
--- a/membership/src/machine/probing.rs
+++ b/membership/src/machine/probing.rs
@@ -4,13 +4,13 @@
 use crate::name::Name;
 use crate::packet::{Kind, Update};
 use crate::probe::{Probe, Stage};
-use crate::table::{Cause, State};
+use crate::table::{Cause, State, SuspicionReport};
 use crate::view::Reach;
 use crate::Micros;
 
 /// Members that are asked to make a last call: in an installation of two groups that one member joins, that one must be
 /// among them.
-const LAST_HELPERS: usize = 8;
+const MAX_FINAL_HELPERS: usize = 8;
 
 impl Machine {
     pub(super) fn start_probe(&mut self, now: Micros, out: &mut Vec<Effect>) {
@@ -50,8 +50,8 @@
         out: &mut Vec<Effect>,
     ) {
         let Some(member) = self.table.get(name) else { return };
-        let (at, stamp) = (member.card.at, member.card.stamp);
-        let (seq, due) = (self.next_seq(), now + self.config.ack_wait * self.health.stretch());
+        let (at, stamp) = (member.record.address, member.record.stamp);
+        let (seq, due) = (self.next_seq(), now + self.config.ack_timeout * self.health.stretch());
         self.send(Some(name), at, Kind::Ping { seq, to: name.clone() }, out);
         let (helpers, nacks, refused, checked) = Default::default();
         let name = name.clone();
@@ -63,34 +63,34 @@
         let due: Vec<u32> = self.probes.iter().filter(|(_, p)| now >= p.due).map(|(&seq, _)| seq).collect();
         for seq in due {
             match self.probes.get(&seq).map(|probe| probe.stage) {
-                Some(Stage::Direct) => self.ask_others(now, seq, out),
-                Some(Stage::Indirect) => self.in_vain(now, seq, out),
+                Some(Stage::Direct) => self.probe_indirectly(now, seq, out),
+                Some(Stage::Indirect) => self.probe_failed(now, seq, out),
                 Some(Stage::Reconnect | Stage::Compare) | None => drop(self.probes.remove(&seq)),
             }
         }
     }
 
-    pub(super) fn ask_others(&mut self, now: Micros, seq: u32, out: &mut Vec<Effect>) {
+    pub(super) fn probe_indirectly(&mut self, now: Micros, seq: u32, out: &mut Vec<Effect>) {
         let Some(probe) = self.probes.get(&seq).cloned() else { return };
-        let Some(at) = self.table.get(&probe.name).map(|m| m.card.at) else { return };
+        let Some(at) = self.table.get(&probe.name).map(|m| m.record.address) else { return };
         // One through which it answered before comes first: it may be the only one between two groups.
         let via = self.peers.get(&probe.name).and_then(|peer| peer.via.clone());
-        let mut helpers: Vec<Name> = via.into_iter().filter(|via| self.helps(via)).collect();
-        let count = if probe.last_call { LAST_HELPERS } else { self.config.helpers };
+        let mut helpers: Vec<Name> = via.into_iter().filter(|via| self.can_relay(via)).collect();
+        let count = if probe.last_call { MAX_FINAL_HELPERS } else { self.config.indirect_probes };
         for name in self.sample(count, Some(&probe.name)) {
             if helpers.len() < count && !helpers.contains(&name) {
                 helpers.push(name);
             }
         }
         for helper in &helpers {
-            let Some(to) = self.table.get(helper).map(|m| m.card.at) else { continue };
-            let kind = Kind::PingFor { seq, name: probe.name.clone(), at };
+            let Some(to) = self.table.get(helper).map(|m| m.record.address) else { continue };
+            let kind = Kind::PingRequest { seq, name: probe.name.clone(), address: at };
             self.send(Some(helper), to, kind, out);
         }
-        if !self.config.plain {
-            out.push(Effect::Check { seq, at });
+        if !self.config.is_plain_swim {
+            out.push(Effect::Check { seq, address: at });
         }
-        let wait = (self.config.interval - self.config.ack_wait).max(2 * self.config.ack_wait);
+        let wait = (self.config.probe_interval - self.config.ack_timeout).max(2 * self.config.ack_timeout);
         // Four ways lie on the path through another; a last call is in no hurry.
         let wait = if probe.last_call { 2 * wait } else { wait };
         let due = now + wait * self.health.stretch();
@@ -99,15 +99,15 @@
         }
     }
 
-    pub(super) fn helps(&self, name: &Name) -> bool {
-        self.table.get(name).is_some_and(|m| m.state == State::Alive && m.card.cut_off.is_none())
+    pub(super) fn can_relay(&self, name: &Name) -> bool {
+        self.table.get(name).is_some_and(|m| m.state == State::Alive && m.record.cut_off.is_none())
     }
 
     /// A probe was answered, directly or through another.
-    pub(super) fn reached(&mut self, now: Micros, probe: &Probe, via: Option<&Name>) {
+    pub(super) fn probe_succeeded(&mut self, now: Micros, probe: &Probe, via: Option<&Name>) {
         self.health.answered();
         self.health.add(-1);
-        let rounds = 2 * self.config.interval * (self.ring.len() as u64).max(2);
+        let rounds = 2 * self.config.probe_interval * (self.ring.len() as u64).max(2);
         let Some(peer) = self.peers.get_mut(&probe.name) else { return };
         peer.silent = false;
         match via {
@@ -123,20 +123,20 @@
                 };
             }
         }
-        if peer.suspicion.is_some() && !self.config.plain {
-            self.extend(now, &probe.name);
+        if peer.suspicion.is_some() && !self.config.is_plain_swim {
+            self.restart_suspicion(now, &probe.name);
             self.vouch(now, &probe.name, probe.stamp);
         }
     }
 
     /// Nothing came back from a probe.
-    pub(super) fn in_vain(&mut self, now: Micros, seq: u32, out: &mut Vec<Effect>) {
+    pub(super) fn probe_failed(&mut self, now: Micros, seq: u32, out: &mut Vec<Effect>) {
         let Some(probe) = self.probes.remove(&seq) else { return };
         let heard = self.peers.get(&probe.name).and_then(|peer| peer.heard);
-        self.health.in_vain();
+        self.health.probe_failed();
         if probe.checked.is_some() {
             // Its machine has heard this process and was heard.
-            self.health.hear(now);
+            self.health.heard_from_other(now);
             self.health.answered();
         }
         let missing = probe.helpers.len().saturating_sub(probe.nacks.len());
@@ -145,26 +145,28 @@
             peer.reach.to_it = Some(false);
             peer.silent = probe.checked.is_none();
         }
-        self.look_at_oneself(now, out);
+        self.assess_connectivity(now, out);
         let since = heard.is_some_and(|at| at >= probe.sent);
-        if self.cut_off.is_some() || since && !self.config.plain {
+        if self.cut_off.is_some() || since && !self.config.is_plain_swim {
             return;
         }
-        let known = self.table.get(&probe.name).filter(|m| m.card.stamp.life == probe.stamp.life);
-        let Some(card) = known.map(|m| m.card.clone()) else { return };
+        let known =
+            self.table.get(&probe.name).filter(|m| m.record.stamp.incarnation == probe.stamp.incarnation);
+        let Some(card) = known.map(|m| m.record.clone()) else { return };
         let cause = match probe.checked {
             _ if !probe.refused.is_empty() => Cause::Refused,
             Some(cause) => cause,
             None => Cause::Silent,
         };
         let me = self.table.me().name.clone();
-        let helpers = probe.refused.iter().map(|name| (name.clone(), Cause::Refused));
-        for by in std::iter::once((me, cause)).chain(helpers) {
-            let update = Update { card: card.clone(), state: State::Suspect, by: Some(by) };
-            self.take(now, &[update], true, out);
+        let helpers =
+            probe.refused.iter().map(|name| SuspicionReport { by: name.clone(), cause: Cause::Refused });
+        for by in std::iter::once(SuspicionReport { by: me, cause }).chain(helpers) {
+            let update = Update { record: card.clone(), state: State::Suspect, by: Some(by) };
+            self.apply_updates(now, &[update], true, out);
         }
         self.begin_suspicion(now, &probe.name, true, out);
-        self.called_in_vain(now, &probe);
+        self.final_probe_failed(now, &probe);
     }
 
     /// Helpers say that they got no answer either: whoever asked learns that its own ways work.
@@ -172,13 +174,13 @@
         let due: Vec<u32> = self.relays.iter().filter(|(_, r)| now >= r.due).map(|(&seq, _)| seq).collect();
         for seq in due {
             let Some(relay) = self.relays.get_mut(&seq) else { continue };
-            if !relay.checking && !self.config.plain {
-                (relay.checking, relay.due) = (true, now + self.config.ack_wait);
-                out.push(Effect::Check { seq, at: relay.at });
+            if !relay.checking && !self.config.is_plain_swim {
+                (relay.checking, relay.due) = (true, now + self.config.ack_timeout);
+                out.push(Effect::Check { seq, address: relay.address });
                 continue;
             }
-            if let Some(relay) = self.relays.remove(&seq).filter(|_| !self.config.plain) {
-                let kind = Kind::NackFor { seq: relay.origin_seq, refused: false };
+            if let Some(relay) = self.relays.remove(&seq).filter(|_| !self.config.is_plain_swim) {
+                let kind = Kind::IndirectNack { seq: relay.origin_seq, is_refused: false };
                 self.send(Some(&relay.origin), relay.origin_at, kind, out);
             }
         }
--- a/membership/src/machine/receive.rs
+++ b/membership/src/machine/receive.rs
@@ -1,7 +1,7 @@
 //! What comes from others: datagrams, answers, whole views and what a member's machine said.
 
-use super::{Effect, Machine, Verdict};
-use crate::packet::{Card, Kind, Packet, Reject, Update};
+use super::{CheckResult, Effect, Machine};
+use crate::packet::{Kind, MemberRecord, Packet, Rejection, Update};
 use crate::probe::Relay;
 use crate::probe::Stage;
 use crate::table::{Cause, State};
@@ -16,147 +16,158 @@
         }
         self.after_pause(now);
         let Packet { from, digest, kind, updates } = packet;
-        if source.ip() != from.at.ip() {
-            return self.reject(Reject::NotItsSender);
+        if source.ip() != from.address.ip() {
+            return self.reject(Rejection::SenderMismatch);
         }
-        if !self.meet(now, &from, out) {
+        if !self.meet_sender(now, &from, out) {
             return;
         }
         if let Some(peer) = self.peers.get_mut(&from.name) {
             peer.digest = Some(digest);
         }
-        self.take(now, &updates, true, out);
+        self.apply_updates(now, &updates, true, out);
         match kind {
-            Kind::News => {}
+            Kind::Gossip => {}
             Kind::Ping { seq, to } if to == self.table.me().name => {
-                self.send(Some(&from.name), from.at, Kind::Ack { seq }, out);
+                self.send(Some(&from.name), from.address, Kind::Ack { seq }, out);
             }
             // Meant for the last owner of this address.
-            Kind::Ping { .. } => self.reject(Reject::Unasked),
-            Kind::Ack { seq } => self.ack(now, seq, &from, out),
-            Kind::PingFor { seq, name, at } => {
-                let due = now + self.config.ack_wait * self.health.stretch();
+            Kind::Ping { .. } => self.reject(Rejection::Unsolicited),
+            Kind::Ack { seq } => self.handle_ack(now, seq, &from, out),
+            Kind::PingRequest { seq, name, address } => {
+                let due = now + self.config.ack_timeout * self.health.stretch();
                 let own = self.next_seq();
-                let (origin, origin_at) = (from.name, from.at);
-                let relay = Relay { origin, origin_at, origin_seq: seq, name, at, due, checking: false };
+                let (origin, origin_at) = (from.name, from.address);
+                let relay = Relay { origin, origin_at, origin_seq: seq, name, address, due, checking: false };
                 self.send(
                     Some(&relay.name.clone()),
-                    at,
+                    address,
                     Kind::Ping { seq: own, to: relay.name.clone() },
                     out,
                 );
                 self.relays.insert(own, relay);
             }
-            Kind::AckFor { seq, card } => {
-                let expected = self.probes.get(&seq).is_some_and(|p| p.name == card.name);
+            Kind::IndirectAck { seq, record } => {
+                let expected = self.probes.get(&seq).is_some_and(|p| p.name == record.name);
                 match self.probes.remove(&seq).filter(|_| expected) {
                     Some(probe) => {
-                        self.take(now, &[alive(card)], true, out);
-                        self.reached(now, &probe, Some(&from.name));
+                        self.apply_updates(now, &[alive(record)], true, out);
+                        self.probe_succeeded(now, &probe, Some(&from.name));
                     }
-                    None => self.reject(Reject::Unasked),
+                    None => self.reject(Rejection::Unsolicited),
                 }
             }
-            Kind::NackFor { seq, refused } => match self.probes.get_mut(&seq) {
+            Kind::IndirectNack { seq, is_refused } => match self.probes.get_mut(&seq) {
                 Some(probe) if probe.helpers.contains(&from.name) => {
-                    if refused {
+                    if is_refused {
                         probe.refused.insert(from.name.clone());
                     }
                     probe.nacks.insert(from.name);
                 }
-                _ => self.reject(Reject::Unasked),
+                _ => self.reject(Rejection::Unsolicited),
             },
         }
-        self.look_at_oneself(now, out);
+        self.assess_connectivity(now, out);
         // What was due before it was known to be is not late.
         self.due = self.next_wake().max(now);
     }
 
     /// What a member's machine said.
-    pub fn checked(&mut self, now: Micros, seq: u32, verdict: Verdict, out: &mut Vec<Effect>) {
+    pub fn check_completed(&mut self, now: Micros, seq: u32, verdict: CheckResult, out: &mut Vec<Effect>) {
         if let Some(relay) = self.relays.remove(&seq) {
             let (to, seq) = (relay.origin_at, relay.origin_seq);
             let kind = match verdict {
-                Verdict::Answered(card) if card.name == relay.name => Kind::AckFor { seq, card },
-                Verdict::Refused => Kind::NackFor { seq, refused: true },
-                _ => Kind::NackFor { seq, refused: false },
+                CheckResult::Answered(card) if card.name == relay.name => {
+                    Kind::IndirectAck { seq, record: card }
+                }
+                CheckResult::Refused => Kind::IndirectNack { seq, is_refused: true },
+                _ => Kind::IndirectNack { seq, is_refused: false },
             };
             return self.send(Some(&relay.origin), to, kind, out);
         }
-        if let Verdict::Answered(card) = &verdict {
+        if let CheckResult::Answered(card) = &verdict {
             if let Some(probe) = self.probes.remove(&seq).filter(|probe| probe.name == card.name) {
-                self.take(now, &[alive(card.clone())], true, out);
-                self.health.hear(now);
-                self.reached(now, &probe, None);
+                self.apply_updates(now, &[alive(card.clone())], true, out);
+                self.health.heard_from_other(now);
+                self.probe_succeeded(now, &probe, None);
             }
             return;
         }
         let Some(probe) = self.probes.get_mut(&seq) else { return };
         probe.checked = match verdict {
-            Verdict::Refused => Some(Cause::Refused),
-            Verdict::Stalled => Some(Cause::Stalled),
-            Verdict::Answered(_) | Verdict::Unreachable => None,
+            CheckResult::Refused => Some(Cause::Refused),
+            CheckResult::Stalled => Some(Cause::Stalled),
+            CheckResult::Answered(_) | CheckResult::Unreachable => None,
         };
     }
 
     /// The other side of a full exchange, from an address.
-    pub fn exchanged(&mut self, now: Micros, source: SocketAddr, packet: Packet, out: &mut Vec<Effect>) {
+    pub fn receive_full_state(
+        &mut self,
+        now: Micros,
+        source: SocketAddr,
+        packet: Packet,
+        out: &mut Vec<Effect>,
+    ) {
         if self.displaced {
             return;
         }
-        if source.ip() != packet.from.at.ip() {
-            return self.reject(Reject::NotItsSender);
+        if source.ip() != packet.from.address.ip() {
+            return self.reject(Rejection::SenderMismatch);
         }
-        if !self.meet(now, &packet.from, out) {
+        if !self.meet_sender(now, &packet.from, out) {
             return;
         }
         self.health.answered();
         self.join_tries = 0;
         // What came whole is not sent on word by word: the others' exchanges bring it.
-        self.take(now, &packet.updates, false, out);
+        self.apply_updates(now, &packet.updates, false, out);
         if let Some(peer) = self.peers.get_mut(&packet.from.name) {
             peer.digest = Some(packet.digest);
         }
-        self.look_at_oneself(now, out);
+        self.assess_connectivity(now, out);
     }
 
     /// Takes what a speaker's card says of it; whether it may be listened to.
-    pub(super) fn meet(&mut self, now: Micros, from: &Card, out: &mut Vec<Effect>) -> bool {
+    pub(super) fn meet_sender(&mut self, now: Micros, from: &MemberRecord, out: &mut Vec<Effect>) -> bool {
         let me = self.table.me();
         if from.name == me.name {
-            if from.stamp.life != me.stamp.life {
-                self.take(now, &[alive(from.clone())], true, out);
+            if from.stamp.incarnation != me.stamp.incarnation {
+                self.apply_updates(now, &[alive(from.clone())], true, out);
                 // It learns from the answer whose the name is.
-                let (to, kind) = (from.at, Kind::News);
+                let (to, kind) = (from.address, Kind::Gossip);
                 self.send(None, to, kind, out);
             }
             return false;
         }
-        let known = self.table.get(&from.name).map(|known| known.card.stamp);
-        if known.is_some_and(|known| known.life != from.stamp.life && known > from.stamp) {
-            self.reject(Reject::EarlierLife);
+        let known = self.table.get(&from.name).map(|known| known.record.stamp);
+        if known.is_some_and(|known| known.incarnation != from.stamp.incarnation && known > from.stamp) {
+            self.reject(Rejection::EarlierIncarnation);
             // A process that has just started does not know yet what came before it, and must hear of it from whoever
             // takes that to run still: as long as it does not, nothing that it says is taken.
             let updates = self.table.update(&from.name).into_iter().collect();
-            out.push(Effect::Send { to: from.at, packet: Packet { updates, ..self.bare(Kind::News) } });
+            out.push(Effect::Send {
+                to: from.address,
+                packet: Packet { updates, ..self.packet(Kind::Gossip) },
+            });
             return false;
         }
-        self.take(now, &[alive(from.clone())], true, out);
+        self.apply_updates(now, &[alive(from.clone())], true, out);
         let Some(member) = self.table.get(&from.name) else { return false };
-        if member.card.stamp.life != from.stamp.life {
+        if member.record.stamp.incarnation != from.stamp.incarnation {
             return false;
         }
-        let (suspect, stamp) = (member.state == State::Suspect, member.card.stamp);
-        self.health.hear(now);
-        let interval = self.config.interval;
+        let (suspect, stamp) = (member.state == State::Suspect, member.record.stamp);
+        self.health.heard_from_other(now);
+        let interval = self.config.probe_interval;
         if self.peers.get_mut(&from.name).is_some_and(|peer| std::mem::take(&mut peer.silent)) {
-            self.health.ignored(now, self.config.interval);
+            self.health.ignored(now, self.config.probe_interval);
         }
         let Some(peer) = self.peers.get_mut(&from.name) else { return true };
         peer.heard = Some(now);
         peer.reach.from_it = Some(true);
-        if suspect && !self.config.plain {
-            self.extend(now, &from.name);
+        if suspect && !self.config.is_plain_swim {
+            self.restart_suspicion(now, &from.name);
             let peer = self.peers.get(&from.name);
             if peer.is_some_and(|peer| now.saturating_sub(peer.vouched) >= interval) {
                 self.vouch(now, &from.name, stamp);
@@ -165,34 +176,34 @@
         true
     }
 
-    pub(super) fn ack(&mut self, now: Micros, seq: u32, from: &Card, out: &mut Vec<Effect>) {
+    pub(super) fn handle_ack(&mut self, now: Micros, seq: u32, from: &MemberRecord, out: &mut Vec<Effect>) {
         if let Some(leaving) = &mut self.leaving {
-            leaving.told.insert(from.name.clone());
+            leaving.notified.insert(from.name.clone());
         }
         if self.probes.get(&seq).is_some_and(|probe| probe.name == from.name) {
             if let Some(probe) = self.probes.remove(&seq) {
                 let digest = self.peers.get(&probe.name).and_then(|peer| peer.digest);
                 if probe.stage == Stage::Compare && digest != Some(self.table.digest()) {
-                    out.push(Effect::Exchange { at: from.at });
+                    out.push(Effect::Exchange { address: from.address });
                 }
-                return self.reached(now, &probe, None);
+                return self.probe_succeeded(now, &probe, None);
             }
         }
         match self.relays.remove(&seq) {
             Some(relay) if relay.name == from.name => {
-                let kind = Kind::AckFor { seq: relay.origin_seq, card: from.clone() };
+                let kind = Kind::IndirectAck { seq: relay.origin_seq, record: from.clone() };
                 self.send(Some(&relay.origin), relay.origin_at, kind, out);
             }
             _ if self.leaving.is_some() => {}
-            _ => self.reject(Reject::Unasked),
+            _ => self.reject(Rejection::Unsolicited),
         }
     }
 
-    pub(super) fn reject(&mut self, why: Reject) {
+    pub(super) fn reject(&mut self, why: Rejection) {
         *self.rejected.entry(why).or_default() += 1;
     }
 }
 
-fn alive(card: Card) -> Update {
-    Update { card, state: State::Alive, by: None }
+fn alive(card: MemberRecord) -> Update {
+    Update { record: card, state: State::Alive, by: None }
 }
--- a/membership/src/machine/oneself.rs
+++ b/membership/src/machine/self_check.rs
@@ -8,7 +8,7 @@
     /// A process that was stopped or starved looks at its own watch first: what did not come meanwhile came to nobody.
     pub(super) fn after_pause(&mut self, now: Micros) {
         let late = now.saturating_sub(self.due);
-        if self.config.plain || late < self.config.interval / 2 {
+        if self.config.is_plain_swim || late < self.config.probe_interval / 2 {
             return;
         }
         self.due = now;
@@ -19,19 +19,19 @@
         for (_, name) in all {
             if let Some(suspicion) = self.peers.get_mut(&name).and_then(|peer| peer.suspicion.as_mut()) {
                 suspicion.since += late;
-                suspicion.deadline = suspicion.deadline.max(now) + self.config.interval;
+                suspicion.deadline = suspicion.deadline.max(now) + self.config.probe_interval;
                 self.deadlines.insert((suspicion.deadline, name));
             }
         }
     }
 
-    pub(super) fn look_at_oneself(&mut self, now: Micros, out: &mut Vec<Effect>) {
-        let cut_off = self.health.cut_off(now, self.config.interval);
+    pub(super) fn assess_connectivity(&mut self, now: Micros, out: &mut Vec<Effect>) {
+        let cut_off = self.health.cut_off(now, self.config.probe_interval);
         if cut_off != self.cut_off && self.leaving.is_none() {
             self.cut_off = cut_off;
             self.version += 1;
-            self.table.speak(self.uptime_ms(now), |card| card.cut_off = cut_off);
-            self.say_own();
+            self.table.announce(self.uptime_ms(now), |card| card.cut_off = cut_off);
+            self.announce_self();
             out.push(Effect::Changed(Change::CutOff(cut_off)));
         }
     }
--- a/membership/src/machine/suspicion.rs
+++ b/membership/src/machine/suspicion.rs
@@ -4,15 +4,15 @@
 use crate::name::Name;
 use crate::packet::Update;
 use crate::probe::{Probe, Stage};
-use crate::table::{Cause, State};
+use crate::table::{Cause, State, SuspicionReport};
 use crate::Micros;
 
 /// Time after a suspicion's end in which others that saw it with their own eyes may settle it, for one that did not.
-const HEARSAY: Micros = 1_000_000;
+const HEARSAY_DELAY: Micros = 1_000_000;
 /// Words that nothing listens at an address, of different members, that settle a death at once.
-const REFUSALS: usize = 2;
+const MIN_REFUSALS: usize = 2;
 /// Probes through as many as can be asked before a death by silence is settled: one answer can be lost.
-const LAST_CALLS: u8 = 2;
+const MAX_FINAL_PROBES: u8 = 2;
 
 #[derive(Clone, Debug)]
 pub(super) struct Suspicion {
@@ -34,7 +34,7 @@
         let new = Suspicion { since: now, deadline: now, witness, calls: 0, calling: false };
         let suspicion = peer.suspicion.get_or_insert(new);
         suspicion.witness |= witness;
-        self.reckon(now, name, out);
+        self.update_deadline(now, name, out);
     }
 
     pub(super) fn end_suspicion(&mut self, name: &Name) {
@@ -44,27 +44,27 @@
     }
 
     /// It was heard, by whomever: the suspicion begins anew.
-    pub(super) fn extend(&mut self, now: Micros, name: &Name) {
+    pub(super) fn restart_suspicion(&mut self, now: Micros, name: &Name) {
         let Some(suspicion) = self.peers.get_mut(name).and_then(|peer| peer.suspicion.as_mut()) else {
             return;
         };
         (suspicion.since, suspicion.calls, suspicion.calling) = (now, 0, false);
-        let deadline = now + self.config.suspect_least;
+        let deadline = now + self.config.min_suspicion;
         let old = std::mem::replace(&mut suspicion.deadline, deadline);
         self.deadlines.remove(&(old, name.clone()));
         self.deadlines.insert((deadline, name.clone()));
     }
 
     /// When a suspicion ends, by the words there are on it.
-    pub(super) fn reckon(&mut self, now: Micros, name: &Name, out: &mut Vec<Effect>) {
+    pub(super) fn update_deadline(&mut self, now: Micros, name: &Name, out: &mut Vec<Effect>) {
         let Some(member) = self.table.get(name) else { return };
-        let refusals = member.words.iter().filter(|word| word.cause == Cause::Refused).count();
-        let stalled = member.words.iter().any(|word| word.cause == Cause::Stalled);
-        let confirmations = member.words.len().saturating_sub(1) as u32;
+        let refusals = member.suspicions.iter().filter(|word| word.cause == Cause::Refused).count();
+        let stalled = member.suspicions.iter().any(|word| word.cause == Cause::Stalled);
+        let confirmations = member.suspicions.len().saturating_sub(1) as u32;
         // With one other member there is one word at the most.
-        let enough = REFUSALS.min(self.table.others().filter(|m| m.card.name != *name).count() + 1);
-        let Config { suspect_least: least, suspect_most: most, .. } = self.config;
-        let span = match self.config.plain {
+        let enough = MIN_REFUSALS.min(self.table.others().filter(|m| m.record.name != *name).count() + 1);
+        let Config { min_suspicion: least, max_suspicion: most, .. } = self.config;
+        let span = match self.config.is_plain_swim {
             true => least,
             // Its machine takes connections for it: it is stopped, and comes back or is ended.
             false if stalled => most,
@@ -74,7 +74,7 @@
                 most - ((most - least) as f64 * share) as Micros
             }
         };
-        let hearsay = HEARSAY + self.below(HEARSAY);
+        let hearsay = HEARSAY_DELAY + self.below(HEARSAY_DELAY);
         let Some(suspicion) = self.peers.get_mut(name).and_then(|peer| peer.suspicion.as_mut()) else {
             return;
         };
@@ -86,13 +86,13 @@
         let deadline = suspicion.deadline;
         self.deadlines.remove(&(old, name.clone()));
         self.deadlines.insert((deadline, name.clone()));
-        if refusals >= enough && !self.config.plain {
-            self.settle(now, name, Cause::Refused, out);
+        if refusals >= enough && !self.config.is_plain_swim {
+            self.declare_dead(now, name, Cause::Refused, out);
         }
     }
 
     /// A last call is over: the next one, or the end, is due.
-    pub(super) fn called_in_vain(&mut self, now: Micros, probe: &Probe) {
+    pub(super) fn final_probe_failed(&mut self, now: Micros, probe: &Probe) {
         let suspicion = self.peers.get_mut(&probe.name).and_then(|peer| peer.suspicion.as_mut());
         let Some(suspicion) = suspicion.filter(|suspicion| probe.last_call && suspicion.calling) else {
             return;
@@ -109,30 +109,30 @@
             let Some(peer) = self.peers.get_mut(&name) else { continue };
             let heard = peer.heard;
             let Some(suspicion) = peer.suspicion.as_mut() else { continue };
-            if heard.is_some_and(|at| at > suspicion.since) && !self.config.plain {
-                self.extend(now, &name);
+            if heard.is_some_and(|at| at > suspicion.since) && !self.config.is_plain_swim {
+                self.restart_suspicion(now, &name);
             } else if self.cut_off.is_some() {
-                suspicion.deadline = now + self.config.interval;
+                suspicion.deadline = now + self.config.probe_interval;
                 self.deadlines.insert((suspicion.deadline, name));
-            } else if suspicion.calls >= LAST_CALLS || self.config.plain {
-                let cause = self.table.get(&name).and_then(|m| m.words.iter().map(|w| w.cause).max());
-                self.settle(now, &name, cause.unwrap_or(Cause::Silent), out);
+            } else if suspicion.calls >= MAX_FINAL_PROBES || self.config.is_plain_swim {
+                let cause = self.table.get(&name).and_then(|m| m.suspicions.iter().map(|w| w.cause).max());
+                self.declare_dead(now, &name, cause.unwrap_or(Cause::Silent), out);
             } else {
                 suspicion.calls += 1;
                 suspicion.calling = true;
                 // Where the call itself is lost to a pause of this process, the next one follows.
-                suspicion.deadline = now + 6 * self.config.interval * self.health.stretch();
+                suspicion.deadline = now + 6 * self.config.probe_interval * self.health.stretch();
                 self.deadlines.insert((suspicion.deadline, name.clone()));
                 self.probe(now, &name, Stage::Direct, true, out);
             }
         }
     }
 
-    pub(super) fn settle(&mut self, now: Micros, name: &Name, cause: Cause, out: &mut Vec<Effect>) {
-        let Some(card) = self.table.get(name).map(|m| m.card.clone()) else { return };
-        let by = Some((self.table.me().name.clone(), cause));
-        let update = Update { card, state: State::Dead, by };
+    pub(super) fn declare_dead(&mut self, now: Micros, name: &Name, cause: Cause, out: &mut Vec<Effect>) {
+        let Some(card) = self.table.get(name).map(|m| m.record.clone()) else { return };
+        let by = Some(SuspicionReport { by: self.table.me().name.clone(), cause });
+        let update = Update { record: card, state: State::Dead, by };
         let merge = self.table.merge(&update, self.uptime_ms(now));
-        self.took(now, update, merge, true, out);
+        self.apply_merge(now, update, merge, true, out);
     }
 }
--- a/membership/src/machine/shown.rs
+++ b/membership/src/machine/view.rs
@@ -2,32 +2,32 @@
 
 use super::Machine;
 use crate::name::Name;
-use crate::view::{ms_ago, MemberView, View};
+use crate::view::{ms_ago, MemberView, MembershipView};
 use crate::Micros;
 
 impl Machine {
     /// What is shown.
-    pub fn view(&self, now: Micros) -> View {
+    pub fn view(&self, now: Micros) -> MembershipView {
         let me = &self.table.me().name;
         let members = self.table.iter().map(|member| {
-            let peer = self.peers.get(&member.card.name);
-            let stamp = member.card.stamp;
+            let peer = self.peers.get(&member.record.name);
+            let stamp = member.record.stamp;
             MemberView {
-                name: member.card.name.to_string(),
-                at: member.card.at,
+                name: member.record.name.to_string(),
+                address: member.record.address,
                 state: member.state,
                 generation: stamp.generation,
-                life: format!("{:016x}", stamp.life),
-                incarnation: stamp.incarnation,
-                cut_off: member.card.cut_off,
+                incarnation: format!("{:016x}", stamp.incarnation),
+                sequence: stamp.sequence,
+                cut_off: member.record.cut_off,
                 for_ms: ms_ago(now, peer.map_or(self.started, |p| p.since)),
                 heard_ms: peer.and_then(|p| p.heard).map(|at| ms_ago(now, at)),
                 reach: peer.map(|p| p.reach).unwrap_or_default(),
                 via: peer.and_then(|p| p.via.as_ref()).map(Name::to_string),
-                words: member.words.iter().map(Into::into).collect(),
+                suspicions: member.suspicions.iter().map(Into::into).collect(),
             }
         });
-        View {
+        MembershipView {
             me: me.to_string(),
             version: self.version,
             digest: format!("{:08x}", self.table.digest()),
--- a/membership/src/name.rs
+++ b/membership/src/name.rs
@@ -5,11 +5,11 @@
 use std::sync::Arc;
 
 /// Most bytes of a name.
-const NAME_MOST: usize = 64;
+const MAX_NAME_BYTES: usize = 64;
 /// Incarnations that a life may use up before it takes the next generation: far more than an hour of suspicions.
-const INCARNATION_MOST: u32 = 1 << 20;
+const MAX_SEQUENCE: u32 = 1 << 20;
 /// Generations that one word may skip: a member can have missed so many restarts, not more.
-const GENERATION_STEP: u32 = 1 << 16;
+const MAX_GENERATION_STEP: u32 = 1 << 16;
 
 /// A member's name, the same after a restart: 1 to 64 bytes, printable ASCII without blanks.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -18,13 +18,14 @@
 
 /// Why a text is no name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("a name has 1 to {NAME_MOST} printable characters of ASCII and no blanks")]
+#[error("a name has 1 to {MAX_NAME_BYTES} printable characters of ASCII and no blanks")]
 pub struct NameError;
 
 impl Name {
     /// Checks a text.
     pub fn new(text: &str) -> Result<Name, NameError> {
-        let good = (1..=NAME_MOST).contains(&text.len()) && text.bytes().all(|byte| byte.is_ascii_graphic());
+        let good =
+            (1..=MAX_NAME_BYTES).contains(&text.len()) && text.bytes().all(|byte| byte.is_ascii_graphic());
         good.then(|| Name(text.into())).ok_or(NameError)
     }
 
@@ -62,37 +63,37 @@
     /// Counts the processes that had the name.
     pub generation: u32,
     /// Drawn at the process's start: tells two processes apart that took the same generation unknown to each other.
-    pub life: u64,
+    pub incarnation: u64,
     /// Counts what the process has said of itself: one more with each refutation.
-    pub incarnation: u32,
+    pub sequence: u32,
 }
 
 impl Stamp {
     /// Of a process that starts.
     pub fn first(life: u64) -> Stamp {
-        Stamp { generation: 1, life, incarnation: 0 }
+        Stamp { generation: 1, incarnation: life, sequence: 0 }
     }
 
     /// The stamp of the same process that comes after what was `said` of it.
     pub(crate) fn after(self, said: Stamp) -> Stamp {
-        let last = self.incarnation.max(if said.life == self.life { said.incarnation } else { 0 });
-        if said.generation > self.generation || last >= INCARNATION_MOST {
+        let last = self.sequence.max(if said.incarnation == self.incarnation { said.sequence } else { 0 });
+        if said.generation > self.generation || last >= MAX_SEQUENCE {
             let generation = self.generation.max(said.generation).saturating_add(1);
-            return Stamp { generation, incarnation: 0, ..self };
+            return Stamp { generation, sequence: 0, ..self };
         }
-        Stamp { incarnation: last + 1, ..self }
+        Stamp { sequence: last + 1, ..self }
     }
 
     /// The stamp of this process over another's with the same name.
     pub(crate) fn over(self, other: Stamp) -> Stamp {
         let generation = self.generation.max(other.generation).saturating_add(1);
-        Stamp { generation, incarnation: 0, ..self }
+        Stamp { generation, sequence: 0, ..self }
     }
 
     /// Whether a word may bring this stamp where `known` is known: what no member says by itself is not believed, so
     /// that nobody can be driven to the top of the count, where it could refute nothing.
-    pub(crate) fn plausible(self, known: Option<Stamp>) -> bool {
+    pub(crate) fn is_plausible(self, known: Option<Stamp>) -> bool {
         let base = known.map_or(0, |known| known.generation);
-        self.incarnation <= INCARNATION_MOST && self.generation <= base.saturating_add(GENERATION_STEP)
+        self.sequence <= MAX_SEQUENCE && self.generation <= base.saturating_add(MAX_GENERATION_STEP)
     }
 }
--- a/membership/src/probe.rs
+++ b/membership/src/probe.rs
@@ -46,7 +46,7 @@
     pub(crate) origin_at: SocketAddr,
     pub(crate) origin_seq: u32,
     pub(crate) name: Name,
-    pub(crate) at: SocketAddr,
+    pub(crate) address: SocketAddr,
     pub(crate) due: Micros,
     /// Its machine has been asked.
     pub(crate) checking: bool,
--- a/membership/src/queue.rs
+++ b/membership/src/queue.rs
@@ -6,9 +6,9 @@
 use std::collections::VecDeque;
 
 /// How often an update is sent on, for each doubling of the members: SWIM's lambda.
-const TIMES_A_DOUBLING: u32 = 3;
+const TRANSMISSIONS_PER_DOUBLING: u32 = 3;
 /// Updates that wait at the most: beyond that the full exchange brings what was left out.
-const WAITING_MOST: usize = 8_192;
+const MAX_WAITING: usize = 8_192;
 
 #[derive(Clone, Debug)]
 struct Item {
@@ -21,8 +21,8 @@
 pub(crate) struct Queue(VecDeque<Item>);
 
 fn topic(update: &Update) -> (&Name, Option<&Name>, bool) {
-    let by = update.by.as_ref().map(|(by, _)| by);
-    (&update.card.name, by, update.state == State::Heard)
+    let by = update.by.as_ref().map(|word| &word.by);
+    (&update.record.name, by, update.state == State::Vouched)
 }
 
 impl Queue {
@@ -34,13 +34,13 @@
     pub(crate) fn push(&mut self, update: Update, members: usize) {
         let old = |item: &Item| {
             let of = &item.update;
-            let same = of.card.name == update.card.name;
-            let newer = (of.card.stamp, of.state) < (update.card.stamp, update.state);
-            same && (topic(of) == topic(&update) || newer && update.state != State::Heard)
+            let same = of.record.name == update.record.name;
+            let newer = (of.record.stamp, of.state) < (update.record.stamp, update.state);
+            same && (topic(of) == topic(&update) || newer && update.state != State::Vouched)
         };
         self.0.retain(|item| !old(item));
-        if self.0.len() < WAITING_MOST {
-            let left = TIMES_A_DOUBLING * (usize::BITS - members.leading_zeros()).max(1);
+        if self.0.len() < MAX_WAITING {
+            let left = TRANSMISSIONS_PER_DOUBLING * (usize::BITS - members.leading_zeros()).max(1);
             self.0.push_front(Item { update, left });
         }
     }
--- a/membership/src/table.rs
+++ b/membership/src/table.rs
@@ -2,18 +2,18 @@
 //! can be checked over every order in which words may come.
 
 use crate::name::{Name, Stamp};
-use crate::packet::{Card, Reject, Update};
+use crate::packet::{MemberRecord, Rejection, Update};
 use serde::{Deserialize, Serialize};
 use siphasher::sip::SipHasher13;
 use std::collections::BTreeMap;
 use std::hash::{Hash, Hasher};
 
 /// Members that are kept at the most, those that are gone among them.
-const MEMBERS_MOST: usize = 4_096;
+const MAX_MEMBERS: usize = 4_096;
 /// Words on one suspicion that are kept: more shorten it no further.
-const WORDS_MOST: usize = 8;
+const MAX_SUSPICION_REPORTS: usize = 8;
 /// Lives of its own name that a process has claimed over and remembers.
-const CLAIMS_MOST: usize = 8;
+const MAX_SUPERSEDED: usize = 8;
 
 /// Whether a member's process runs, by anyone's word. Later ones go before earlier ones where the stamp is the same.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -22,7 +22,8 @@
     /// It runs.
     Alive,
     /// Somebody hears it while others suspect it; kept of nobody, only said.
-    Heard,
+    #[serde(rename = "heard")]
+    Vouched,
     /// Somebody has not heard it for too long.
     Suspect,
     /// It has not been heard by anybody for too long, or its machine says that it does not run.
@@ -45,7 +46,7 @@
 
 /// Who suspects a member, and why.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Word {
+pub struct SuspicionReport {
     /// Who.
     pub by: Name,
     /// Why.
@@ -56,16 +57,16 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Member {
     /// As it last spoke of itself.
-    pub card: Card,
+    pub record: MemberRecord,
     /// Whether it runs.
     pub state: State,
     /// Who suspects this stamp of it.
-    pub words: Vec<Word>,
+    pub suspicions: Vec<SuspicionReport>,
 }
 
 /// What a word has changed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Merge {
+pub enum MergeResult {
     /// Nothing: it was known, or older than what is.
     Stale,
     /// A member that was not known.
@@ -80,28 +81,28 @@
     /// One more suspects it.
     Confirmed,
     /// Somebody hears a suspect.
-    Heard,
+    Vouched,
     /// It was about this process, which runs: the own stamp is one further.
     Refuted,
     /// This name was another process's: the own stamp is above that now. `living`: that one claimed the name anew
     /// after this process did, so it runs.
     Claimed {
         /// Whether the other one runs.
-        living: bool,
+        is_running: bool,
     },
     /// Another process with this name runs, and has run for longer.
     Displaced,
     /// It is not believed.
-    Rejected(Reject),
+    Rejected(Rejection),
 }
 
 /// All that is known of members, this process among them.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Table {
+pub struct MemberTable {
     me: Name,
     members: BTreeMap<Name, Member>,
     /// Lives of this name that were claimed over, with the generation they had.
-    claims: Vec<(u64, u32)>,
+    superseded: Vec<(u64, u32)>,
     leaving: bool,
     digest: u32,
 }
@@ -113,24 +114,24 @@
     }
     // One member's suspicions are no difference of views.
     let mut hasher = SipHasher13::new();
-    (&member.card.name, member.card.stamp, member.card.cut_off).hash(&mut hasher);
+    (&member.record.name, member.record.stamp, member.record.cut_off).hash(&mut hasher);
     let hash = hasher.finish();
     (hash ^ (hash >> 32)) as u32
 }
 
-impl Table {
+impl MemberTable {
     /// Knows only this process.
-    pub fn new(me: Card) -> Table {
+    pub fn new(me: MemberRecord) -> MemberTable {
         let name = me.name.clone();
-        let member = Member { card: me, state: State::Alive, words: Vec::new() };
+        let member = Member { record: me, state: State::Alive, suspicions: Vec::new() };
         let digest = part(&member);
         let members = BTreeMap::from([(name.clone(), member)]);
-        Table { me: name, members, claims: Vec::new(), leaving: false, digest }
+        MemberTable { me: name, members, superseded: Vec::new(), leaving: false, digest }
     }
 
     /// This process.
-    pub fn me(&self) -> &Card {
-        &self.members[&self.me].card
+    pub fn me(&self) -> &MemberRecord {
+        &self.members[&self.me].record
     }
 
     /// A member.
@@ -145,7 +146,7 @@
 
     /// The others that are taken to run.
     pub fn others(&self) -> impl Iterator<Item = &Member> {
-        self.iter().filter(|m| m.card.name != self.me && matches!(m.state, State::Alive | State::Suspect))
+        self.iter().filter(|m| m.record.name != self.me && matches!(m.state, State::Alive | State::Suspect))
     }
 
     /// The same for two processes that take the same members in the same lives to run.
@@ -155,14 +156,13 @@
 
     /// What can be said of a member.
     pub fn update(&self, name: &Name) -> Option<Update> {
-        let Member { card, state, words } = self.members.get(name)?;
-        let by = words.last().filter(|_| *state == State::Suspect);
-        let by = by.map(|word| (word.by.clone(), word.cause));
-        Some(Update { card: card.clone(), state: *state, by })
+        let Member { record, state, suspicions } = self.members.get(name)?;
+        let by = suspicions.last().filter(|_| *state == State::Suspect);
+        Some(Update { record: record.clone(), state: *state, by: by.cloned() })
     }
 
     /// Says something new of this process itself.
-    pub fn speak(&mut self, uptime_ms: u32, change: impl FnOnce(&mut Card)) {
+    pub fn announce(&mut self, uptime_ms: u32, change: impl FnOnce(&mut MemberRecord)) {
         let stamp = self.me().stamp;
         self.restamp(stamp.after(stamp), uptime_ms, change);
     }
@@ -174,115 +174,120 @@
     }
 
     /// Forgets a member that is gone.
-    pub fn forget(&mut self, name: &Name) {
+    pub fn remove(&mut self, name: &Name) {
         if self.members.get(name).is_some_and(|m| matches!(m.state, State::Dead | State::Left)) {
             self.members.remove(name);
         }
     }
 
     /// Takes a word in. `uptime_ms` is this process's own.
-    pub fn merge(&mut self, update: &Update, uptime_ms: u32) -> Merge {
-        let Update { card, state, by } = update;
-        let known = self.members.get(&card.name);
-        if !card.stamp.plausible(known.map(|known| known.card.stamp)) {
-            return Merge::Rejected(Reject::Implausible);
+    pub fn merge(&mut self, update: &Update, uptime_ms: u32) -> MergeResult {
+        let Update { record, state, by } = update;
+        let known = self.members.get(&record.name);
+        if !record.stamp.is_plausible(known.map(|known| known.record.stamp)) {
+            return MergeResult::Rejected(Rejection::Implausible);
         }
-        if card.name == self.me {
+        if record.name == self.me {
             return self.merge_own(update, uptime_ms);
         }
-        let word = by.clone().map(|(by, cause)| Word { by, cause });
+        let word = by.clone();
         let Some(known) = known else {
             // Whoever was never met and is gone is nobody's loss; a vouch without a member says nothing.
             return match state {
-                State::Heard | State::Dead | State::Left => Merge::Stale,
-                _ if self.members.len() >= MEMBERS_MOST => Merge::Rejected(Reject::TooMany),
+                State::Vouched | State::Dead | State::Left => MergeResult::Stale,
+                _ if self.members.len() >= MAX_MEMBERS => MergeResult::Rejected(Rejection::TooMany),
                 _ => {
                     let words = word.into_iter().collect();
-                    let member = Member { card: card.clone(), state: *state, words };
+                    let member = Member { record: record.clone(), state: *state, suspicions: words };
                     self.digest ^= part(&member);
-                    self.members.insert(card.name.clone(), member);
-                    Merge::New
+                    self.members.insert(record.name.clone(), member);
+                    MergeResult::New
                 }
             };
         };
-        let (stamp, from) = (known.card.stamp, known.state);
-        if *state == State::Heard {
-            let vouched = card.stamp == stamp && from == State::Suspect;
-            return if vouched { Merge::Heard } else { Merge::Stale };
+        let (stamp, from) = (known.record.stamp, known.state);
+        if *state == State::Vouched {
+            let vouched = record.stamp == stamp && from == State::Suspect;
+            return if vouched { MergeResult::Vouched } else { MergeResult::Stale };
         }
-        if card.stamp == stamp && *state == State::Suspect && from == State::Suspect {
-            return self.confirm(&card.name, word);
+        if record.stamp == stamp && *state == State::Suspect && from == State::Suspect {
+            return self.confirm(&record.name, word);
         }
-        if (card.stamp, *state) <= (stamp, from) {
-            return Merge::Stale;
+        if (record.stamp, *state) <= (stamp, from) {
+            return MergeResult::Stale;
         }
-        let restarted = card.stamp.life != stamp.life;
-        let said = card.stamp > stamp;
-        self.change(&card.name, |member| {
+        let restarted = record.stamp.incarnation != stamp.incarnation;
+        let said = record.stamp > stamp;
+        self.change(&record.name, |member| {
             // What others say of a stamp does not change what the member said with it.
             if said {
-                member.card = card.clone();
+                member.record = record.clone();
             }
             member.state = *state;
-            member.words = word.into_iter().collect();
+            member.suspicions = word.into_iter().collect();
         });
         if restarted {
-            Merge::Restarted
+            MergeResult::Restarted
         } else {
-            Merge::Changed { from }
+            MergeResult::Changed { from }
         }
     }
 
-    fn confirm(&mut self, name: &Name, word: Option<Word>) -> Merge {
-        let (Some(word), Some(member)) = (word, self.members.get_mut(name)) else { return Merge::Stale };
-        let full = member.words.len() >= WORDS_MOST;
-        match member.words.iter_mut().find(|known| known.by == word.by) {
-            Some(known) if known.cause >= word.cause => return Merge::Stale,
+    fn confirm(&mut self, name: &Name, word: Option<SuspicionReport>) -> MergeResult {
+        let (Some(word), Some(member)) = (word, self.members.get_mut(name)) else {
+            return MergeResult::Stale;
+        };
+        let full = member.suspicions.len() >= MAX_SUSPICION_REPORTS;
+        match member.suspicions.iter_mut().find(|known| known.by == word.by) {
+            Some(known) if known.cause >= word.cause => return MergeResult::Stale,
             Some(known) => known.cause = word.cause,
-            None if full => return Merge::Stale,
-            None => member.words.push(word),
+            None if full => return MergeResult::Stale,
+            None => member.suspicions.push(word),
         }
-        Merge::Confirmed
+        MergeResult::Confirmed
     }
 
     /// What is said of this very name.
-    fn merge_own(&mut self, update: &Update, uptime_ms: u32) -> Merge {
-        let (mine, said) = (self.me().stamp, update.card.stamp);
-        if self.leaving || update.state == State::Heard {
-            return Merge::Stale;
+    fn merge_own(&mut self, update: &Update, uptime_ms: u32) -> MergeResult {
+        let (mine, said) = (self.me().stamp, update.record.stamp);
+        if self.leaving || update.state == State::Vouched {
+            return MergeResult::Stale;
         }
-        if said.life == mine.life {
+        if said.incarnation == mine.incarnation {
             let news = said > mine || said == mine && update.state != State::Alive;
             if news {
                 self.restamp(mine.after(said), uptime_ms, |_| ());
-                return Merge::Refuted;
+                return MergeResult::Refuted;
             }
-            return Merge::Stale;
+            return MergeResult::Stale;
         }
         if said.generation < mine.generation {
-            return Merge::Stale;
+            return MergeResult::Stale;
         }
         // Only a process that runs claims its name above a claim over it.
-        let claimed =
-            self.claims.iter().find(|(life, _)| *life == said.life).map(|&(_, generation)| generation);
+        let claimed = self
+            .superseded
+            .iter()
+            .find(|(life, _)| *life == said.incarnation)
+            .map(|&(_, generation)| generation);
         let living = claimed.is_some_and(|claimed| said.generation > claimed)
             && !matches!(update.state, State::Dead | State::Left);
-        if living && update.card.uptime_ms > uptime_ms {
-            return Merge::Displaced;
+        if living && update.record.uptime_ms > uptime_ms {
+            return MergeResult::Displaced;
         }
-        self.claims.retain(|(life, _)| *life != said.life);
-        if self.claims.len() >= CLAIMS_MOST {
-            self.claims.remove(0);
+        self.superseded.retain(|(life, _)| *life != said.incarnation);
+        if self.superseded.len() >= MAX_SUPERSEDED {
+            self.superseded.remove(0);
         }
-        self.claims.push((said.life, said.generation));
+        self.superseded.push((said.incarnation, said.generation));
         self.restamp(mine.over(said), uptime_ms, |_| ());
-        Merge::Claimed { living }
+        MergeResult::Claimed { is_running: living }
     }
 
-    fn restamp(&mut self, stamp: Stamp, uptime_ms: u32, change: impl FnOnce(&mut Card)) {
+    fn restamp(&mut self, stamp: Stamp, uptime_ms: u32, change: impl FnOnce(&mut MemberRecord)) {
         self.change(&self.me.clone(), |me| {
-            (me.card.stamp, me.card.uptime_ms) = (stamp, uptime_ms);
-            change(&mut me.card);
+            (me.record.stamp, me.record.uptime_ms) = (stamp, uptime_ms);
+            change(&mut me.record);
         });
     }
 
--- a/membership/src/view.rs
+++ b/membership/src/view.rs
@@ -1,8 +1,8 @@
 //! What others are shown.
 
 use crate::name::Name;
-use crate::packet::Reject;
-use crate::table::{State, Word};
+use crate::packet::Rejection;
+use crate::table::{State, SuspicionReport};
 use crate::{CutOff, Micros};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -23,15 +23,18 @@
     /// Its name.
     pub name: String,
     /// Where others reach it.
-    pub at: SocketAddr,
+    #[serde(rename = "at")]
+    pub address: SocketAddr,
     /// Whether it runs.
     pub state: State,
     /// How many processes have had its name, this one included.
     pub generation: u32,
     /// Its process, in hexadecimal digits.
-    pub life: String,
+    #[serde(rename = "life")]
+    pub incarnation: String,
     /// How much it has said of itself in this life.
-    pub incarnation: u32,
+    #[serde(rename = "incarnation")]
+    pub sequence: u32,
     /// It finds itself cut off.
     pub cut_off: Option<CutOff>,
     /// Since when it has been in its state, in milliseconds before now.
@@ -43,27 +46,28 @@
     /// Whom an answer last came through, where the direct way failed.
     pub via: Option<String>,
     /// Who suspects it, or whose words it died of.
-    pub words: Vec<WordView>,
+    #[serde(rename = "words")]
+    pub suspicions: Vec<SuspicionView>,
 }
 
 /// A word on a suspicion, as it is shown.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct WordView {
+pub struct SuspicionView {
     /// Who.
     pub by: String,
     /// Why.
     pub cause: crate::Cause,
 }
 
-impl From<&Word> for WordView {
-    fn from(Word { by, cause }: &Word) -> WordView {
-        WordView { by: by.to_string(), cause: *cause }
+impl From<&SuspicionReport> for SuspicionView {
+    fn from(SuspicionReport { by, cause }: &SuspicionReport) -> SuspicionView {
+        SuspicionView { by: by.to_string(), cause: *cause }
     }
 }
 
 /// All that a process knows.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct View {
+pub struct MembershipView {
     /// Its name.
     pub me: String,
     /// Counts its changes.
@@ -79,14 +83,14 @@
     /// By name, this process among them.
     pub members: Vec<MemberView>,
     /// What came and was not taken, by reason.
-    pub rejected: BTreeMap<Reject, u64>,
+    pub rejected: BTreeMap<Rejection, u64>,
 }
 
 pub(crate) fn ms_ago(now: Micros, at: Micros) -> u64 {
     now.saturating_sub(at) / 1_000
 }
 
-impl View {
+impl MembershipView {
     /// The names of those that are taken to run.
     pub fn running(&self) -> impl Iterator<Item = &str> {
         let runs = |m: &&MemberView| matches!(m.state, State::Alive | State::Suspect);
--- a/membership/tests/claims.rs
+++ b/membership/tests/claims.rs
@@ -1,6 +1,6 @@
 //! A process that was started again with the name of one that others still take to run.
 
-use flaxhead_membership::{Config, Effect, Machine, Name, Packet, Verdict};
+use flaxhead_membership::{CheckResult, Config, Effect, Machine, Name, Packet};
 use std::net::SocketAddr;
 
 fn machine(number: u8, seed: u64, contacts: &[u8]) -> Machine {
@@ -28,8 +28,8 @@
         let (mut one, mut before, mut after) =
             (machine(1, 9, &[]), machine(2, old, &[1]), machine(2, new, &[1]));
         let mut out = Vec::new();
-        one.exchanged(0, at(2), before.exchange(), &mut out);
-        before.exchanged(0, at(1), one.exchange(), &mut out);
+        one.receive_full_state(0, at(2), before.full_state(), &mut out);
+        before.receive_full_state(0, at(1), one.full_state(), &mut out);
         out.clear();
         let mut now = 0;
         // All news is old by the time of the restart; then the address is probed, and its machine asked, before the new
@@ -48,7 +48,7 @@
             let checks: Vec<u32> = out.iter().filter_map(checks).collect();
             let mut ways = sent(&mut out);
             for seq in checks {
-                one.checked(now, seq, Verdict::Answered(there.table().me().clone()), &mut out);
+                one.check_completed(now, seq, CheckResult::Answered(there.table().me().clone()), &mut out);
                 ways.extend(sent(&mut out));
             }
             while let Some((to, packet)) = ways.pop() {
@@ -58,7 +58,10 @@
             }
         }
         let own = after.table().me().stamp;
-        let shown = one.table().get(&Name::new("n2").expect("a name")).expect("it is known").card.stamp;
-        assert_eq!(shown.life, own.life, "the new process is taken for what it is, lives {old} and {new}");
+        let shown = one.table().get(&Name::new("n2").expect("a name")).expect("it is known").record.stamp;
+        assert_eq!(
+            shown.incarnation, own.incarnation,
+            "the new process is taken for what it is, lives {old} and {new}"
+        );
     }
 }
--- a/membership/tests/contacts.rs
+++ b/membership/tests/contacts.rs
@@ -13,8 +13,8 @@
 #[test]
 fn a_contact_that_others_came_to_first_still_asks_the_other_contact() {
     let (mut contact, other) = (started(1, &[1, 2]), started(3, &[1, 2]));
-    let packet = other.exchange();
-    contact.exchanged(1_000, SocketAddr::from(([10, 0, 0, 3], 9)), packet, &mut Vec::new());
+    let packet = other.full_state();
+    contact.receive_full_state(1_000, SocketAddr::from(([10, 0, 0, 3], 9)), packet, &mut Vec::new());
     assert_eq!(contact.table().others().count(), 1);
     let mut now = 2_000;
     let asked = std::iter::from_fn(|| {
@@ -24,5 +24,7 @@
         (now < 2_000_000).then_some(out)
     });
     let second = SocketAddr::from(([10, 0, 0, 2], 7_946));
-    assert!(asked.flatten().any(|effect| matches!(effect, Effect::Exchange { at } if at == second)));
+    assert!(asked
+        .flatten()
+        .any(|effect| matches!(effect, Effect::Exchange { address } if address == second)));
 }
--- a/membership/tests/model.rs
+++ b/membership/tests/model.rs
@@ -1,7 +1,7 @@
 //! Every order in which three members may suspect, bury, tell, crash and start again, with a way cut and old words that
 //! come again: checked exhaustively on the real table. Time is left out: anybody may suspect anybody at any moment.
 
-use flaxhead_membership::{Card, Cause, Name, Stamp, State, Table, Update};
+use flaxhead_membership::{Cause, MemberRecord, MemberTable, Name, Stamp, State, SuspicionReport, Update};
 use stateright::{Checker, Model, Property};
 use std::net::SocketAddr;
 
@@ -29,7 +29,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
     /// A member's table while it runs, else the number of lives it had.
-    tables: Vec<Option<Table>>,
+    tables: Vec<Option<MemberTable>>,
     lives: Vec<u64>,
     /// Newest stamp that each has known of each in its life.
     newest: Vec<Vec<Option<Stamp>>>,
@@ -63,21 +63,21 @@
     100 + member as u64
 }
 
-fn card(member: usize, life: u64) -> Card {
+fn card(member: usize, life: u64) -> MemberRecord {
     let at = SocketAddr::from(([127, 0, 0, member as u8 + 1], 7_000));
-    Card { name: name(member), at, stamp: Stamp::first(life), uptime_ms: 0, cut_off: None }
+    MemberRecord { name: name(member), address: at, stamp: Stamp::first(life), uptime_ms: 0, cut_off: None }
 }
 
 impl Three {
-    fn take(&self, table: &mut Table, update: &Update) {
-        let own = update.card.name == table.me().name;
-        let own_life = update.card.stamp.life == table.me().stamp.life;
-        let gone = table.get(&update.card.name).is_some_and(|m| m.state == State::Dead);
+    fn take(&self, table: &mut MemberTable, update: &Update) {
+        let own = update.record.name == table.me().name;
+        let own_life = update.record.stamp.incarnation == table.me().stamp.incarnation;
+        let gone = table.get(&update.record.name).is_some_and(|m| m.state == State::Dead);
         match self.0 {
             Broken::Refutes if own && own_life => return,
             Broken::Claims if own && !own_life => return,
             Broken::DeathsEnd if gone && update.state != State::Dead => return,
-            Broken::NewestWins if gone && update.state == State::Alive => table.forget(&update.card.name),
+            Broken::NewestWins if gone && update.state == State::Alive => table.remove(&update.record.name),
             _ => {}
         }
         table.merge(update, 0);
@@ -99,7 +99,7 @@
             for from in 0..MEMBERS {
                 for to in (0..MEMBERS).filter(|to| *to != from) {
                     let Some(table) = &world.tables[from] else { continue };
-                    let own = Update { card: table.me().clone(), state: State::Alive, by: None };
+                    let own = Update { record: table.me().clone(), state: State::Alive, by: None };
                     let told: Vec<Update> = (0..MEMBERS).filter_map(|of| table.update(&name(of))).collect();
                     for update in std::iter::once(own).chain(told) {
                         self.tell(&mut world, to, &update);
@@ -115,8 +115,8 @@
 }
 
 fn suspicion(world: &World, by: usize, of: usize, state: State) -> Option<Update> {
-    let card = world.tables[by].as_ref()?.get(&name(of))?.card.clone();
-    Some(Update { card, state, by: Some((name(by), Cause::Silent)) })
+    let card = world.tables[by].as_ref()?.get(&name(of))?.record.clone();
+    Some(Update { record: card, state, by: Some(SuspicionReport { by: name(by), cause: Cause::Silent }) })
 }
 
 fn state_of(world: &World, by: usize, of: usize) -> Option<State> {
@@ -131,7 +131,7 @@
         runs.iter().all(|&of| {
             let own = world.tables[of].as_ref().map(|t| t.me().clone());
             let known = world.tables[by].as_ref().and_then(|t| t.get(&name(of)).cloned());
-            known.is_some_and(|k| k.state == State::Alive && Some(k.card) == own)
+            known.is_some_and(|k| k.state == State::Alive && Some(k.record) == own)
         })
     })
 }
@@ -141,11 +141,12 @@
     type Action = Act;
 
     fn init_states(&self) -> Vec<World> {
-        let mut tables: Vec<Table> = (0..MEMBERS).map(|m| Table::new(card(m, first_life(m)))).collect();
+        let mut tables: Vec<MemberTable> =
+            (0..MEMBERS).map(|m| MemberTable::new(card(m, first_life(m)))).collect();
         for table in &mut tables {
             for other in 0..MEMBERS {
                 table.merge(
-                    &Update { card: card(other, first_life(other)), state: State::Alive, by: None },
+                    &Update { record: card(other, first_life(other)), state: State::Alive, by: None },
                     0,
                 );
             }
@@ -221,7 +222,7 @@
             Act::Start(member) => {
                 // The harder of the two cases: what is drawn for it is below what its last life drew.
                 next.lives[member] -= 10;
-                next.tables[member] = Some(Table::new(card(member, next.lives[member])));
+                next.tables[member] = Some(MemberTable::new(card(member, next.lives[member])));
                 next.newest[member] = vec![None; MEMBERS];
             }
             Act::Cut(a, b) => {
@@ -232,7 +233,7 @@
         }
         for by in 0..MEMBERS {
             for of in 0..MEMBERS {
-                let known = next.tables[by].as_ref().and_then(|t| t.get(&name(of))).map(|m| m.card.stamp);
+                let known = next.tables[by].as_ref().and_then(|t| t.get(&name(of))).map(|m| m.record.stamp);
                 next.went_back |= known.is_some() && known < next.newest[by][of];
                 next.newest[by][of] = next.newest[by][of].max(known);
             }
@@ -241,8 +242,8 @@
     }
 
     fn within_boundary(&self, world: &World) -> bool {
-        let stamps = world.tables.iter().flatten().flat_map(|t| t.iter().map(|m| m.card.stamp));
-        stamps.into_iter().all(|s| s.incarnation <= INCARNATIONS && s.generation <= GENERATIONS)
+        let stamps = world.tables.iter().flatten().flat_map(|t| t.iter().map(|m| m.record.stamp));
+        stamps.into_iter().all(|s| s.sequence <= INCARNATIONS && s.generation <= GENERATIONS)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
--- a/peers/src/codec.rs
+++ b/peers/src/codec.rs
@@ -4,18 +4,18 @@
 use serde::{Deserialize, Serialize};
 
 /// The first bytes of everything.
-const MARK: [u8; 2] = *b"fx";
+const MAGIC: [u8; 2] = *b"fx";
 /// The same of what a service says.
-const SERVICE: [u8; 2] = *b"fr";
+const SERVICE_MAGIC: [u8; 2] = *b"fr";
 /// This form.
 pub const VERSION: u8 = 1;
 /// The form of what services say: since the second they are told apart by channels.
 pub const SERVICE_VERSION: u8 = 2;
 /// Longest datagram: it passes any network without being cut in two.
-pub const DATAGRAM_MOST: usize = 1_400;
+pub const MAX_DATAGRAM_BYTES: usize = 1_400;
 /// Longest frame of a connection: all members that are kept, with their longest names.
-pub const FRAME_MOST: usize = 1 << 20;
-const CHECKSUM: usize = 4;
+pub const MAX_FRAME_BYTES: usize = 1 << 20;
+const CHECKSUM_BYTES: usize = 4;
 
 /// Which of several services it is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -23,21 +23,23 @@
 
 impl Channel {
     /// Turns of hosts that are taken out for work.
-    pub const TURNS: Channel = Channel(1);
+    pub const MAINTENANCE: Channel = Channel(1);
     /// Shares of what the hosts can carry.
-    pub const SHARES: Channel = Channel(2);
+    pub const QUOTA: Channel = Channel(2);
 }
 
 /// Why bytes are no packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize, thiserror::Error)]
 #[serde(rename_all = "kebab-case")]
-pub enum Bad {
+pub enum DecodeError {
     /// It ends too early.
     #[error("it is cut off")]
-    Cut,
+    #[serde(rename = "cut")]
+    Truncated,
     /// It is longer than anything that is sent.
     #[error("it is too long")]
-    Huge,
+    #[serde(rename = "huge")]
+    TooLong,
     /// It is something else altogether.
     #[error("it is nothing of ours")]
     Foreign,
@@ -56,67 +58,75 @@
 }
 
 /// A packet as bytes.
-pub fn encode(cluster: &str, packet: &Packet) -> Result<Vec<u8>, Bad> {
-    put((MARK, VERSION), cluster, packet)
+pub fn encode(cluster: &str, packet: &Packet) -> Result<Vec<u8>, DecodeError> {
+    put((MAGIC, VERSION), cluster, packet)
 }
 
 /// What the service on a channel says in the name of a member, as bytes.
-pub fn encode_ridden(cluster: &str, from: &Name, channel: Channel, body: &[u8]) -> Result<Vec<u8>, Bad> {
-    put((SERVICE, SERVICE_VERSION), cluster, &(from, channel, body))
+pub fn encode_service_frame(
+    cluster: &str,
+    from: &Name,
+    channel: Channel,
+    body: &[u8],
+) -> Result<Vec<u8>, DecodeError> {
+    put((SERVICE_MAGIC, SERVICE_VERSION), cluster, &(from, channel, body))
 }
 
 /// Whether these bytes are a service's.
-pub fn is_ridden(bytes: &[u8]) -> bool {
-    bytes.starts_with(&SERVICE)
+pub fn is_service_frame(bytes: &[u8]) -> bool {
+    bytes.starts_with(&SERVICE_MAGIC)
 }
 
-fn put((mark, version): ([u8; 2], u8), cluster: &str, what: &impl Serialize) -> Result<Vec<u8>, Bad> {
+fn put((mark, version): ([u8; 2], u8), cluster: &str, what: &impl Serialize) -> Result<Vec<u8>, DecodeError> {
     let mut bytes = Vec::with_capacity(256);
     bytes.extend_from_slice(&mark);
     bytes.push(version);
-    bytes.push(u8::try_from(cluster.len()).map_err(|_| Bad::Huge)?);
+    bytes.push(u8::try_from(cluster.len()).map_err(|_| DecodeError::TooLong)?);
     bytes.extend_from_slice(cluster.as_bytes());
-    let mut bytes = postcard::to_extend(what, bytes).map_err(|_| Bad::Malformed)?;
+    let mut bytes = postcard::to_extend(what, bytes).map_err(|_| DecodeError::Malformed)?;
     bytes.extend_from_slice(&crc32fast::hash(&bytes).to_be_bytes());
     Ok(bytes)
 }
 
 /// Bytes as a packet.
-pub fn decode(cluster: &str, bytes: &[u8]) -> Result<Packet, Bad> {
-    take((MARK, VERSION), cluster, bytes)
+pub fn decode(cluster: &str, bytes: &[u8]) -> Result<Packet, DecodeError> {
+    take((MAGIC, VERSION), cluster, bytes)
 }
 
 /// Bytes as what a service says: in whose name, on which channel, what.
-pub fn decode_ridden<'a>(cluster: &str, bytes: &'a [u8]) -> Result<(Name, Channel, &'a [u8]), Bad> {
-    take((SERVICE, SERVICE_VERSION), cluster, bytes)
+pub fn decode_service_frame<'a>(
+    cluster: &str,
+    bytes: &'a [u8],
+) -> Result<(Name, Channel, &'a [u8]), DecodeError> {
+    take((SERVICE_MAGIC, SERVICE_VERSION), cluster, bytes)
 }
 
 fn take<'a, T: Deserialize<'a>>(
     (wanted, spoken): ([u8; 2], u8),
     cluster: &str,
     bytes: &'a [u8],
-) -> Result<T, Bad> {
-    let (mark, rest) = bytes.split_at_checked(wanted.len()).ok_or(Bad::Cut)?;
+) -> Result<T, DecodeError> {
+    let (mark, rest) = bytes.split_at_checked(wanted.len()).ok_or(DecodeError::Truncated)?;
     if mark != wanted {
-        return Err(Bad::Foreign);
+        return Err(DecodeError::Foreign);
     }
-    let (&version, rest) = rest.split_first().ok_or(Bad::Cut)?;
+    let (&version, rest) = rest.split_first().ok_or(DecodeError::Truncated)?;
     if version != spoken {
-        return Err(Bad::Version);
+        return Err(DecodeError::Version);
     }
-    let (&length, rest) = rest.split_first().ok_or(Bad::Cut)?;
-    let (name, rest) = rest.split_at_checked(usize::from(length)).ok_or(Bad::Cut)?;
+    let (&length, rest) = rest.split_first().ok_or(DecodeError::Truncated)?;
+    let (name, rest) = rest.split_at_checked(usize::from(length)).ok_or(DecodeError::Truncated)?;
     if name != cluster.as_bytes() {
-        return Err(Bad::Cluster);
+        return Err(DecodeError::Cluster);
     }
-    let body = rest.len().checked_sub(CHECKSUM).ok_or(Bad::Cut)?;
+    let body = rest.len().checked_sub(CHECKSUM_BYTES).ok_or(DecodeError::Truncated)?;
     let (body, checksum) = rest.split_at(body);
-    let sum = crc32fast::hash(&bytes[..bytes.len() - CHECKSUM]);
+    let sum = crc32fast::hash(&bytes[..bytes.len() - CHECKSUM_BYTES]);
     if checksum != sum.to_be_bytes() {
-        return Err(Bad::Checksum);
+        return Err(DecodeError::Checksum);
     }
     match postcard::take_from_bytes(body) {
         Ok((packet, [])) => Ok(packet),
-        Ok(_) | Err(_) => Err(Bad::Malformed),
+        Ok(_) | Err(_) => Err(DecodeError::Malformed),
     }
 }
--- a/peers/src/driver.rs
+++ b/peers/src/driver.rs
@@ -1,9 +1,9 @@
 //! Sockets and timers for one machine.
 
-use crate::codec::{self, Bad, Channel, DATAGRAM_MOST, FRAME_MOST};
+use crate::codec::{self, Channel, DecodeError, MAX_DATAGRAM_BYTES, MAX_FRAME_BYTES};
 use crate::lines::Lines;
 use crate::Settings;
-use flaxhead_membership::{Change, Effect, Kind, Machine, Micros, Name, Packet, Verdict, View};
+use flaxhead_membership::{Change, CheckResult, Effect, Kind, Machine, MembershipView, Micros, Name, Packet};
 use serde::{Deserialize, Serialize};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -36,14 +36,16 @@
 
 /// What was not taken, by reason.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Counts {
+pub struct WireStats {
     /// Bytes that were no packet.
-    pub bad: BTreeMap<Bad, u64>,
+    pub bad: BTreeMap<DecodeError, u64>,
     /// From addresses that are not let in.
-    pub not_let_in: u64,
+    #[serde(rename = "not_let_in")]
+    pub not_allowed: u64,
     /// In the name of one that is no member, or is elsewhere.
     #[serde(default)]
-    pub strangers: u64,
+    #[serde(rename = "strangers")]
+    pub unknown_senders: u64,
     /// By a service that this process does not have.
     #[serde(default)]
     pub unknown_channel: u64,
@@ -53,14 +55,15 @@
 
 /// All that is shown of the peers.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Shown {
+pub struct PeersView {
     /// What the machine knows.
     #[serde(flatten)]
-    pub view: View,
+    pub view: MembershipView,
     /// Whether this process may take part in what is settled in common.
-    pub takes_part: bool,
+    #[serde(rename = "takes_part")]
+    pub participates: bool,
     /// What did not come to the machine.
-    pub wire: Counts,
+    pub wire: WireStats,
 }
 
 /// What else travels between members, on their sockets: a service of its own that is told who speaks and what.
@@ -72,7 +75,7 @@
 struct Inner {
     settings: Settings,
     machine: RefCell<Machine>,
-    counts: RefCell<Counts>,
+    counts: RefCell<WireStats>,
     lines: RefCell<Lines>,
     socket: UdpSocket,
     listener: TcpListener,
@@ -107,7 +110,7 @@
         tcp.set_reuseaddr(true)?;
         tcp.bind(settings.listen)?;
         let listener = tcp.listen(BACKLOG)?;
-        let (at, contacts, pace) = (settings.advertise, settings.contacts.clone(), settings.pace.clone());
+        let (at, contacts, pace) = (settings.advertise, settings.contacts.clone(), settings.config.clone());
         let machine = RefCell::new(Machine::new(name, at, contacts, pace, seed, 0));
         let (counts, lines) = Default::default();
         let (start, stirred, asking) = (Instant::now(), Notify::new(), Semaphore::new(CONNECTIONS));
@@ -137,19 +140,27 @@
     }
 
     /// Looks at the machine.
-    pub fn look<R>(&self, look: impl FnOnce(&Machine, Micros) -> R) -> R {
+    pub fn with_machine<R>(&self, look: impl FnOnce(&Machine, Micros) -> R) -> R {
         look(&self.0.machine.borrow(), self.now())
     }
 
     /// Sends what a service says to a member, as a datagram where it fits into one. What is lost is up to the service.
-    pub fn post(&self, channel: Channel, to: &Name, body: &[u8]) {
+    pub fn send(&self, channel: Channel, to: &Name, body: &[u8]) {
         let (at, bytes) = {
             let machine = self.0.machine.borrow();
-            let at = machine.table().get(to).map(|member| member.card.at);
-            (at, codec::encode_ridden(&self.0.settings.cluster, &machine.table().me().name, channel, body))
+            let at = machine.table().get(to).map(|member| member.record.address);
+            (
+                at,
+                codec::encode_service_frame(
+                    &self.0.settings.cluster,
+                    &machine.table().me().name,
+                    channel,
+                    body,
+                ),
+            )
         };
         let (Some(at), Ok(bytes)) = (at, bytes) else { return };
-        if bytes.len() <= DATAGRAM_MOST {
+        if bytes.len() <= MAX_DATAGRAM_BYTES {
             if self.0.socket.try_send_to(&bytes, at).is_err() {
                 self.0.counts.borrow_mut().dropped += 1;
             }
@@ -172,18 +183,18 @@
     /// What a service of the other side said.
     fn ridden(&self, source: SocketAddr, bytes: &[u8], most: usize) {
         if self.0.services.borrow().is_empty() {
-            return self.count(Bad::Foreign);
+            return self.count(DecodeError::Foreign);
         }
         if bytes.len() > most {
-            return self.count(Bad::Huge);
+            return self.count(DecodeError::TooLong);
         }
-        let (from, channel, body) = match codec::decode_ridden(&self.0.settings.cluster, bytes) {
+        let (from, channel, body) = match codec::decode_service_frame(&self.0.settings.cluster, bytes) {
             Ok(said) => said,
             Err(bad) => return self.count(bad),
         };
-        let at = self.0.machine.borrow().table().get(&from).map(|member| member.card.at.ip());
+        let at = self.0.machine.borrow().table().get(&from).map(|member| member.record.address.ip());
         if at != Some(source.ip()) {
-            self.0.counts.borrow_mut().strangers += 1;
+            self.0.counts.borrow_mut().unknown_senders += 1;
             return;
         }
         // It may post, and so is not held.
@@ -195,10 +206,10 @@
     }
 
     /// What is shown.
-    pub fn shown(&self) -> Shown {
+    pub fn view(&self) -> PeersView {
         let machine = self.0.machine.borrow();
-        let (view, takes_part) = (machine.view(self.now()), machine.takes_part());
-        Shown { view, takes_part, wire: self.0.counts.borrow().clone() }
+        let (view, takes_part) = (machine.view(self.now()), machine.participates());
+        PeersView { view, participates: takes_part, wire: self.0.counts.borrow().clone() }
     }
 
     /// Says that this process goes, until enough have heard it or two seconds are over.
@@ -215,7 +226,7 @@
 
     async fn datagrams(&self) {
         let Inner { socket, stirred, .. } = &*self.0;
-        let mut buffer = vec![0; DATAGRAM_MOST + 1];
+        let mut buffer = vec![0; MAX_DATAGRAM_BYTES + 1];
         let (mut saved, mut refilled) = (RATE, Instant::now());
         loop {
             self.step(|machine, now, out| machine.tick(now, out));
@@ -247,27 +258,27 @@
     }
 
     fn datagram(&self, source: SocketAddr, bytes: &[u8]) {
-        if !self.0.settings.lets_in(source.ip()) {
-            self.0.counts.borrow_mut().not_let_in += 1;
+        if !self.0.settings.is_allowed(source.ip()) {
+            self.0.counts.borrow_mut().not_allowed += 1;
             return;
         }
-        if codec::is_ridden(bytes) {
-            return self.ridden(source, bytes, DATAGRAM_MOST);
+        if codec::is_service_frame(bytes) {
+            return self.ridden(source, bytes, MAX_DATAGRAM_BYTES);
         }
-        match self.decode(bytes, DATAGRAM_MOST) {
+        match self.decode(bytes, MAX_DATAGRAM_BYTES) {
             Ok(packet) => self.step(|machine, now, out| machine.receive(now, source, packet, out)),
             Err(bad) => self.count(bad),
         }
     }
 
-    fn decode(&self, bytes: &[u8], most: usize) -> Result<Packet, Bad> {
+    fn decode(&self, bytes: &[u8], most: usize) -> Result<Packet, DecodeError> {
         if bytes.len() > most {
-            return Err(Bad::Huge);
+            return Err(DecodeError::TooLong);
         }
         codec::decode(&self.0.settings.cluster, bytes)
     }
 
-    fn count(&self, bad: Bad) {
+    fn count(&self, bad: DecodeError) {
         *self.0.counts.borrow_mut().bad.entry(bad).or_default() += 1;
     }
 
@@ -277,14 +288,14 @@
         act(&mut self.0.machine.borrow_mut(), self.now(), &mut out);
         for effect in out {
             match effect {
-                Effect::Send { to, packet } => self.send(to, &packet),
-                Effect::Check { seq, at } => {
+                Effect::Send { to, packet } => self.send_packet(to, &packet),
+                Effect::Check { seq, address } => {
                     let peers = self.clone();
-                    spawn_local(async move { peers.check(seq, at).await });
+                    spawn_local(async move { peers.check(seq, address).await });
                 }
-                Effect::Exchange { at } => {
+                Effect::Exchange { address } => {
                     let peers = self.clone();
-                    spawn_local(async move { peers.exchange(at).await });
+                    spawn_local(async move { peers.exchange(address).await });
                 }
                 Effect::Changed(change) => {
                     self.0.lines.borrow_mut().write(Instant::now(), || line(&change));
@@ -293,9 +304,9 @@
         }
     }
 
-    fn send(&self, to: SocketAddr, packet: &Packet) {
+    fn send_packet(&self, to: SocketAddr, packet: &Packet) {
         let sent = match codec::encode(&self.0.settings.cluster, packet) {
-            Ok(bytes) if bytes.len() <= DATAGRAM_MOST => self.0.socket.try_send_to(&bytes, to).is_ok(),
+            Ok(bytes) if bytes.len() <= MAX_DATAGRAM_BYTES => self.0.socket.try_send_to(&bytes, to).is_ok(),
             _ => false,
         };
         if !sent {
@@ -313,19 +324,19 @@
                 // The name is not asked for: whoever answers says who it is.
                 let packet = {
                     let machine = self.0.machine.borrow();
-                    machine.bare(Kind::Ping { seq, to: machine.table().me().name.clone() })
+                    machine.packet(Kind::Ping { seq, to: machine.table().me().name.clone() })
                 };
                 match timeout(CHECK_WAIT, self.ask(stream, &packet)).await {
-                    Ok(Ok(answer)) => Verdict::Answered(answer.from),
+                    Ok(Ok(answer)) => CheckResult::Answered(answer.from),
                     // What breaks a connection may be on the way; what only waits is the process.
-                    Ok(Err(_)) => Verdict::Unreachable,
-                    Err(_) => Verdict::Stalled,
+                    Ok(Err(_)) => CheckResult::Unreachable,
+                    Err(_) => CheckResult::Stalled,
                 }
             }
-            Ok(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused => Verdict::Refused,
-            Ok(Err(_)) | Err(_) => Verdict::Unreachable,
+            Ok(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused => CheckResult::Refused,
+            Ok(Err(_)) | Err(_) => CheckResult::Unreachable,
         };
-        self.step(|machine, now, out| machine.checked(now, seq, verdict, out));
+        self.step(|machine, now, out| machine.check_completed(now, seq, verdict, out));
         self.0.stirred.notify_one();
     }
 
@@ -333,12 +344,12 @@
         let Ok(_place) = self.0.asking.try_acquire() else { return };
         let exchange = async {
             let stream = self.connect(at).await?;
-            let packet = self.0.machine.borrow().exchange();
+            let packet = self.0.machine.borrow().full_state();
             self.ask(stream, &packet).await
         };
         // One that does not come about is made again when views are next compared.
         if let Ok(Ok(packet)) = timeout(EXCHANGE_WAIT, exchange).await {
-            self.step(|machine, now, out| machine.exchanged(now, at, packet, out));
+            self.step(|machine, now, out| machine.receive_full_state(now, at, packet, out));
             self.0.stirred.notify_one();
         }
     }
@@ -371,7 +382,7 @@
     }
 
     fn decoded(&self, bytes: &[u8]) -> io::Result<Packet> {
-        self.decode(bytes, FRAME_MOST).map_err(|bad| {
+        self.decode(bytes, MAX_FRAME_BYTES).map_err(|bad| {
             self.count(bad);
             io::Error::other(bad)
         })
@@ -379,9 +390,9 @@
 
     async fn read_frame(&self, stream: &mut TcpStream) -> io::Result<Vec<u8>> {
         let length = stream.read_u32().await? as usize;
-        if length > FRAME_MOST {
-            self.count(Bad::Huge);
-            return Err(io::Error::other(Bad::Huge));
+        if length > MAX_FRAME_BYTES {
+            self.count(DecodeError::TooLong);
+            return Err(io::Error::other(DecodeError::TooLong));
         }
         // Read as it comes: a length alone takes no memory.
         let mut bytes = Vec::new();
@@ -401,8 +412,8 @@
                     continue;
                 }
             };
-            if !self.0.settings.lets_in(source.ip()) {
-                self.0.counts.borrow_mut().not_let_in += 1;
+            if !self.0.settings.is_allowed(source.ip()) {
+                self.0.counts.borrow_mut().not_allowed += 1;
                 continue;
             }
             let peers = self.clone();
@@ -416,21 +427,21 @@
 
     async fn answer(&self, mut stream: TcpStream, source: SocketAddr) -> io::Result<()> {
         let bytes = self.read_frame(&mut stream).await?;
-        if codec::is_ridden(&bytes) {
-            self.ridden(source, &bytes, FRAME_MOST);
+        if codec::is_service_frame(&bytes) {
+            self.ridden(source, &bytes, MAX_FRAME_BYTES);
             return stream.write_u8(0).await;
         }
         let packet = self.decoded(&bytes)?;
         let answer = match packet.kind {
             Kind::Ping { seq, .. } => {
-                let answer = self.0.machine.borrow().bare(Kind::Ack { seq });
-                let news = Packet { kind: Kind::News, ..packet };
+                let answer = self.0.machine.borrow().packet(Kind::Ack { seq });
+                let news = Packet { kind: Kind::Gossip, ..packet };
                 self.step(|machine, now, out| machine.receive(now, source, news, out));
                 answer
             }
             _ => {
-                let answer = self.0.machine.borrow().exchange();
-                self.step(|machine, now, out| machine.exchanged(now, source, packet, out));
+                let answer = self.0.machine.borrow().full_state();
+                self.step(|machine, now, out| machine.receive_full_state(now, source, packet, out));
                 answer
             }
         };
@@ -440,8 +451,8 @@
 }
 
 async fn write_frame(stream: &mut TcpStream, bytes: &[u8]) -> io::Result<()> {
-    if bytes.len() > FRAME_MOST {
-        return Err(io::Error::other(Bad::Huge));
+    if bytes.len() > MAX_FRAME_BYTES {
+        return Err(io::Error::other(DecodeError::TooLong));
     }
     stream.write_u32(bytes.len() as u32).await?;
     stream.write_all(bytes).await
@@ -460,7 +471,7 @@
         Change::Joined(name) => format!("{name} joined"),
         Change::Restarted(name) => format!("{name} was started anew"),
         Change::Suspected { name, by, cause } => format!("{name} is suspected by {by}: {}", word(*cause)),
-        Change::Back(name) => format!("{name} is back"),
+        Change::Recovered(name) => format!("{name} is back"),
         Change::Died { name, by, cause } => format!("{name} is gone, by the word of {by}: {}", word(*cause)),
         Change::Left(name) => format!("{name} left"),
         Change::CutOff(None) => "this process is no longer cut off".to_owned(),
--- a/peers/src/lib.rs
+++ b/peers/src/lib.rs
@@ -10,5 +10,5 @@
 mod settings;
 
 pub use codec::Channel;
-pub use driver::{ChannelService, Peers, Shown};
+pub use driver::{ChannelService, Peers, PeersView};
 pub use settings::Settings;
--- a/peers/src/settings.rs
+++ b/peers/src/settings.rs
@@ -18,15 +18,15 @@
     /// Networks from which datagrams and connections are taken.
     pub networks: Vec<IpNet>,
     /// How the protocol is paced.
-    pub pace: Config,
+    pub config: Config,
 }
 
 impl Settings {
     /// Most bytes of a cluster's name.
-    pub const CLUSTER_MOST: usize = 32;
+    pub const MAX_CLUSTER_BYTES: usize = 32;
 
     /// Whether something from this address is taken.
-    pub fn lets_in(&self, address: IpAddr) -> bool {
+    pub fn is_allowed(&self, address: IpAddr) -> bool {
         let address = address.to_canonical();
         self.networks.iter().any(|network| network.contains(&address))
     }
--- a/peers/tests/datagrams.rs
+++ b/peers/tests/datagrams.rs
@@ -1,9 +1,10 @@
 //! What comes from the network is not to be trusted: a million datagrams with something wrong in each.
 
 use flaxhead_membership::{
-    Card, Cause, Config, CutOff, Kind, Machine, Name, Packet, Reject, Stamp, State, Update,
+    Cause, Config, CutOff, Kind, Machine, MemberRecord, Name, Packet, Rejection, Stamp, State,
+    SuspicionReport, Update,
 };
-use flaxhead_peers::codec::{decode, encode, Bad, DATAGRAM_MOST};
+use flaxhead_peers::codec::{decode, encode, DecodeError, MAX_DATAGRAM_BYTES};
 use proptest::prelude::*;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
@@ -17,16 +18,20 @@
     Name::new(text).expect("a name")
 }
 
-fn card(place: u8, stamp: Stamp) -> Card {
-    Card { name: name(&format!("n{place}")), at: at(place), stamp, uptime_ms: 10, cut_off: None }
+fn card(place: u8, stamp: Stamp) -> MemberRecord {
+    MemberRecord { name: name(&format!("n{place}")), address: at(place), stamp, uptime_ms: 10, cut_off: None }
 }
 
 fn first(place: u8) -> Stamp {
-    Stamp { generation: 1, life: u64::from(place), incarnation: 0 }
+    Stamp { generation: 1, incarnation: u64::from(place), sequence: 0 }
 }
 
 fn said(place: u8, state: State) -> Update {
-    Update { card: card(place, first(place)), state, by: Some((name("n3"), Cause::Silent)) }
+    Update {
+        record: card(place, first(place)),
+        state,
+        by: Some(SuspicionReport { by: name("n3"), cause: Cause::Silent }),
+    }
 }
 
 fn packet(kind: Kind, updates: Vec<Update>) -> Packet {
@@ -37,7 +42,7 @@
 fn machine() -> Machine {
     let mut machine = Machine::new(name("n1"), at(1), vec![at(2)], Config::default(), 5, 0);
     let others = [3, 4].map(|place| Update { by: None, ..said(place, State::Alive) });
-    machine.exchanged(0, at(2), packet(Kind::News, others.to_vec()), &mut Vec::new());
+    machine.receive_full_state(0, at(2), packet(Kind::Gossip, others.to_vec()), &mut Vec::new());
     assert_eq!(machine.table().others().count(), 3);
     machine
 }
@@ -51,10 +56,10 @@
     let mut random = Pcg32::seed_from_u64(3);
     let mut below = |bound: usize| ((u64::from(random.next_u32()) * bound as u64) >> 32) as usize;
     let kinds = [
-        Kind::News,
+        Kind::Gossip,
         Kind::Ping { seq: 4, to: name("n1") },
-        Kind::AckFor { seq: 9, card: card(4, first(4)) },
-        Kind::PingFor { seq: 2, name: name("n4"), at: at(4) },
+        Kind::IndirectAck { seq: 9, record: card(4, first(4)) },
+        Kind::PingRequest { seq: 2, name: name("n4"), address: at(4) },
     ];
     let whole: Vec<Vec<u8>> = kinds
         .into_iter()
@@ -93,19 +98,19 @@
 
 #[test]
 fn each_way_of_being_no_packet_is_told() {
-    let good = encode("palermo", &packet(Kind::News, Vec::new())).expect("encoded");
-    assert!(good.len() < DATAGRAM_MOST);
-    assert_eq!(decode("palermo", &good), Ok(packet(Kind::News, Vec::new())));
-    assert_eq!(decode("catania", &good), Err(Bad::Cluster));
-    assert_eq!(decode("palermo", &good[..7]), Err(Bad::Cut));
-    assert_eq!(decode("palermo", &good[..good.len() - 1]), Err(Bad::Checksum));
-    assert_eq!(decode("palermo", b"GET / HTTP/1.1"), Err(Bad::Foreign));
+    let good = encode("palermo", &packet(Kind::Gossip, Vec::new())).expect("encoded");
+    assert!(good.len() < MAX_DATAGRAM_BYTES);
+    assert_eq!(decode("palermo", &good), Ok(packet(Kind::Gossip, Vec::new())));
+    assert_eq!(decode("catania", &good), Err(DecodeError::Cluster));
+    assert_eq!(decode("palermo", &good[..7]), Err(DecodeError::Truncated));
+    assert_eq!(decode("palermo", &good[..good.len() - 1]), Err(DecodeError::Checksum));
+    assert_eq!(decode("palermo", b"GET / HTTP/1.1"), Err(DecodeError::Foreign));
     let other = [&good[..2], &[2], &good[3..]].concat();
-    assert_eq!(decode("palermo", &other), Err(Bad::Version));
+    assert_eq!(decode("palermo", &other), Err(DecodeError::Version));
     let mut body = good[..good.len() - 4].to_vec();
     body.push(0);
     body.extend(crc32fast::hash(&body).to_be_bytes());
-    assert_eq!(decode("palermo", &body), Err(Bad::Malformed));
+    assert_eq!(decode("palermo", &body), Err(DecodeError::Malformed));
 }
 
 /// Whole packets whose words are wrong: each is counted by its reason and removes nobody.
@@ -113,22 +118,22 @@
 fn lies_are_counted_and_remove_nobody() {
     let mut machine = machine();
     let out = &mut Vec::new();
-    let news = |from: Card, updates| Packet { from, digest: 0, kind: Kind::News, updates };
+    let news = |from: MemberRecord, updates| Packet { from, digest: 0, kind: Kind::Gossip, updates };
     machine.receive(1, at(9), news(card(2, first(2)), vec![said(4, State::Dead)]), out);
-    assert_eq!(machine.rejected().get(&Reject::NotItsSender), Some(&1));
-    let before = Stamp { generation: 0, ..Stamp { life: 99, ..first(2) } };
+    assert_eq!(machine.rejected().get(&Rejection::SenderMismatch), Some(&1));
+    let before = Stamp { generation: 0, ..Stamp { incarnation: 99, ..first(2) } };
     machine.receive(1, at(2), news(card(2, before), vec![said(4, State::Dead)]), out);
-    assert_eq!(machine.rejected().get(&Reject::EarlierLife), Some(&1));
-    let top = |place: u8, generation, incarnation| Update {
-        card: card(place, Stamp { generation, incarnation, ..first(place) }),
+    assert_eq!(machine.rejected().get(&Rejection::EarlierIncarnation), Some(&1));
+    let top = |place: u8, generation, sequence| Update {
+        record: card(place, Stamp { generation, sequence, ..first(place) }),
         ..said(place, State::Suspect)
     };
     let tops = vec![top(4, 1, u32::MAX), top(4, u32::MAX, 0), top(1, 1, u32::MAX)];
     machine.receive(1, at(2), news(card(2, first(2)), tops), out);
-    assert_eq!(machine.rejected().get(&Reject::Implausible), Some(&3));
-    for (kind, count) in [(Kind::Ack { seq: 77 }, 1), (Kind::NackFor { seq: 78, refused: true }, 2)] {
+    assert_eq!(machine.rejected().get(&Rejection::Implausible), Some(&3));
+    for (kind, count) in [(Kind::Ack { seq: 77 }, 1), (Kind::IndirectNack { seq: 78, is_refused: true }, 2)] {
         machine.receive(1, at(2), Packet { kind, ..news(card(2, first(2)), Vec::new()) }, out);
-        assert_eq!(machine.rejected().get(&Reject::Unasked), Some(&count));
+        assert_eq!(machine.rejected().get(&Rejection::Unsolicited), Some(&count));
     }
     assert_eq!(running(&machine), 3);
 }
@@ -139,14 +144,14 @@
     let out = &mut Vec::new();
     for batch in 0..1_000_u32 {
         let strangers = (0..1_000_u32).map(|n| {
-            let card = Card { name: name(&format!("x{batch}-{n}")), ..card(9, first(9)) };
-            Update { card, state: State::Alive, by: None }
+            let card = MemberRecord { name: name(&format!("x{batch}-{n}")), ..card(9, first(9)) };
+            Update { record: card, state: State::Alive, by: None }
         });
-        machine.receive(1, at(2), packet(Kind::News, strangers.collect()), out);
+        machine.receive(1, at(2), packet(Kind::Gossip, strangers.collect()), out);
         out.clear();
     }
     assert_eq!(machine.table().iter().count(), 4_096);
-    assert!(machine.rejected()[&Reject::TooMany] > 990_000);
+    assert!(machine.rejected()[&Rejection::TooMany] > 990_000);
     assert!(machine.table().get(&name("n4")).is_some_and(|m| m.state == State::Alive));
 }
 
@@ -159,10 +164,10 @@
     let (mut claimed, mut displaced) = (0, 0);
     for _ in 0..4 {
         let mut out = Vec::new();
-        let word = |m: &Machine| Update { card: m.table().me().clone(), state: State::Alive, by: None };
+        let word = |m: &Machine| Update { record: m.table().me().clone(), state: State::Alive, by: None };
         let (one, other) = (word(&older), word(&younger));
-        younger.exchanged(now, at(2), packet(Kind::News, vec![one]), &mut out);
-        older.exchanged(now, at(2), packet(Kind::News, vec![other]), &mut out);
+        younger.receive_full_state(now, at(2), packet(Kind::Gossip, vec![one]), &mut out);
+        older.receive_full_state(now, at(2), packet(Kind::Gossip, vec![other]), &mut out);
         now += 1_000;
         for effect in out {
             use flaxhead_membership::{Change, Effect};
@@ -177,10 +182,14 @@
 fn any_update() -> impl Strategy<Value = Update> {
     let state = prop_oneof![Just(State::Alive), Just(State::Suspect), Just(State::Dead), Just(State::Left)];
     (2_u8..5, 1_u32..4, 0_u64..3, 0_u32..4, state, any::<bool>()).prop_map(
-        |(of, generation, life, incarnation, state, cut)| {
-            let stamp = Stamp { generation, life, incarnation };
+        |(of, generation, incarnation, sequence, state, cut)| {
+            let stamp = Stamp { generation, incarnation, sequence };
             let cut_off = cut.then_some(CutOff::Deaf);
-            Update { card: Card { cut_off, ..card(of, stamp) }, state, by: Some((name("n3"), Cause::Silent)) }
+            Update {
+                record: MemberRecord { cut_off, ..card(of, stamp) },
+                state,
+                by: Some(SuspicionReport { by: name("n3"), cause: Cause::Silent }),
+            }
         },
     )
 }
@@ -193,7 +202,7 @@
             for word in words {
                 table.merge(word, 0);
             }
-            let all = table.iter().map(|m| (m.card.name.clone(), m.card.stamp, m.state));
+            let all = table.iter().map(|m| (m.record.name.clone(), m.record.stamp, m.state));
             all.collect::<Vec<_>>()
         };
         let mut turned = words.clone();
@@ -206,7 +215,7 @@
     #[test]
     fn what_is_written_is_read_again_and_within_its_bound(words in prop::collection::vec(any_update(), 0..6)) {
         let bound: usize = words.iter().map(Update::bytes).sum();
-        let packet = packet(Kind::News, words);
+        let packet = packet(Kind::Gossip, words);
         let bytes = encode("palermo", &packet).expect("encoded");
         prop_assert_eq!(decode("palermo", &bytes), Ok(packet.clone()));
         let bare = encode("palermo", &Packet { updates: Vec::new(), ..packet }).expect("encoded");
--- a/peers/tests/services.rs
+++ b/peers/tests/services.rs
@@ -38,7 +38,7 @@
 fn peers(name: &str, listen: SocketAddr, contact: SocketAddr) -> Peers {
     let networks = vec!["127.0.0.0/8".parse().expect("a network")];
     let (advertise, contacts, cluster) = (listen, vec![contact], "palermo".to_owned());
-    let settings = Settings { listen, advertise, contacts, cluster, networks, pace: Config::default() };
+    let settings = Settings { listen, advertise, contacts, cluster, networks, config: Config::default() };
     let peers = Peers::bind(settings, Name::new(name).expect("a name"), 7).expect("free ports");
     let serving = peers.clone();
     spawn_local(async move { serving.serve().await });
@@ -61,7 +61,7 @@
     LocalSet::new().block_on(&runtime, async {
         let [at, other] = free();
         let (one, two) = (peers("n1", at, other), peers("n2", other, at));
-        let services = [Channel::TURNS, Channel::SHARES].map(|channel| {
+        let services = [Channel::MAINTENANCE, Channel::QUOTA].map(|channel| {
             let heard = Rc::new(Heard::default());
             two.register(channel, heard.clone());
             // One on each: this changes nothing.
@@ -69,14 +69,14 @@
             heard
         });
         let n2 = Name::new("n2").expect("a name");
-        let knows = |peers: &Peers| peers.look(|machine, _| machine.table().others().count() == 1);
+        let knows = |peers: &Peers| peers.with_machine(|machine, _| machine.table().others().count() == 1);
         until("they know each other", || knows(&one) && knows(&two)).await;
         // Too long for a datagram: over a connection.
-        for (channel, length) in [(Channel::TURNS, 3), (Channel::SHARES, 5_000), (Channel(9), 4)] {
-            one.post(channel, &n2, &vec![0; length]);
+        for (channel, length) in [(Channel::MAINTENANCE, 3), (Channel::QUOTA, 5_000), (Channel(9), 4)] {
+            one.send(channel, &n2, &vec![0; length]);
         }
         until("each heard one", || services.iter().all(|heard| !heard.0.borrow().is_empty())).await;
-        until("the third is counted", || two.shown().wire.unknown_channel == 1).await;
+        until("the third is counted", || two.view().wire.unknown_channel == 1).await;
         let heard = services.map(|heard| heard.0.borrow().clone());
         assert_eq!(heard, [vec![("n1".to_owned(), 3)], vec![("n1".to_owned(), 5_000)]]);
     });
--- a/peers/tests/wire_format.rs
+++ b/peers/tests/wire_format.rs
@@ -1,8 +1,12 @@
 //! The bytes of every datagram between proxies. postcard encodes fields and variants by position, so a reordered variant
 //! or an inserted field changes the protocol: these bytes must not change.
 
-use flaxhead_membership::{Card, Cause, CutOff, Kind, Name, Packet, Reject, Stamp, State, Update};
-use flaxhead_peers::codec::{decode, decode_ridden, encode, encode_ridden, Bad, Channel};
+use flaxhead_membership::{
+    Cause, CutOff, Kind, MemberRecord, Name, Packet, Rejection, Stamp, State, SuspicionReport, Update,
+};
+use flaxhead_peers::codec::{
+    decode, decode_service_frame, encode, encode_service_frame, Channel, DecodeError,
+};
 use std::net::SocketAddr;
 
 fn hex(bytes: &[u8]) -> String {
@@ -17,9 +21,9 @@
     SocketAddr::from(([127, 0, 0, 2], 7_946))
 }
 
-fn card(cut_off: Option<CutOff>) -> Card {
-    let stamp = Stamp { generation: 300, life: 7, incarnation: 2 };
-    Card { name: name("n2"), at: at(), stamp, uptime_ms: 1_000, cut_off }
+fn card(cut_off: Option<CutOff>) -> MemberRecord {
+    let stamp = Stamp { generation: 300, incarnation: 7, sequence: 2 };
+    MemberRecord { name: name("n2"), address: at(), stamp, uptime_ms: 1_000, cut_off }
 }
 
 fn packet(kind: Kind, updates: Vec<Update>) -> Packet {
@@ -27,23 +31,23 @@
 }
 
 fn update(state: State, by: Option<Cause>) -> Update {
-    Update { card: card(None), state, by: by.map(|cause| (name("n3"), cause)) }
+    Update { record: card(None), state, by: by.map(|cause| SuspicionReport { by: name("n3"), cause }) }
 }
 
 fn packets() -> Vec<(&'static str, Packet)> {
-    let speaking = |how: CutOff| Packet { from: card(Some(how)), ..packet(Kind::News, Vec::new()) };
+    let speaking = |how: CutOff| Packet { from: card(Some(how)), ..packet(Kind::Gossip, Vec::new()) };
     vec![
         ("Ping", packet(Kind::Ping { seq: 4, to: name("n1") }, Vec::new())),
         ("Ack", packet(Kind::Ack { seq: 4 }, Vec::new())),
-        ("PingFor", packet(Kind::PingFor { seq: 4, name: name("n4"), at: at() }, Vec::new())),
-        ("AckFor", packet(Kind::AckFor { seq: 4, card: card(None) }, Vec::new())),
-        ("NackFor", packet(Kind::NackFor { seq: 4, refused: true }, Vec::new())),
-        ("News", packet(Kind::News, Vec::new())),
-        ("Alive", packet(Kind::News, vec![update(State::Alive, None)])),
-        ("Heard", packet(Kind::News, vec![update(State::Heard, None)])),
-        ("Suspect", packet(Kind::News, vec![update(State::Suspect, Some(Cause::Silent))])),
-        ("Dead", packet(Kind::News, vec![update(State::Dead, Some(Cause::Stalled))])),
-        ("Left", packet(Kind::News, vec![update(State::Left, Some(Cause::Refused))])),
+        ("PingFor", packet(Kind::PingRequest { seq: 4, name: name("n4"), address: at() }, Vec::new())),
+        ("AckFor", packet(Kind::IndirectAck { seq: 4, record: card(None) }, Vec::new())),
+        ("NackFor", packet(Kind::IndirectNack { seq: 4, is_refused: true }, Vec::new())),
+        ("News", packet(Kind::Gossip, Vec::new())),
+        ("Alive", packet(Kind::Gossip, vec![update(State::Alive, None)])),
+        ("Heard", packet(Kind::Gossip, vec![update(State::Vouched, None)])),
+        ("Suspect", packet(Kind::Gossip, vec![update(State::Suspect, Some(Cause::Silent))])),
+        ("Dead", packet(Kind::Gossip, vec![update(State::Dead, Some(Cause::Stalled))])),
+        ("Left", packet(Kind::Gossip, vec![update(State::Left, Some(Cause::Refused))])),
         ("Deaf", speaking(CutOff::Deaf)),
         ("Mute", speaking(CutOff::Mute)),
     ]
@@ -65,11 +69,11 @@
 
 #[test]
 fn a_service_frame_keeps_its_bytes_on_each_channel() {
-    let frames = [Channel::TURNS, Channel::SHARES]
-        .map(|channel| encode_ridden("c", &name("n2"), channel, b"body").expect("it fits"));
+    let frames = [Channel::MAINTENANCE, Channel::QUOTA]
+        .map(|channel| encode_service_frame("c", &name("n2"), channel, b"body").expect("it fits"));
     assert_eq!(frames.each_ref().map(|frame| hex(frame)), EXPECTED_FRAMES);
-    let decoded = decode_ridden("c", &frames[0]);
-    assert_eq!(decoded, Ok((name("n2"), Channel::TURNS, b"body".as_slice())));
+    let decoded = decode_service_frame("c", &frames[0]);
+    assert_eq!(decoded, Ok((name("n2"), Channel::MAINTENANCE, b"body".as_slice())));
 }
 
 /// `/members.json` names these as its keys and values.
@@ -78,14 +82,27 @@
     fn texts<T: serde::Serialize>(values: &[T]) -> Vec<String> {
         values.iter().map(|value| serde_json::to_string(value).expect("text").replace('"', "")).collect()
     }
-    let states = [State::Alive, State::Heard, State::Suspect, State::Dead, State::Left];
+    let states = [State::Alive, State::Vouched, State::Suspect, State::Dead, State::Left];
     assert_eq!(texts(&states), ["alive", "heard", "suspect", "dead", "left"]);
     assert_eq!(texts(&[Cause::Silent, Cause::Stalled, Cause::Refused]), ["silent", "stalled", "refused"]);
     assert_eq!(texts(&[CutOff::Deaf, CutOff::Mute]), ["deaf", "mute"]);
-    let rejects =
-        [Reject::NotItsSender, Reject::EarlierLife, Reject::Implausible, Reject::TooMany, Reject::Unasked];
+    let rejects = [
+        Rejection::SenderMismatch,
+        Rejection::EarlierIncarnation,
+        Rejection::Implausible,
+        Rejection::TooMany,
+        Rejection::Unsolicited,
+    ];
     assert_eq!(texts(&rejects), ["not-its-sender", "earlier-life", "implausible", "too-many", "unasked"]);
-    let bad = [Bad::Cut, Bad::Huge, Bad::Foreign, Bad::Version, Bad::Cluster, Bad::Checksum, Bad::Malformed];
+    let bad = [
+        DecodeError::Truncated,
+        DecodeError::TooLong,
+        DecodeError::Foreign,
+        DecodeError::Version,
+        DecodeError::Cluster,
+        DecodeError::Checksum,
+        DecodeError::Malformed,
+    ];
     let names = ["cut", "huge", "foreign", "version", "cluster", "checksum", "malformed"];
     assert_eq!(texts(&bad), names);
 }
@@ -137,6 +154,6 @@
         r#""via":"n3","words":[{"by":"n3","cause":"stalled"}]}],"rejected":{"unasked":4},"takes_part":true,"#,
         r#""wire":{"bad":{"cut":1},"not_let_in":2,"strangers":3,"unknown_channel":4,"dropped":5}}"#,
     );
-    let shown: flaxhead_peers::Shown = serde_json::from_str(text).expect("it is understood");
+    let shown: flaxhead_peers::PeersView = serde_json::from_str(text).expect("it is understood");
     assert_eq!(serde_json::to_string(&shown).expect("text"), text);
 }
--- a/proxy/src/features/peers.rs
+++ b/proxy/src/features/peers.rs
@@ -18,7 +18,7 @@
     }
     let contacts = list(section, "contacts")?;
     let cluster = section
-        .take_if("cluster", bytes(Settings::CLUSTER_MOST))?
+        .take_if("cluster", bytes(Settings::MAX_CLUSTER_BYTES))?
         .ok_or_else(|| section.problem("cluster is missing"))?;
     let networks: Vec<IpNet> = list(section, "networks")?;
     if networks.is_empty() {
@@ -29,7 +29,7 @@
             section.problem(format!("networks leaves out {}, where this process itself is", advertise.ip()))
         );
     }
-    Ok(Settings { listen, advertise, contacts, cluster, networks, pace: Config::default() })
+    Ok(Settings { listen, advertise, contacts, cluster, networks, config: Config::default() })
 }
 
 /// Who votes, as more than one section says it.
--- a/proxy/src/features/shares/driver.rs
+++ b/proxy/src/features/shares/driver.rs
@@ -3,7 +3,7 @@
 use super::super::hosts::{Fact, Known};
 use super::lines::Lines;
 use crate::http::Engine;
-use flaxhead_coordination::{Clock, Coordinator, Side};
+use flaxhead_coordination::{Clock, Coordinator, Participant};
 use flaxhead_engine::Health;
 use flaxhead_lease::{Ballot, Machine};
 use flaxhead_quota::{Allowance, Host, Seat, Shares, Usage};
@@ -59,7 +59,7 @@
     }
 }
 
-impl Side<Shares> for Keeper {
+impl Participant<Shares> for Keeper {
     fn facts(&self) -> Vec<Host> {
         let fact = |Fact { host, failing, warmth, size }: Fact<'_>| Host {
             ready: host.health == Health::Ready,
@@ -70,7 +70,7 @@
         self.known.facts(&self.engine, fact).collect()
     }
 
-    fn before(&self, application: &mut Shares) {
+    fn before_step(&self, application: &mut Shares) {
         let now = self.clock.get().map_or(0, Clock::now);
         let (attempts, turned_away) = self.known.attempts();
         let usage = Usage { tenants: self.lines.usage(), attempts, turned_away };
@@ -81,7 +81,7 @@
         self.allow(allowance, application.seat());
     }
 
-    fn after(&self, machine: &Machine<Shares>, clock: Clock) {
+    fn after_step(&self, machine: &Machine<Shares>, clock: Clock) {
         self.clock.set(Some(clock));
         let fence = machine.application().fence().map(|stamp| &stamp.ballot);
         if self.fence.borrow().as_ref() != fence {
@@ -93,14 +93,14 @@
         }
     }
 
-    fn holds(&self, fence: Option<&Ballot>) {
+    fn leadership_changed(&self, fence: Option<&Ballot>) {
         match fence {
             Some(fence) => tracing::info!("shares: this proxy grants, as {fence}"),
             None => tracing::info!("shares: this proxy grants no longer"),
         }
     }
 
-    fn noted(&self, note: String) {
+    fn event(&self, note: String) {
         tracing::info!("shares: {note}");
     }
 }
@@ -109,7 +109,7 @@
 pub(super) async fn press(lines: &Lines, coordinator: &Coordinator<Shares>) {
     loop {
         lines.pressed().await;
-        coordinator.stir();
+        coordinator.wake();
         sleep(PRESSED_PAUSE).await;
     }
 }
@@ -120,7 +120,7 @@
     loop {
         sleep(LOOK).await;
         let mut why = coordinator
-            .look(|machine, now| machine.leader_data(now).map(|ledger| ledger.view(now).why))
+            .with_machine(|machine, now| machine.leader_data(now).map(|ledger| ledger.view(now).why))
             .unwrap_or_default();
         // That is over by itself.
         why.retain(|why| !why.starts_with("learning"));
--- a/proxy/src/features/shares/mod.rs
+++ b/proxy/src/features/shares/mod.rs
@@ -14,7 +14,7 @@
 use crate::config::Config;
 use crate::http::Engine;
 use driver::Keeper;
-use flaxhead_coordination::{Coordinator, Disk};
+use flaxhead_coordination::{Coordinator, StateStore};
 use flaxhead_peers::{Channel, Peers};
 use flaxhead_quota::gate::{Class, Rules};
 use flaxhead_quota::{Book, Held, Pace, Shares as SharesApplication};
@@ -37,7 +37,7 @@
         settings: Settings,
         config: &Config,
         peers: Option<Peers>,
-        disk: Option<Disk<SharesApplication>>,
+        disk: Option<StateStore<SharesApplication>>,
     ) -> Result<Shares, Misfit> {
         let book = settings.book(config)?;
         let class = |class: &flaxhead_policy::Class| Class { aim: class.aim, deadline: class.deadline };
@@ -58,7 +58,7 @@
         let lines = Lines::new(rules, held.allowance(0), peers.is_some());
         let coordinator = peers.map(|peers| {
             let (channel, voters, config_of) =
-                (Channel::SHARES, settings.voters, SharesApplication::config(&pace));
+                (Channel::QUOTA, settings.voters, SharesApplication::config(&pace));
             let application = SharesApplication::new(0, book.clone(), pace);
             let settings =
                 flaxhead_coordination::Settings { channel, voters, config: config_of, application };
--- a/proxy/src/features/shares/shown.rs
+++ b/proxy/src/features/shares/shown.rs
@@ -58,7 +58,7 @@
         coordinator: Option<&Coordinator<SharesApplication>>,
     ) -> Shown {
         let (seat, granted_by, fleet) = coordinator.map_or((Seat::Has, None, None), |coordinator| {
-            coordinator.look(|machine, now| {
+            coordinator.with_machine(|machine, now| {
                 let view = machine.leader_data(now).map(|ledger| ledger.view(now));
                 (machine.application().seat(), machine.status(now).leader, view)
             })
--- a/proxy/src/features/state.rs
+++ b/proxy/src/features/state.rs
@@ -6,8 +6,10 @@
 use crate::http::Http;
 use flaxhead_engine::{Health, Host, List, Note, Observer, View};
 use flaxhead_lease::Application;
-use flaxhead_maintenance_driver::Disk;
-use flaxhead_snapshot::{disk, AsOf, Keeper, Mine, Opened, Part, Recollection, Refusal, Start};
+use flaxhead_maintenance_driver::{OpenedStore, StateStore};
+use flaxhead_snapshot::{
+    disk, AsOf, Identity, Part, RecoveredState, Rejection, SnapshotWriter, StoreOptions,
+};
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
 use std::cell::Cell;
@@ -55,7 +57,7 @@
 /// The proxy's memory, open.
 #[derive(Clone, Debug)]
 pub struct Memory {
-    keeper: Keeper,
+    keeper: SnapshotWriter,
     discovery: Rc<Cell<SocketAddr>>,
     /// The list that the engine starts with is no news.
     known: bool,
@@ -75,18 +77,19 @@
         settings: &Settings,
         cluster: &str,
         config: &mut Config,
-    ) -> io::Result<(Memory, Option<Recollection>)> {
-        let mine = Mine { cluster: cluster.to_owned(), proxy: config.name.clone() };
+    ) -> io::Result<(Memory, Option<RecoveredState>)> {
+        let mine = Identity { cluster: cluster.to_owned(), proxy: config.name.clone() };
         let Settings { dir, old } = settings.clone();
         let file = disk::file(&dir, &config.name);
-        let Opened { keeper, recollection } = Start { dir, mine, old }.open()?;
-        let mut recollection = recollection
+        let flaxhead_snapshot::OpenedStore { writer, recovered } =
+            StoreOptions { directory: dir, owner: mine, max_age: old }.open()?;
+        let mut recollection = recovered
             .inspect_err(|refusal| {
                 tracing::info!("state: {}: {refusal}. It counts as forgotten", file.display())
             })
             .ok();
         if let Some(found) = &mut recollection {
-            let (age, life) = (found.age_ms(), found.header().life);
+            let (age, life) = (found.age_ms(), found.header().incarnation);
             match recall(found, config) {
                 Ok(list) => {
                     let (seq, hosts) = (list.seq, list.hosts.len());
@@ -99,7 +102,7 @@
             }
         }
         let discovery = Rc::new(Cell::new(config.discovery));
-        Ok((Memory { keeper, discovery, known: config.known.is_some() }, recollection))
+        Ok((Memory { keeper: writer, discovery, known: config.known.is_some() }, recollection))
     }
 
     /// Discovery is at another address from now on.
@@ -116,15 +119,15 @@
     pub fn application<M: Application>(
         &self,
         name: &'static str,
-        found: Option<&mut Recollection>,
-    ) -> Disk<M> {
-        let (disk, refusal) = Disk::new(self.keeper.clone(), name, found);
-        match (refusal, disk.age()) {
-            (Some(refusal), _) => tracing::info!("state: the file {refusal}. It counts as forgotten"),
+        found: Option<&mut RecoveredState>,
+    ) -> StateStore<M> {
+        let OpenedStore { store, rejection } = StateStore::open(self.keeper.clone(), name, found);
+        match (rejection, store.recovered_age()) {
+            (Some(rejection), _) => tracing::info!("state: the file {rejection}. It counts as forgotten"),
             (None, Some(age)) => tracing::info!("state: the {name} are remembered, as they were {age:?} ago"),
             (None, None) => {}
         }
-        disk
+        store
     }
 
     /// Has the last of it written, within a bound.
@@ -134,11 +137,11 @@
 }
 
 /// The list that is kept, where it is of use.
-fn recall(found: &mut Recollection, config: &Config) -> Result<List, Refusal> {
+fn recall(found: &mut RecoveredState, config: &Config) -> Result<List, Rejection> {
     let part = found.take(LIST, LIST_FORM)?;
     let Kept { discovery, seq, hosts } =
-        postcard::from_bytes(&part.bytes).map_err(|_| Refusal::PartUnread(LIST.to_owned()))?;
-    let unfit = |reason: String| Err(Refusal::PartUnfit { name: LIST.to_owned(), reason });
+        postcard::from_bytes(&part.bytes).map_err(|_| Rejection::UnreadablePart(LIST.to_owned()))?;
+    let unfit = |reason: String| Err(Rejection::UnusablePart { name: LIST.to_owned(), reason });
     if discovery != config.discovery {
         return unfit(format!("it is of discovery at {discovery}, and that is at {} now", config.discovery));
     }
@@ -176,9 +179,10 @@
         let discovery = self.memory.discovery.get();
         let hosts = self.hosts.values().map(Cow::Borrowed).collect();
         let Ok(bytes) = postcard::to_stdvec(&Kept { discovery, seq: list.seq, hosts }) else { return };
-        let part = Part { name: LIST.to_owned(), version: LIST_FORM, ballot: 0, life: 0, age_ms: 0, bytes };
+        let part =
+            Part { name: LIST.to_owned(), version: LIST_FORM, ballot: 0, incarnation: 0, age_ms: 0, bytes };
         // One that is too large is not kept, and no older one in its place.
-        let unfit = self.memory.keeper.put(part, AsOf::Living).err();
+        let unfit = self.memory.keeper.put(part, AsOf::Now).err();
         if let Some(unfit) = unfit.as_ref().filter(|_| !self.unfit) {
             tracing::info!("state: the list is not kept: {unfit}");
         }
--- a/proxy/src/features/status.rs
+++ b/proxy/src/features/status.rs
@@ -307,7 +307,7 @@
         ("/status.json", ..) => (latest.json.clone(), "application/json"),
         // Made as it is asked for: who asks wants to know how it is now.
         ("/members.json", Some(peers), _) => {
-            let shown = serde_json::to_vec(&peers.shown()).unwrap_or_default();
+            let shown = serde_json::to_vec(&peers.view()).unwrap_or_default();
             (shown.into(), "application/json")
         }
         ("/shares.json", _, Some(shares)) => {
--- a/proxy/src/members.rs
+++ b/proxy/src/members.rs
@@ -2,29 +2,29 @@
 
 use crate::ask::{self, WAIT};
 use flaxhead_membership::{MemberView, State};
-use flaxhead_peers::Shown;
+use flaxhead_peers::PeersView;
 use std::fmt::Write as _;
 use std::io;
 use std::net::SocketAddr;
 
 /// What the side port at an address shows, as it came and as it is understood.
-pub fn ask(at: SocketAddr) -> io::Result<(String, Shown)> {
+pub fn ask(at: SocketAddr) -> io::Result<(String, PeersView)> {
     let text = ask::ask(at, "/members.json", None, WAIT, "it has no peers: [peers] is off there")?;
     let shown = serde_json::from_str(&text).map_err(io::Error::other)?;
     Ok((text, shown))
 }
 
 /// Whether all is well: this process takes part, and nobody that it knows is suspected or gone without a word.
-pub fn is_well(shown: &Shown) -> bool {
+pub fn is_well(shown: &PeersView) -> bool {
     let well = |m: &MemberView| matches!(m.state, State::Alive | State::Left) && m.cut_off.is_none();
-    shown.takes_part && shown.view.members.iter().all(well)
+    shown.participates && shown.view.members.iter().all(well)
 }
 
 /// The members as a table.
-pub fn table(shown: &Shown) -> String {
+pub fn table(shown: &PeersView) -> String {
     let view = &shown.view;
     let mut text = String::new();
-    let part = match (shown.takes_part, view.cut_off, view.displaced) {
+    let part = match (shown.participates, view.cut_off, view.displaced) {
         (true, ..) => "takes part".to_owned(),
         (_, Some(how), _) => format!("cut off: {}", word(&how)),
         (_, _, true) => "displaced: another process has its name".to_owned(),
@@ -44,12 +44,12 @@
     );
     for member in &view.members {
         let heard = member.heard_ms.map_or("-".to_owned(), seconds);
-        let start = format!("{}.{}", member.generation, member.incarnation);
+        let start = format!("{}.{}", member.generation, member.sequence);
         let (name, state) = (&member.name, word(&member.state));
         let line = format!(
             "{name:width$}  {state:8} {start:>7} {:>9} {heard:>9}  {:21} {}",
             seconds(member.for_ms),
-            member.at.to_string(),
+            member.address.to_string(),
             remarks(member)
         );
         let _ = writeln!(text, "{}", line.trim_end());
@@ -73,6 +73,6 @@
         remarks.push("not reached from here".to_owned());
     }
     remarks.extend(member.via.as_ref().map(|via| format!("through {via}")));
-    remarks.extend(member.words.iter().map(|w| format!("{} by {}", word(&w.cause), w.by)));
+    remarks.extend(member.suspicions.iter().map(|w| format!("{} by {}", word(&w.cause), w.by)));
     remarks.join(", ")
 }
--- a/proxy/tests/state.rs
+++ b/proxy/tests/state.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use flaxhead_snapshot::{form, Snapshot};
+use flaxhead_snapshot::{format, Snapshot};
 use std::fs;
 use std::io::Read;
 use std::net::SocketAddr;
@@ -42,14 +42,14 @@
 }
 
 fn kept(file: &Path) -> Option<Snapshot> {
-    form::read(&fs::read(file).ok()?).ok().filter(|snapshot| !snapshot.parts.is_empty())
+    format::decode(&fs::read(file).ok()?).ok().filter(|snapshot| !snapshot.parts.is_empty())
 }
 
 /// Changes what is kept, whole as it is written.
 fn change(file: &Path, change: impl FnOnce(&mut Snapshot)) {
     let mut snapshot = kept(file).expect("kept");
     change(&mut snapshot);
-    fs::write(file, form::write(snapshot).expect("it fits")).expect("written");
+    fs::write(file, format::encode(snapshot).expect("it fits")).expect("written");
 }
 
 /// A proxy that was killed after discovery had told it of another host, at which address and with which file.
@@ -165,10 +165,11 @@
         let host = Host::start([ok("its own")]).await;
         let second = start(&configuration_at(elsewhere, discovery.address, from_ref(&host)), &other);
         assert_eq!(answers(elsewhere).await, b"its own");
-        let life = kept(&path).expect("kept").header.life;
+        let life = kept(&path).expect("kept").header.incarnation;
         killed(first);
         eventually("the second writes", || {
-            fs::read(&path).is_ok_and(|bytes| form::read(&bytes).is_ok_and(|of| of.header.life != life))
+            fs::read(&path)
+                .is_ok_and(|bytes| format::decode(&bytes).is_ok_and(|of| of.header.incarnation != life))
         })
         .await;
         assert!(killed(second).contains("another process keeps its state there"));
--- a/rpc/src/plugin.rs
+++ b/rpc/src/plugin.rs
@@ -10,7 +10,7 @@
 use flaxhead_engine::{BoxError, Engine, List, News, Setup, Source, Watching};
 use flaxhead_limits::Budget;
 use flaxhead_membership::Name;
-use flaxhead_peers::{Peers, Shown};
+use flaxhead_peers::{Peers, PeersView};
 use std::cell::RefCell;
 use std::io;
 use std::net::SocketAddr;
@@ -69,7 +69,7 @@
     /// A call.
     Call(Box<Job>),
     /// Show the members, where there are peers.
-    Members(mpsc::SyncSender<Option<Shown>>),
+    Members(mpsc::SyncSender<Option<PeersView>>),
     /// Answer all that is open, and end.
     Unload,
 }
@@ -121,7 +121,7 @@
 
     /// The members that it knows; `None` where it has no peers, or its engine has ended. It waits for the engine's
     /// thread, a second at the most.
-    pub fn members(&self) -> Option<Shown> {
+    pub fn members(&self) -> Option<PeersView> {
         let (show, shown) = mpsc::sync_channel(1);
         self.commands.send(Command::Members(show)).ok()?;
         shown.recv_timeout(SHOW_MOST).ok().flatten()
@@ -203,7 +203,7 @@
             command = orders.recv() => match command {
                 Some(Command::Call(job)) => drop(calls.spawn_local(front.clone().serve(*job))),
                 // One that waits no longer has no use for it.
-                Some(Command::Members(show)) => drop(show.try_send(peers.as_ref().map(Peers::shown))),
+                Some(Command::Members(show)) => drop(show.try_send(peers.as_ref().map(Peers::view))),
                 Some(Command::Unload) | None => break,
             },
             Some(_) = calls.join_next() => {}
--- a/snapshot/src/disk/trouble.rs
+++ b/snapshot/src/disk/fault.rs
@@ -1,42 +1,44 @@
-//! Why something is not written.
+//! Why a snapshot is not written.
 
 use std::io::{Error, ErrorKind};
 use thiserror::Error;
 
-/// Why the disk does not take it. The message says what an operator can do; the proxy serves on and tries again.
+/// Why a snapshot is not written. The message says what an operator can do; the proxy serves on and retries.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum Trouble {
+pub enum DiskFault {
     /// Another process holds the lock.
     #[error("another process keeps its state there. Give each proxy a name or a folder of its own, or end that one")]
     InUse,
-    /// No room.
+    /// The disk is full.
     #[error("the disk is full. Make room")]
     Full,
-    /// Not allowed.
+    /// The proxy's user may not write there.
     #[error("not allowed. Let the proxy's user read and write the folder and what is in it")]
     Denied,
-    /// The file system takes nothing.
+    /// The file system is read-only.
     #[error("the file system is read-only. Look after the disk, then mount it to be written")]
     ReadOnly,
-    /// The folder is not there, and cannot be made.
+    /// The directory does not exist, and cannot be created.
     #[error("there is no such folder and it cannot be made. Make it, or mend [state] dir")]
-    NoFolder,
-    /// Something else that the system says.
+    NoDirectory,
+    /// Another error of the system.
     #[error("{0}. Look after the disk")]
     Disk(String),
-    /// What is to be kept does not fit.
+    /// The snapshot cannot be encoded.
     #[error("{0}. Report it as a defect of flaxhead")]
-    Unfit(#[from] crate::form::Unfit),
+    Encode(#[from] crate::format::EncodeError),
 }
 
-impl From<Error> for Trouble {
-    fn from(error: Error) -> Trouble {
+impl From<Error> for DiskFault {
+    fn from(error: Error) -> DiskFault {
         match error.kind() {
-            ErrorKind::StorageFull | ErrorKind::QuotaExceeded | ErrorKind::FileTooLarge => Trouble::Full,
-            ErrorKind::PermissionDenied => Trouble::Denied,
-            ErrorKind::ReadOnlyFilesystem => Trouble::ReadOnly,
-            ErrorKind::NotFound | ErrorKind::NotADirectory | ErrorKind::AlreadyExists => Trouble::NoFolder,
-            _ => Trouble::Disk(error.to_string()),
+            ErrorKind::StorageFull | ErrorKind::QuotaExceeded | ErrorKind::FileTooLarge => DiskFault::Full,
+            ErrorKind::PermissionDenied => DiskFault::Denied,
+            ErrorKind::ReadOnlyFilesystem => DiskFault::ReadOnly,
+            ErrorKind::NotFound | ErrorKind::NotADirectory | ErrorKind::AlreadyExists => {
+                DiskFault::NoDirectory
+            }
+            _ => DiskFault::Disk(error.to_string()),
         }
     }
 }
--- a/snapshot/src/disk/mod.rs
+++ b/snapshot/src/disk/mod.rs
@@ -1,96 +1,102 @@
 //! The disk: read once at the start, written by a thread of its own. Nothing else waits for either.
 
 mod clock;
-mod folder;
-mod keeper;
-mod place;
-mod trouble;
+mod directory;
+mod fault;
+mod replace;
+mod shared;
+mod writer;
+mod writer_thread;
 
 pub use clock::now;
-pub use folder::Folder;
-pub use keeper::{Figures, Keeper};
-pub use place::{replace, Place};
-pub use trouble::Trouble;
+pub use directory::SnapshotDirectory;
+pub use fault::DiskFault;
+pub use replace::{replace, ReplaceableFile};
+pub use shared::WriteStats;
+pub use writer::SnapshotWriter;
+pub use writer_thread::WriterThread;
 
-use crate::form;
-use crate::judge::{judge, Bounds, Mine, Recollection};
-use crate::refusal::Refusal;
+use crate::format;
+use crate::rejection::Rejection;
 use crate::snapshot::Snapshot;
+use crate::validation::{validate, AgeLimits, Identity, RecoveredState};
 use std::path::{Path, PathBuf};
 use std::sync::mpsc;
 use std::thread;
 use std::time::Duration;
 
-/// How long a start waits for what is kept. A disk that does not answer must not keep a proxy from serving.
-const READ_MOST: Duration = Duration::from_secs(1);
-/// How far in the future a file may have been written: clocks that are kept in step are set by less.
-const AHEAD_MS: u64 = 1_000;
-/// Writes within the bound of age, so that the age of a file tells when its process last lived.
-const BEATS: u32 = 6;
-/// Least time from one write to the next.
-const PACE: Duration = Duration::from_millis(100);
+/// How long a start waits for the stored snapshot. A disk that does not respond must not keep a proxy from serving.
+const READ_TIMEOUT: Duration = Duration::from_secs(1);
+/// How far in the future a file may have been written: clocks that are synchronized are set by less.
+const MAX_AHEAD_MS: u64 = 1_000;
+/// Writes within the maximum age, so that the age of a file tells when its process last ran.
+const HEARTBEATS_PER_MAX_AGE: u32 = 6;
+/// Minimum time from one write to the next.
+const MIN_WRITE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How a proxy's state is opened.
+/// How a proxy's store is opened.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Start {
-    /// The folder. It may hold the files of many proxies, each under its name.
-    pub dir: PathBuf,
-    /// Whose they are.
-    pub mine: Mine,
-    /// Most age of what is taken.
-    pub old: Duration,
+pub struct StoreOptions {
+    /// The directory. It may hold the files of many proxies, each under its name.
+    pub directory: PathBuf,
+    /// The proxy.
+    pub owner: Identity,
+    /// Maximum age of what is recovered.
+    pub max_age: Duration,
 }
 
-/// State that is open.
+/// A store that is open.
 #[derive(Debug)]
-pub struct Opened {
-    /// Takes what is to be kept.
-    pub keeper: Keeper,
-    /// What the process before kept, or why that counts as forgotten.
-    pub recollection: Result<Recollection, Refusal>,
+pub struct OpenedStore {
+    /// Takes what is to be stored.
+    pub writer: SnapshotWriter,
+    /// What the process before stored, or why that counts as lost.
+    pub recovered: Result<RecoveredState, Rejection>,
 }
 
-impl Start {
-    /// Reads what is kept, and starts the thread that writes. A folder that cannot be used is no error: it is said by
-    /// the recollection and in the log, and tried again for as long as the process lives.
+impl StoreOptions {
+    /// Reads what is stored, and starts the thread that writes. A directory that cannot be used is no error: it is told by
+    /// `recovered` and in the log, and retried for as long as the process runs.
     ///
     /// # Errors
     ///
     /// The system's, where it gives no thread.
-    pub fn open(self) -> std::io::Result<Opened> {
-        let Start { dir, mine, old } = self;
-        let bounds = Bounds { old_ms: old.as_millis() as u64, ahead_ms: AHEAD_MS };
-        let keeper = Keeper::new(PACE, (old / BEATS).max(PACE));
-        let (told, heard) = mpsc::sync_channel(1);
-        let writer = keeper.writer(mine.clone(), bounds);
+    pub fn open(self) -> std::io::Result<OpenedStore> {
+        let StoreOptions { directory, owner, max_age } = self;
+        let max_age_ms = u64::try_from(max_age.as_millis()).unwrap_or(u64::MAX);
+        let limits = AgeLimits { max_age_ms, max_ahead_ms: MAX_AHEAD_MS };
+        let heartbeat = (max_age / HEARTBEATS_PER_MAX_AGE).max(MIN_WRITE_INTERVAL);
+        let writer = SnapshotWriter::new(MIN_WRITE_INTERVAL, heartbeat);
+        let (sender, receiver) = mpsc::sync_channel(1);
+        let writer_thread = writer.thread(owner.clone(), limits);
         thread::Builder::new().name("state".to_owned()).spawn(move || {
-            let mut folder = Folder::new(dir, &mine.proxy);
-            let read = read(&mut folder);
-            let life = read.as_ref().map_or(0, |snapshot| snapshot.header.life);
-            let found = read.and_then(|snapshot| judge(snapshot, &mine, now(), bounds));
-            if let Ok(found) = &found {
-                writer.carry(found);
+            let mut directory = SnapshotDirectory::new(directory, &owner.proxy);
+            let read = read(&mut directory);
+            let previous = read.as_ref().map_or(0, |snapshot| snapshot.header.incarnation);
+            let recovered = read.and_then(|snapshot| validate(snapshot, &owner, now(), limits));
+            if let Ok(recovered) = &recovered {
+                writer_thread.carry_over(recovered);
             }
-            // Whoever asked may have given up.
-            let _ = told.send(found);
-            writer.serve(folder, life);
+            // The start may have given up waiting.
+            let _ = sender.send(recovered);
+            writer_thread.run(directory, previous);
         })?;
-        let late = || Refusal::Unreadable(format!("the disk does not answer within {READ_MOST:?}"));
-        let recollection = heard.recv_timeout(READ_MOST).unwrap_or_else(|_| Err(late()));
-        Ok(Opened { keeper, recollection })
+        let timed_out = || Rejection::Unreadable(format!("the disk does not answer within {READ_TIMEOUT:?}"));
+        let recovered = receiver.recv_timeout(READ_TIMEOUT).unwrap_or_else(|_| Err(timed_out()));
+        Ok(OpenedStore { writer, recovered })
     }
 }
 
-fn read(folder: &mut Folder) -> Result<Snapshot, Refusal> {
-    match folder.ready() {
-        Err(Trouble::InUse) => return Err(Refusal::InUse),
-        Err(trouble) => return Err(Refusal::Unreadable(trouble.to_string())),
+fn read(directory: &mut SnapshotDirectory) -> Result<Snapshot, Rejection> {
+    match directory.prepare() {
+        Err(DiskFault::InUse) => return Err(Rejection::InUse),
+        Err(fault) => return Err(Rejection::Unreadable(fault.to_string())),
         Ok(()) => {}
     }
-    form::read(&folder.read()?)
+    format::decode(&directory.read()?)
 }
 
-/// The file that a proxy of this name keeps its state in.
-pub fn file(dir: &Path, proxy: &str) -> PathBuf {
-    dir.join(format!("{}.state", folder::stem(proxy)))
+/// The file in which a proxy of this name stores its state.
+pub fn file(directory: &Path, proxy: &str) -> PathBuf {
+    directory.join(format!("{}.state", directory::stem(proxy)))
 }
--- a/snapshot/src/lib.rs
+++ b/snapshot/src/lib.rs
@@ -1,17 +1,17 @@
-//! What a client proxy remembers on disk over a restart. It is old news, judged by its age, its owner and its form before
-//! any of it is used; whatever does not pass counts as forgotten, as if there were no disk.
+//! What a client proxy stores on disk over a restart. It may be outdated, so it is validated by its age, its owner and its
+//! format before any of it is used; whatever does not pass counts as lost, as if there were no disk.
 //!
-//! [`snapshot`], [`form`] and [`judge`] decide without I/O or a clock; [`disk`] reads and writes, on a thread of its own.
+//! [`snapshot`], [`format`] and [`validation`] decide without I/O or a clock; [`disk`] reads and writes, on a thread of its
+//! own.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 pub mod disk;
-pub mod form;
-pub mod judge;
-pub mod refusal;
+pub mod format;
+pub mod rejection;
 pub mod snapshot;
+pub mod validation;
 
-pub use disk::{Figures, Keeper, Opened, Start};
-pub use judge::{Bounds, Mine, Recollection};
-pub use refusal::Refusal;
-pub use snapshot::{AsOf, Header, Moment, Part, Snapshot};
+pub use disk::{OpenedStore, SnapshotWriter, StoreOptions, WriteStats};
+pub use rejection::Rejection;
+pub use snapshot::{AsOf, ClockReading, Header, Part, Snapshot};
+pub use validation::{AgeLimits, Identity, RecoveredState};
--- a/snapshot/tests/disk.rs
+++ b/snapshot/tests/disk.rs
@@ -1,21 +1,30 @@
 //! Replacing a file on disks that stop between any two steps, and the thread that does it. Tests wait on conditions.
 
-use flaxhead_snapshot::disk::{file, replace, Place, Trouble};
-use flaxhead_snapshot::form::{read, write};
-use flaxhead_snapshot::{AsOf, Bounds, Header, Keeper, Mine, Part, Refusal, Snapshot, Start};
+use flaxhead_snapshot::disk::{file, replace, DiskFault, ReplaceableFile};
+use flaxhead_snapshot::format::{decode, encode};
+use flaxhead_snapshot::{
+    AgeLimits, AsOf, Header, Identity, Part, Rejection, Snapshot, SnapshotWriter, StoreOptions,
+};
 use std::path::Path;
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
 const FOREVER: Duration = Duration::from_secs(3_600);
-const BOUNDS: Bounds = Bounds { old_ms: 60_000, ahead_ms: 1_000 };
+const BOUNDS: AgeLimits = AgeLimits { max_age_ms: 60_000, max_ahead_ms: 1_000 };
 
 fn part(name: &str, text: &str) -> Part {
-    Part { name: name.into(), version: 1, ballot: 0, life: 1, age_ms: 0, bytes: text.as_bytes().to_vec() }
+    Part {
+        name: name.into(),
+        version: 1,
+        ballot: 0,
+        incarnation: 1,
+        age_ms: 0,
+        bytes: text.as_bytes().to_vec(),
+    }
 }
 
-fn mine() -> Mine {
-    Mine { cluster: String::new(), proxy: "n0".into() }
+fn mine() -> Identity {
+    Identity { cluster: String::new(), proxy: "n0".into() }
 }
 
 fn eventually(what: &str, mut condition: impl FnMut() -> bool) {
@@ -36,8 +45,8 @@
 }
 
 impl Disk {
-    fn step(&mut self) -> Result<(), Trouble> {
-        self.steps = self.steps.checked_sub(1).ok_or(Trouble::Disk("no power".into()))?;
+    fn step(&mut self) -> Result<(), DiskFault> {
+        self.steps = self.steps.checked_sub(1).ok_or(DiskFault::Disk("no power".into()))?;
         Ok(())
     }
 
@@ -52,26 +61,26 @@
     }
 }
 
-impl Place for Disk {
-    fn ready(&mut self) -> Result<(), Trouble> {
+impl ReplaceableFile for Disk {
+    fn prepare(&mut self) -> Result<(), DiskFault> {
         self.step()
     }
-    fn write(&mut self, bytes: &[u8]) -> Result<(), Trouble> {
+    fn write_new(&mut self, bytes: &[u8]) -> Result<(), DiskFault> {
         self.step()?;
         self.new = Some((bytes.to_vec(), false));
         Ok(())
     }
-    fn sync(&mut self) -> Result<(), Trouble> {
+    fn sync_new(&mut self) -> Result<(), DiskFault> {
         self.step()?;
         self.new.as_mut().expect("written").1 = true;
         Ok(())
     }
-    fn rename(&mut self) -> Result<(), Trouble> {
+    fn rename_new(&mut self) -> Result<(), DiskFault> {
         self.step()?;
         self.renamed = self.new.take();
         Ok(())
     }
-    fn sync_names(&mut self) -> Result<(), Trouble> {
+    fn sync_directory(&mut self) -> Result<(), DiskFault> {
         self.step()?;
         self.old = self.renamed.take().expect("renamed").0;
         Ok(())
@@ -81,13 +90,13 @@
 #[test]
 fn wherever_the_power_goes_the_file_is_the_old_one_or_the_new_one() {
     let bytes = |text| {
-        write(Snapshot { header: Header::default(), parts: vec![part("list", text)] }).expect("it fits")
+        encode(Snapshot { header: Header::default(), parts: vec![part("list", text)] }).expect("it fits")
     };
     let whole =
-        |found: &[u8]| read(found).is_ok_and(|s| [&b"old"[..], b"new"].contains(&&s.parts[0].bytes[..]));
+        |found: &[u8]| decode(found).is_ok_and(|s| [&b"old"[..], b"new"].contains(&&s.parts[0].bytes[..]));
     let hurried = |disk: &mut Disk| {
-        disk.write(&bytes("new"))?;
-        disk.rename()
+        disk.write_new(&bytes("new"))?;
+        disk.rename_new()
     };
     let disk = |steps| Disk { old: bytes("old"), steps, ..Disk::default() };
     for steps in 0..=5 {
@@ -110,75 +119,75 @@
 #[derive(Clone, Default)]
 struct Slow {
     written: Arc<Mutex<Vec<Vec<u8>>>>,
-    trouble: Arc<Mutex<Option<Trouble>>>,
+    trouble: Arc<Mutex<Option<DiskFault>>>,
 }
 
-impl Place for Slow {
-    fn ready(&mut self) -> Result<(), Trouble> {
+impl ReplaceableFile for Slow {
+    fn prepare(&mut self) -> Result<(), DiskFault> {
         self.trouble.lock().expect("held").clone().map_or(Ok(()), Err)
     }
-    fn write(&mut self, bytes: &[u8]) -> Result<(), Trouble> {
+    fn write_new(&mut self, bytes: &[u8]) -> Result<(), DiskFault> {
         self.written.lock().expect("held").push(bytes.to_vec());
         Ok(())
     }
-    fn sync(&mut self) -> Result<(), Trouble> {
+    fn sync_new(&mut self) -> Result<(), DiskFault> {
         Ok(())
     }
-    fn rename(&mut self) -> Result<(), Trouble> {
+    fn rename_new(&mut self) -> Result<(), DiskFault> {
         Ok(())
     }
-    fn sync_names(&mut self) -> Result<(), Trouble> {
+    fn sync_directory(&mut self) -> Result<(), DiskFault> {
         Ok(())
     }
 }
 
-fn serve(keeper: &Keeper, disk: &Slow) {
-    let (writer, disk) = (keeper.writer(mine(), BOUNDS), disk.clone());
-    std::thread::spawn(move || writer.serve(disk, 0));
+fn serve(keeper: &SnapshotWriter, disk: &Slow) {
+    let (writer, disk) = (keeper.thread(mine(), BOUNDS), disk.clone());
+    std::thread::spawn(move || writer.run(disk, 0));
 }
 
 #[test]
 fn while_the_disk_holds_still_only_the_newest_waits_and_nobody_else_does() {
-    let (keeper, disk) = (Keeper::new(Duration::ZERO, FOREVER), Slow::default());
+    let (keeper, disk) = (SnapshotWriter::new(Duration::ZERO, FOREVER), Slow::default());
     let still = disk.written.lock().expect("held");
     serve(&keeper, &disk);
     for n in 0..1_000 {
-        keeper.put(part("list", &n.to_string()), AsOf::Living).expect("it fits");
+        keeper.put(part("list", &n.to_string()), AsOf::Now).expect("it fits");
     }
     drop(still);
-    let last = || disk.written.lock().expect("held").last().map(|bytes| read(bytes).expect("whole").parts);
+    let last = || disk.written.lock().expect("held").last().map(|bytes| decode(bytes).expect("whole").parts);
     eventually("the newest is written", || last().is_some_and(|parts| parts == [part("list", "999")]));
-    assert!(keeper.figures().writes <= 3, "those between are not: {:?}", keeper.figures());
+    assert!(keeper.stats().writes <= 3, "those between are not: {:?}", keeper.stats());
     // The same again is no change; another is written at a stop.
-    let (before, told) = (keeper.figures().writes, Arc::new(Mutex::new(0)));
+    let (before, told) = (keeper.stats().writes, Arc::new(Mutex::new(0)));
     let telling = told.clone();
     keeper.on_write(move || *telling.lock().expect("held") += 1);
-    let same = keeper.put(part("list", "999"), AsOf::Living).expect("it fits");
+    let same = keeper.put(part("list", "999"), AsOf::Now).expect("it fits");
     assert_eq!(same, 1_000);
-    let change = keeper.put(part("board", "b"), AsOf::Living).expect("it fits");
+    let change = keeper.put(part("board", "b"), AsOf::Now).expect("it fits");
     eventually("it is on the disk", || keeper.durable() == change && *told.lock().expect("held") > 0);
     keeper.stop(Duration::from_secs(30));
     assert_eq!(last().map(|parts| parts.len()), Some(2));
-    assert!(keeper.figures().writes <= before + 2, "{:?}", keeper.figures());
+    assert!(keeper.stats().writes <= before + 2, "{:?}", keeper.stats());
 }
 
 #[test]
 fn a_full_disk_is_counted_at_each_try_and_gets_the_newest_once_there_is_room() {
-    let (keeper, disk) = (Keeper::new(Duration::ZERO, Duration::from_millis(2)), Slow::default());
-    *disk.trouble.lock().expect("held") = Some(Trouble::Full);
+    let (keeper, disk) = (SnapshotWriter::new(Duration::ZERO, Duration::from_millis(2)), Slow::default());
+    *disk.trouble.lock().expect("held") = Some(DiskFault::Full);
     serve(&keeper, &disk);
-    eventually("it fails", || keeper.figures().failures >= 3);
-    keeper.put(part("list", "kept"), AsOf::Living).expect("it fits");
-    assert_eq!((keeper.figures().writes, keeper.figures().trouble), (0, Some(Trouble::Full)));
+    eventually("it fails", || keeper.stats().failures >= 3);
+    keeper.put(part("list", "kept"), AsOf::Now).expect("it fits");
+    assert_eq!((keeper.stats().writes, keeper.stats().fault), (0, Some(DiskFault::Full)));
     *disk.trouble.lock().expect("held") = None;
-    eventually("it writes, and goes on writing", || keeper.figures().writes >= 3);
-    assert_eq!(keeper.figures().trouble, None);
-    let last = disk.written.lock().expect("held").last().map(|bytes| read(bytes).expect("whole"));
+    eventually("it writes, and goes on writing", || keeper.stats().writes >= 3);
+    assert_eq!(keeper.stats().fault, None);
+    let last = disk.written.lock().expect("held").last().map(|bytes| decode(bytes).expect("whole"));
     assert_eq!(last.map(|snapshot| snapshot.parts), Some(vec![part("list", "kept")]));
 }
 
-fn open(dir: &Path) -> flaxhead_snapshot::Opened {
-    Start { dir: dir.to_owned(), mine: mine(), old: FOREVER }.open().expect("a thread")
+fn open(dir: &Path) -> flaxhead_snapshot::OpenedStore {
+    StoreOptions { directory: dir.to_owned(), owner: mine(), max_age: FOREVER }.open().expect("a thread")
 }
 
 #[test]
@@ -186,25 +195,25 @@
     let dir = tempfile::tempdir().expect("a folder");
     let dir = dir.path().join("made").join("deeper");
     let first = open(&dir);
-    assert_eq!(first.recollection, Err(Refusal::Lost));
-    first.keeper.put(part("list", "hosts"), AsOf::Living).expect("it fits");
+    assert_eq!(first.recovered, Err(Rejection::Missing));
+    first.writer.put(part("list", "hosts"), AsOf::Now).expect("it fits");
     let another = open(&dir);
-    assert_eq!(another.recollection, Err(Refusal::InUse), "two processes on one folder");
-    eventually("it says so", || another.keeper.figures().trouble == Some(Trouble::InUse));
-    first.keeper.stop(Duration::from_secs(30));
-    assert_eq!(another.keeper.figures().writes, 0);
-    another.keeper.stop(Duration::from_secs(30));
+    assert_eq!(another.recovered, Err(Rejection::InUse), "two processes on one folder");
+    eventually("it says so", || another.writer.stats().fault == Some(DiskFault::InUse));
+    first.writer.stop(Duration::from_secs(30));
+    assert_eq!(another.writer.stats().writes, 0);
+    another.writer.stop(Duration::from_secs(30));
     // A process that was killed before it had anything to keep, and while it wrote.
     std::fs::write(dir.join("n0.new"), b"FLAX").expect("written");
     let mut second = open(&dir);
-    eventually("its first write", || second.keeper.figures().writes > 0);
-    second.keeper.stop(Duration::from_secs(30));
-    let found = second.recollection.as_mut().expect("fresh").take("list", 1).expect("kept");
+    eventually("its first write", || second.writer.stats().writes > 0);
+    second.writer.stop(Duration::from_secs(30));
+    let found = second.recovered.as_mut().expect("fresh").take("list", 1).expect("kept");
     assert_eq!(found.bytes, b"hosts");
-    let third = open(&dir).recollection.expect("fresh");
-    let second = second.recollection.expect("fresh");
+    let third = open(&dir).recovered.expect("fresh");
+    let second = second.recovered.expect("fresh");
     assert_eq!(third.parts()[0].bytes, b"hosts");
-    assert!(third.header().life > second.header().life, "each process has a life of its own");
+    assert!(third.header().incarnation > second.header().incarnation, "each process has a life of its own");
 }
 
 #[test]
@@ -213,14 +222,16 @@
     let barred = dir.path().join("barred");
     std::fs::write(&barred, b"no folder").expect("written");
     let old = Duration::from_millis(600);
-    let start = |dir: &Path| Start { dir: dir.to_owned(), mine: mine(), old }.open().expect("a thread");
+    let start = |dir: &Path| {
+        StoreOptions { directory: dir.to_owned(), owner: mine(), max_age: old }.open().expect("a thread")
+    };
     let opened = start(&barred);
-    assert!(matches!(opened.recollection, Err(Refusal::Unreadable(_))), "{:?}", opened.recollection);
-    eventually("it says so", || opened.keeper.figures().trouble == Some(Trouble::NoFolder));
+    assert!(matches!(opened.recovered, Err(Rejection::Unreadable(_))), "{:?}", opened.recovered);
+    eventually("it says so", || opened.writer.stats().fault == Some(DiskFault::NoDirectory));
     std::fs::remove_file(&barred).expect("removed");
     eventually("it is made, once it can be", || file(&barred, "n0").exists());
     // Gone under it: made again, under a lock that others see.
     std::fs::remove_dir_all(&barred).expect("removed");
     eventually("it is made again", || file(&barred, "n0").exists());
-    assert_eq!(start(&barred).recollection, Err(Refusal::InUse));
+    assert_eq!(start(&barred).recovered, Err(Rejection::InUse));
 }
--- a/snapshot/tests/judge.rs
+++ b/snapshot/tests/validation.rs
@@ -1,25 +1,25 @@
 //! What of a whole file is taken, by owner and by clock.
 
-use flaxhead_snapshot::judge::judge;
-use flaxhead_snapshot::{Bounds, Header, Mine, Moment, Part, Refusal, Snapshot};
+use flaxhead_snapshot::validation::validate;
+use flaxhead_snapshot::{AgeLimits, ClockReading, Header, Identity, Part, Rejection, Snapshot};
 
-const BOUNDS: Bounds = Bounds { old_ms: 60_000, ahead_ms: 1_000 };
+const BOUNDS: AgeLimits = AgeLimits { max_age_ms: 60_000, max_ahead_ms: 1_000 };
 const HOUR: u64 = 3_600_000;
-const THEN: Moment = Moment { wall_ms: 500 * HOUR, up_ms: HOUR, boot: 9 };
+const THEN: ClockReading = ClockReading { wall_ms: 500 * HOUR, up_ms: HOUR, boot: 9 };
 
-fn mine() -> Mine {
-    Mine { cluster: "a".into(), proxy: "n0".into() }
+fn mine() -> Identity {
+    Identity { cluster: "a".into(), proxy: "n0".into() }
 }
 
 fn kept(age_ms: u64) -> Snapshot {
-    let header = Header { cluster: "a".into(), proxy: "n0".into(), life: 4, writes: 2, written: THEN };
-    let part = Part { name: "list".into(), version: 1, ballot: 0, life: 4, age_ms, bytes: vec![1] };
+    let header = Header { cluster: "a".into(), proxy: "n0".into(), incarnation: 4, writes: 2, written: THEN };
+    let part = Part { name: "list".into(), version: 1, ballot: 0, incarnation: 4, age_ms, bytes: vec![1] };
     Snapshot { header, parts: vec![part] }
 }
 
 /// A moment so much later by each clock, in milliseconds.
-fn later(wall: i64, up: i64, boot: u128) -> Moment {
-    Moment {
+fn later(wall: i64, up: i64, boot: u128) -> ClockReading {
+    ClockReading {
         wall_ms: THEN.wall_ms.wrapping_add_signed(wall),
         up_ms: THEN.up_ms.wrapping_add_signed(up),
         boot,
@@ -29,8 +29,8 @@
 #[test]
 fn age_is_told_by_whichever_clock_says_more() {
     let week = 7 * 24 * HOUR as i64;
-    let old = |age_ms| Err(Refusal::Old { age_ms, most_ms: 60_000 });
-    let ahead = |by_ms| Err(Refusal::Ahead { by_ms });
+    let old = |age_ms| Err(Rejection::TooOld { age_ms, max_ms: 60_000 });
+    let ahead = |by_ms| Err(Rejection::FromTheFuture { by_ms });
     for (what, now, expected) in [
         ("at once", later(0, 0, 9), Ok(0)),
         ("a second later", later(1_000, 1_000, 9), Ok(1_000)),
@@ -51,29 +51,29 @@
             old(week as u64),
         ),
     ] {
-        let judged = judge(kept(0), &mine(), now, BOUNDS).map(|found| found.age_ms());
+        let judged = validate(kept(0), &mine(), now, BOUNDS).map(|found| found.age_ms());
         assert_eq!(judged, expected, "{what}");
     }
 }
 
 #[test]
 fn what_is_anothers_is_never_taken() {
-    let other = |change: fn(&mut Mine)| {
+    let other = |change: fn(&mut Identity)| {
         let mut mine = mine();
         change(&mut mine);
-        judge(kept(0), &mine, THEN, BOUNDS).expect_err("refused")
+        validate(kept(0), &mine, THEN, BOUNDS).expect_err("refused")
     };
-    assert!(matches!(other(|mine| mine.cluster.clear()), Refusal::Cluster { .. }));
-    assert!(matches!(other(|mine| mine.proxy.push('1')), Refusal::Proxy { .. }));
+    assert!(matches!(other(|mine| mine.cluster.clear()), Rejection::Cluster { .. }));
+    assert!(matches!(other(|mine| mine.proxy.push('1')), Rejection::Proxy { .. }));
 }
 
 #[test]
 fn a_part_is_judged_by_its_own_age_and_form_too_and_is_taken_once() {
-    let found = |age| judge(kept(age), &mine(), later(20_000, 20_000, 9), BOUNDS).expect("fresh");
+    let found = |age| validate(kept(age), &mine(), later(20_000, 20_000, 9), BOUNDS).expect("fresh");
     assert_eq!(found(40_000).take("list", 1).map(|part| part.age_ms), Ok(60_000));
-    assert_eq!(found(40_001).take("list", 1), Err(Refusal::Old { age_ms: 60_001, most_ms: 60_000 }));
-    assert!(matches!(found(0).take("list", 2), Err(Refusal::PartForm { found: 1, own: 2, .. })));
+    assert_eq!(found(40_001).take("list", 1), Err(Rejection::TooOld { age_ms: 60_001, max_ms: 60_000 }));
+    assert!(matches!(found(0).take("list", 2), Err(Rejection::PartVersion { found: 1, own: 2, .. })));
     let mut once = found(0);
     assert!(once.take("list", 1).is_ok());
-    assert_eq!(once.take("list", 1), Err(Refusal::NoPart("list".into())));
+    assert_eq!(once.take("list", 1), Err(Rejection::MissingPart("list".into())));
 }
