--- a/lab/src/turns/operators.rs
+++ b/lab/src/turns/operators.rs
@@ -4,8 +4,8 @@
 use super::judge::Told;
 use super::script::{Blow, Strike, Turn, Work, STAGES};
 use crate::Epoch;
-use flaxhead_maintenance::{Answer, Ask, Order, Refusal, Stage, View};
-use flaxhead_proxy::work;
+use flaxhead_maintenance::{Command, CommandResponse, DrainRequest, MaintenanceView, Rejection, Stage};
+use flaxhead_proxy::maintenance_command;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -72,8 +72,9 @@
         self.ended.load(Ordering::SeqCst)
     }
 
-    fn views(&self) -> Vec<(usize, View)> {
-        let shown = |(place, side): (usize, &SocketAddr)| Some((place, work::shown(*side).ok()?.1));
+    fn views(&self) -> Vec<(usize, MaintenanceView)> {
+        let shown =
+            |(place, side): (usize, &SocketAddr)| Some((place, maintenance_command::poll(*side).ok()?.view));
         self.sides.iter().enumerate().filter_map(shown).collect()
     }
 
@@ -83,13 +84,13 @@
             while !self.over() && self.unfinished() {
                 let views = self.views();
                 for (place, view) in &views {
-                    if let Some(fence) = view.standing.fence.clone().filter(|_| view.standing.is_leader) {
+                    if let Some(fence) = view.lease.fence.clone().filter(|_| view.lease.is_leader) {
                         let mut fences = held(&self.fences);
                         if fences.last() != Some(&fence) {
                             fences.push(fence);
                         }
                     }
-                    if view.standing.is_state_lost && self.work.known {
+                    if view.lease.is_state_lost && self.work.known {
                         self.remember(*place, &views);
                     }
                 }
@@ -111,12 +112,12 @@
 
     /// The holder, where a strike's time has come: at the first look that finds its turn at that stage or past it. A host
     /// is free once its operators have seen so: they say what is out after a strike that makes all proxies forget.
-    fn reached(&self, strike: &Strike, views: &[(usize, View)]) -> Option<usize> {
+    fn reached(&self, strike: &Strike, views: &[(usize, MaintenanceView)]) -> Option<usize> {
         let node = self.work.turns.get(strike.turn)?.node;
-        let (holder, view) = views.iter().find(|(_, view)| view.standing.is_leader)?;
+        let (holder, view) = views.iter().find(|(_, view)| view.lease.is_leader)?;
         let place = |of: &str| STAGES.iter().position(|stage| *stage == of);
-        let stage = match view.turns.iter().find(|row| row.host == host(node)) {
-            Some(row) if row.free && row.stage == Stage::Out => {
+        let stage = match view.drains.iter().find(|row| row.host == host(node)) {
+            Some(row) if row.is_free && row.stage == Stage::OutOfService => {
                 place(if held(&self.told)[strike.turn].free.is_some() { "free" } else { "out" })
             }
             Some(row) => place(&row.stage.to_string()),
@@ -143,7 +144,7 @@
 
     /// All have forgotten: what operators know to be out is said again, and then that it is all. They say so only once
     /// every proxy answers them.
-    fn remember(&self, place: usize, views: &[(usize, View)]) {
+    fn remember(&self, place: usize, views: &[(usize, MaintenanceView)]) {
         if views.len() < self.sides.len() {
             return;
         }
@@ -153,21 +154,21 @@
             told.iter().filter(|t| t.free.is_some() && t.done.is_none()).map(|t| t.node).collect()
         };
         for node in out {
-            let order = Order::Ask(Ask { already_out: true, ..self.ask(node) });
-            if !matches!(work::told(side, &order), Ok(Ok(_))) {
+            let order = Command::Request(DrainRequest { already_out: true, ..self.ask(node) });
+            if !matches!(maintenance_command::submit(side, &order), Ok(Ok(_))) {
                 return;
             }
         }
         // One that did not take it is asked again with the next look.
-        let _ = work::told(side, &Order::Known { by: "ops".to_owned() });
+        let _ = maintenance_command::submit(side, &Command::DeclareRecovered { by: "ops".to_owned() });
     }
 
-    fn ask(&self, node: usize) -> Ask {
-        Ask {
+    fn ask(&self, node: usize) -> DrainRequest {
+        DrainRequest {
             host: host(node),
             kind: "kernel".to_owned(),
             by: "ops".to_owned(),
-            lasts: 600_000_000,
+            duration: 600_000_000,
             not_before: 0,
             not_after: None,
             already_out: false,
@@ -175,10 +176,10 @@
     }
 
     /// Gives an order to one proxy after the other until one answers it.
-    fn order(&self, mut through: usize, order: &Order) -> Option<Result<Answer, Refusal>> {
+    fn order(&self, mut through: usize, order: &Command) -> Option<Result<CommandResponse, Rejection>> {
         while !self.over() {
-            match work::told(self.sides[through], order) {
-                Ok(Err(Refusal::NoHolder | Refusal::TimedOut)) | Err(_) => {
+            match maintenance_command::submit(self.sides[through], order) {
+                Ok(Err(Rejection::NoLeader | Rejection::TimedOut)) | Err(_) => {
                     through = (through + 1) % self.sides.len();
                     sleep(AGAIN);
                 }
@@ -195,7 +196,7 @@
             sleep(LOOK);
         }
         held(&self.told)[place].asked = self.epoch.now();
-        let ask = Order::Ask(self.ask(turn.node));
+        let ask = Command::Request(self.ask(turn.node));
         let Some(mut id) = self.asked(place, turn, &ask) else { return };
         let mut asked_at = self.epoch.now();
         // Until it is free, as any proxy shows it.
@@ -204,9 +205,10 @@
                 return;
             }
             let views = self.views();
-            let row = |view: &View| view.turns.iter().find(|row| row.host == host(turn.node)).cloned();
+            let row =
+                |view: &MaintenanceView| view.drains.iter().find(|row| row.host == host(turn.node)).cloned();
             let rows: Vec<_> = views.iter().filter_map(|(_, view)| row(view)).collect();
-            if rows.iter().any(|row| row.free && row.stage == Stage::Out) {
+            if rows.iter().any(|row| row.is_free && row.stage == Stage::OutOfService) {
                 break self.epoch.now();
             }
             let waits: Vec<String> =
@@ -217,9 +219,9 @@
                     told[place].waits.push(wait);
                 }
             }
-            let ended = views.iter().flat_map(|(_, view)| &view.past).find(|past| past.id == id);
+            let ended = views.iter().flat_map(|(_, view)| &view.completed).find(|past| past.id == id);
             if let Some(past) = ended {
-                told[place].end = Some(past.end.to_string());
+                told[place].end = Some(past.outcome.to_string());
                 return;
             }
             drop(told);
@@ -236,15 +238,15 @@
         self.finish(place, turn);
     }
 
-    fn asked(&self, place: usize, turn: &Turn, ask: &Order) -> Option<u64> {
+    fn asked(&self, place: usize, turn: &Turn, ask: &Command) -> Option<u64> {
         let answer = self.order(turn.through, ask)?;
         let mut told = held(&self.told);
         match answer {
-            Ok(Answer::Turn { id, .. }) => {
+            Ok(CommandResponse::Drain { id, .. }) => {
                 told[place].taken.get_or_insert(self.epoch.now());
                 Some(id)
             }
-            Ok(Answer::Done) => None,
+            Ok(CommandResponse::Done) => None,
             Err(refusal) => {
                 told[place].end = Some(refusal.to_string());
                 None
@@ -256,8 +258,10 @@
     fn finish(&self, place: usize, turn: &Turn) {
         while !self.over() {
             let views = self.views();
-            let row = |view: &View| view.turns.iter().find(|row| row.host == host(turn.node)).cloned();
-            let out = views.iter().filter_map(|(_, view)| row(view)).find(|row| row.stage < Stage::Back);
+            let row =
+                |view: &MaintenanceView| view.drains.iter().find(|row| row.host == host(turn.node)).cloned();
+            let out =
+                views.iter().filter_map(|(_, view)| row(view)).find(|row| row.stage < Stage::Recovering);
             match out {
                 None if !views.is_empty() => {
                     held(&self.told)[place].end = Some("done".to_owned());
@@ -265,7 +269,7 @@
                 }
                 None => {}
                 Some(row) => {
-                    let order = Order::Done { turn: row.id, by: "ops".to_owned() };
+                    let order = Command::Complete { drain: row.id, by: "ops".to_owned() };
                     // Whatever comes of it is seen with the next look.
                     self.order(turn.through, &order);
                 }
--- a/lab/tests/state.rs
+++ b/lab/tests/state.rs
@@ -6,7 +6,7 @@
 use flaxhead_lab::peers::rig::Rig;
 use flaxhead_lab::proxy::Program;
 use flaxhead_lease::PersistentState;
-use flaxhead_maintenance::Turns;
+use flaxhead_maintenance::Maintenance;
 use flaxhead_snapshot::{disk, format, Snapshot};
 use orders::{work, PROGRAM};
 use std::net::SocketAddr;
@@ -54,8 +54,9 @@
     let bytes = std::fs::read(file).unwrap_or_default();
     let parts = format::decode(&bytes).map(|snapshot| snapshot.parts).unwrap_or_default();
     let turns = parts.iter().find(|part| part.name == "turns");
-    let memory = turns.and_then(|part| postcard::from_bytes::<PersistentState<Turns>>(&part.bytes).ok());
-    memory.is_some_and(|memory| memory.is_recovered && !memory.state.state.turns.is_empty())
+    let memory =
+        turns.and_then(|part| postcard::from_bytes::<PersistentState<Maintenance>>(&part.bytes).ok());
+    memory.is_some_and(|memory| memory.is_recovered && !memory.state.state.drains.is_empty())
 }
 
 /// Once all are sure, all are killed, what is on the disks is changed, and all start again without waiting for each
--- a/maintenance/driver/src/lib.rs
+++ b/maintenance/driver/src/lib.rs
@@ -1,11 +1,10 @@
-//! The turns in which hosts are taken out for work, at one process: what it tells of its hosts, and which of them it
-//! leaves alone. Timers and messages are [`flaxhead_coordination`]'s, on the thread of the engine.
+//! Host maintenance at one process: what it reports of its hosts, and to which of them it sends nothing new. Timers and
+//! messages are those of [`flaxhead_coordination`], on the thread of the engine.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
-mod driver;
-mod side;
+mod participant;
+mod service;
 
-pub use driver::{Settings, Work};
 pub use flaxhead_coordination::{OpenedStore, StateStore};
-pub use side::Hosts;
+pub use participant::{ExcludedUntilNotice, Hosts};
+pub use service::{MaintenanceService, Settings};
--- a/maintenance/src/application.rs
+++ b/maintenance/src/application.rs
@@ -1,46 +1,50 @@
-//! The turns, as something that the proxies settle in common.
+//! The drains, as something that the proxies agree upon.
 
-use crate::desk::Desk;
+use crate::application_types::{Maintenance, UsageReport};
+use crate::command::{Command, CommandResponse, Rejection};
+use crate::exclusion::excluded_from;
 use crate::facts::HostFacts;
-use crate::order::{Answer, Order, Refusal};
-use crate::spare::spared_from;
-use crate::turns::{Turns, Word};
+use crate::scheduler::Scheduler;
 use flaxhead_lease::{Application, LeaderContext, Member, Micros, Process};
 
-impl Application for Turns {
-    /// All that the holder must keep is on the board, and in the words of the processes.
+/// The count of the schedule that a leader begins with.
+const INITIAL_SCHEDULE_SEQ: u64 = 1;
+
+impl Application for Maintenance {
+    /// All that the leader must keep is in the schedule, and in the reports of the processes.
     type LeaderData = ();
 
-    fn report(&mut self, _: Micros, member: &Member<Self>, facts: &HostFacts) -> Word {
-        // Only hosts that are left alone are of interest.
-        let spared = |host: &&String| spared_from(member, host).is_some();
-        let busy = self.usage.in_hand.iter().filter(|(host, calls)| **calls > 0 && spared(host));
-        Word {
+    fn report(&mut self, _: Micros, member: &Member<Self>, facts: &HostFacts) -> UsageReport {
+        // Only hosts that are excluded, or will be, are of interest.
+        let is_excluded = |host: &str| excluded_from(member, host).is_some();
+        let busy = self.usage.in_flight.iter().filter(|(host, calls)| **calls > 0 && is_excluded(host));
+        UsageReport {
             busy: busy.map(|(host, calls)| (host.clone(), *calls)).collect(),
             load: self.usage.load,
-            lost: facts.lost_zones.clone(),
+            lost_zones: facts.lost_zones.clone(),
         }
     }
 
-    fn begin_leadership(&self, room: &mut LeaderContext<'_, Self>) {
-        for turn in &mut room.state_mut().turns {
-            // All confirm it anew: what was confirmed to another is not known here.
-            (turn.since_seq, turn.free) = (1, false);
+    fn begin_leadership(&self, context: &mut LeaderContext<'_, Self>) {
+        for drain in &mut context.state_mut().drains {
+            // All processes confirm it anew: what was confirmed to another leader is not known here.
+            drain.stage_seq = INITIAL_SCHEDULE_SEQ;
+            drain.is_free = false;
         }
     }
 
     fn grant(&self, _: &mut (), _: &mut LeaderContext<'_, Self>, _: &Process) {}
 
-    fn step(&self, _: &mut (), room: &mut LeaderContext<'_, Self>) {
-        Desk::new(&self.rules, room).step();
+    fn step(&self, _: &mut (), context: &mut LeaderContext<'_, Self>) {
+        Scheduler::new(&self.config, context).step();
     }
 
     fn command(
         &self,
         _: &mut (),
-        room: &mut LeaderContext<'_, Self>,
-        order: Order,
-    ) -> Result<Answer, Refusal> {
-        Desk::new(&self.rules, room).order(order)
+        context: &mut LeaderContext<'_, Self>,
+        command: Command,
+    ) -> Result<CommandResponse, Rejection> {
+        Scheduler::new(&self.config, context).execute(command)
     }
 }
--- a/maintenance/src/facts.rs
+++ b/maintenance/src/facts.rs
@@ -13,17 +13,27 @@
     pub ready: bool,
     /// Calls to it fail.
     pub failing: bool,
-    /// How warm it is, in thousandths.
+    /// How far it has warmed up, in thousandths.
     pub warmth: u32,
-    /// Its size beside the others', in thousandths.
+    /// Its size relative to the others', in thousandths.
     pub weight: u32,
 }
 
-/// All of them.
+impl HostFact {
+    /// The `warmth` of a host that has warmed up.
+    pub(crate) const WARM: u32 = 1_000;
+
+    /// Whether it has warmed up.
+    pub(crate) fn is_warm(&self) -> bool {
+        self.warmth >= HostFact::WARM
+    }
+}
+
+/// All hosts.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct HostFacts {
     /// By name.
     pub hosts: BTreeMap<String, HostFact>,
-    /// Zones that this process reaches no host of.
+    /// Zones in which this process reaches no host.
     pub lost_zones: BTreeSet<String>,
 }
--- a/maintenance/src/lib.rs
+++ b/maintenance/src/lib.rs
@@ -1,43 +1,43 @@
-//! Which host is taken out for work next, as the client proxies settle it among themselves: what is settled under a
-//! lease of [`flaxhead_lease`], as its [`flaxhead_lease::Application`]; no I/O, no clock.
+//! Which host is drained for maintenance next, as the client proxies agree upon it: an [`flaxhead_lease::Application`],
+//! without I/O or clock.
 //!
-//! The [`Board`] holds all turns. **Every** process on the roster has heard it before a host is told free. A turn is
-//! settled, drains, is out and free, and comes back; the holder moves it on ([`Turns`]), and each process leaves alone
-//! the hosts that its board says so of ([`spared`], [`may_send`]).
+//! The [`DrainSchedule`] holds all drains. **Every** process on the roster has applied it before operators are told that a
+//! host is free. A drain is requested, scheduled, draining, out of service and free, and recovering; the leader moves it on
+//! ([`Maintenance`]), and each process sends nothing new to the hosts that its schedule excludes ([`excluded_hosts`],
+//! [`may_send`]).
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod application;
-mod ask;
-mod board;
-mod desk;
+mod application_types;
+mod command;
+mod config;
+mod exclusion;
 mod facts;
-mod limits;
-mod order;
-mod plan;
-mod spare;
+mod request;
+mod schedule;
+mod scheduler;
+mod selection;
 mod stage;
-mod turns;
 mod view;
 
-pub use ask::Ask;
-pub use board::{Board, Past, Turn};
+pub use application_types::{DrainEvent, HostUsage, Maintenance, UsageReport};
+pub use command::{Command, CommandResponse, Rejection};
+pub use config::{Limits, SchedulerConfig};
+pub use exclusion::{excluded_hosts, may_send, ExcludedHost};
 pub use facts::{HostFact, HostFacts};
-pub use limits::{Limits, Rules};
-pub use order::{Answer, Order, Refusal};
-pub use plan::Obstacle;
-pub use spare::{may_send, spared};
-pub use stage::{End, Stage};
-pub use turns::{Step, Turns, Usage, Word};
-pub use view::{view, MemberRow, TurnRow, View};
+pub use request::DrainRequest;
+pub use schedule::{CompletedDrain, Drain, DrainSchedule};
+pub use selection::BlockedReason;
+pub use stage::{Outcome, Stage};
+pub use view::{view, DrainView, MaintenanceView, ProcessView};
 
-/// One process's part in the turns.
-pub type Machine = flaxhead_lease::Machine<Turns>;
-/// What one process says to another.
-pub type Message = flaxhead_lease::Message<Turns>;
-/// What is to be done.
-pub type Effect = flaxhead_lease::Effect<Turns>;
-/// What a process knows from elsewhere.
+/// One process's part in the drains.
+pub type Machine = flaxhead_lease::Machine<Maintenance>;
+/// A message between two processes.
+pub type Message = flaxhead_lease::Message<Maintenance>;
+/// What the driver is to do.
+pub type Effect = flaxhead_lease::Effect<Maintenance>;
+/// What a process knows from outside the protocol.
 pub type Facts = flaxhead_lease::Facts<HostFacts>;
 /// What a process is given with everything that happens.
-pub type Around<'a> = flaxhead_lease::Context<'a, HostFacts>;
+pub type Context<'a> = flaxhead_lease::Context<'a, HostFacts>;
--- /dev/null
+++ b/maintenance/src/scheduler/state.rs
@@ -0,0 +1,57 @@
+//! What a step or a command works on.
+
+use crate::application_types::{DrainEvent, Maintenance};
+use crate::config::SchedulerConfig;
+use crate::schedule::DrainSchedule;
+use crate::stage::{Outcome, Stage};
+use flaxhead_lease::LeaderContext;
+
+/// The leader, with the configuration of the drains.
+pub(crate) struct Scheduler<'a, 'b> {
+    pub(super) config: &'a SchedulerConfig,
+    pub(super) leader: &'a mut LeaderContext<'b, Maintenance>,
+}
+
+impl<'a, 'b> Scheduler<'a, 'b> {
+    pub(crate) fn new(config: &'a SchedulerConfig, leader: &'a mut LeaderContext<'b, Maintenance>) -> Self {
+        Scheduler { config, leader }
+    }
+
+    pub(super) fn schedule(&self) -> &DrainSchedule {
+        self.leader.state()
+    }
+
+    pub(super) fn schedule_mut(&mut self) -> &mut DrainSchedule {
+        self.leader.state_mut()
+    }
+
+    pub(super) fn record(&mut self, drain: u64, change: &str, reason: String) {
+        let host = self.schedule().drain(drain).map(|drain| drain.request.host.clone());
+        let host = host.unwrap_or_default();
+        self.leader.record_event(DrainEvent { drain, host, change: change.to_owned(), reason });
+    }
+
+    /// Moves a drain to a stage. It is there with the schedule that is replicated next.
+    pub(super) fn move_to(&mut self, id: u64, stage: Stage) {
+        let stage_seq = self.leader.state_seq() + 1;
+        if let Some(drain) = self.schedule_mut().drain_mut(id) {
+            drain.stage = stage;
+            drain.stage_seq = stage_seq;
+            drain.stage_age = 0;
+            drain.is_free = false;
+            drain.waits_for.clear();
+        }
+    }
+
+    pub(super) fn complete(&mut self, id: u64, outcome: Outcome) {
+        let max_completed = self.config.max_completed;
+        self.schedule_mut().complete(id, outcome, max_completed);
+    }
+
+    /// Sets what a drain waits for. That is replicated along with the next change: it is none by itself.
+    pub(super) fn set_waits_for(&mut self, id: u64, reason: String) {
+        if let Some(drain) = self.schedule_mut().drain_mut(id) {
+            drain.waits_for = reason;
+        }
+    }
+}
--- a/maintenance/src/stage.rs
+++ b/maintenance/src/stage.rs
@@ -1,66 +1,75 @@
-//! Where a turn stands, and how it ends.
+//! The stages of a drain, and how it ends. Their names in JSON and in the command's output are older than those here.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Where an open turn stands.
+/// How far an open drain has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-#[serde(rename_all = "lowercase")]
 pub enum Stage {
-    /// It waits for its place.
-    Asked,
-    /// It is next. A proxy sends to the host only as long as its permission lasts.
-    Settled,
-    /// Nothing new is sent there; what runs there ends by itself.
+    /// It waits to be scheduled.
+    #[serde(rename = "asked")]
+    Requested,
+    /// It is next. A proxy sends to the host only as long as its lease lasts.
+    #[serde(rename = "settled")]
+    Scheduled,
+    /// Nothing new is sent to the host; the calls in flight there end by themselves.
+    #[serde(rename = "draining")]
     Draining,
-    /// Nothing runs there.
-    Out,
-    /// It takes calls again, and counts as out until it is warm.
-    Back,
+    /// No call is in flight there.
+    #[serde(rename = "out")]
+    OutOfService,
+    /// The host takes calls again, and counts as out until it has warmed up.
+    #[serde(rename = "back")]
+    Recovering,
 }
 
 impl fmt::Display for Stage {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Stage::Asked => "asked",
-            Stage::Settled => "settled",
+            Stage::Requested => "asked",
+            Stage::Scheduled => "settled",
             Stage::Draining => "draining",
-            Stage::Out => "out",
-            Stage::Back => "back",
+            Stage::OutOfService => "out",
+            Stage::Recovering => "back",
         })
     }
 }
 
-/// How a turn ended.
+/// How a drain ended.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-#[serde(rename_all = "lowercase")]
-pub enum End {
+pub enum Outcome {
     /// The work was done and the host serves.
-    Done,
-    /// Somebody withdrew it.
+    #[serde(rename = "done")]
+    Completed,
+    /// It was withdrawn.
+    #[serde(rename = "withdrawn")]
     Withdrawn {
-        /// Who.
+        /// By whom.
         by: String,
     },
-    /// Its time was past before it could begin.
+    /// It could not begin in time.
+    #[serde(rename = "expired")]
     Expired {
-        /// What it waited for last.
-        why: String,
+        /// What it last waited for.
+        #[serde(rename = "why")]
+        reason: String,
     },
-    /// It could not be carried through; the host serves.
+    /// It could not be carried out; the host serves.
+    #[serde(rename = "failed")]
     Failed {
         /// Why.
-        why: String,
+        #[serde(rename = "why")]
+        reason: String,
     },
 }
 
-impl fmt::Display for End {
+impl fmt::Display for Outcome {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            End::Done => f.write_str("done"),
-            End::Withdrawn { by } => write!(f, "withdrawn by {by}"),
-            End::Expired { why } => write!(f, "expired: {why}"),
-            End::Failed { why } => write!(f, "failed: {why}"),
+            Outcome::Completed => f.write_str("done"),
+            Outcome::Withdrawn { by } => write!(f, "withdrawn by {by}"),
+            Outcome::Expired { reason } => write!(f, "expired: {reason}"),
+            Outcome::Failed { reason } => write!(f, "failed: {reason}"),
         }
     }
 }
--- a/maintenance/src/view.rs
+++ b/maintenance/src/view.rs
@@ -1,102 +1,122 @@
-//! What operators are shown.
+//! What operators see. The names of the keys in JSON are those of the side port.
 
-use crate::board::{Past, Turn};
+use crate::application_types::Maintenance;
+use crate::schedule::{CompletedDrain, Drain};
 use crate::stage::Stage;
-use crate::turns::Turns;
 use flaxhead_lease::{LeaseStatus, Machine, Micros, PeerState, Process};
 use serde::{Deserialize, Serialize};
 
-/// An open turn, as it is shown.
+const MICROS_PER_MILLI: Micros = 1_000;
+const THOUSANDTHS: f64 = 1_000.0;
+
+/// An open drain.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct TurnRow {
+pub struct DrainView {
     /// Its number.
     pub id: u64,
-    /// Of which host.
+    /// Its host.
     pub host: String,
-    /// What work.
+    /// The kind of work.
     pub kind: String,
-    /// Who asked.
+    /// Who requested it.
     pub by: String,
-    /// Where it stands.
+    /// How far it has come.
     pub stage: Stage,
-    /// The host may be worked at.
-    pub free: bool,
-    /// Since when it has stood there, in milliseconds before now.
-    pub for_ms: u64,
+    /// The work may begin.
+    #[serde(rename = "free")]
+    pub is_free: bool,
+    /// How long it has been at its stage, in milliseconds.
+    #[serde(rename = "for_ms")]
+    pub stage_age_ms: u64,
     /// How long the work takes, in milliseconds.
-    pub lasts_ms: u64,
-    /// What it waits for.
+    #[serde(rename = "lasts_ms")]
+    pub duration_ms: u64,
+    /// What it waits for; empty: nothing.
     pub waits_for: String,
 }
 
-impl From<&Turn> for TurnRow {
-    fn from(turn: &Turn) -> TurnRow {
-        TurnRow {
-            id: turn.id,
-            host: turn.ask.host.clone(),
-            kind: turn.ask.kind.clone(),
-            by: turn.ask.by.clone(),
-            stage: turn.stage,
-            free: turn.free,
-            for_ms: turn.age / 1_000,
-            lasts_ms: turn.ask.lasts / 1_000,
-            waits_for: turn.waits_for.clone(),
+impl From<&Drain> for DrainView {
+    fn from(drain: &Drain) -> DrainView {
+        DrainView {
+            id: drain.id,
+            host: drain.request.host.clone(),
+            kind: drain.request.kind.clone(),
+            by: drain.request.by.clone(),
+            stage: drain.stage,
+            is_free: drain.is_free,
+            stage_age_ms: drain.stage_age / MICROS_PER_MILLI,
+            duration_ms: drain.request.duration / MICROS_PER_MILLI,
+            waits_for: drain.waits_for.clone(),
         }
     }
 }
 
-/// A process that may send, as the holder shows it.
+/// A process on the roster, as the leader sees it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct MemberRow {
+pub struct ProcessView {
     /// Its name.
     pub name: String,
-    /// Which process, in hexadecimal digits.
-    pub life: String,
-    /// The board that it goes by.
-    pub confirmed: String,
-    /// When it last asked for leave, in milliseconds before now.
-    pub heard_ms: Option<u64>,
-    /// Calls in hand.
-    pub in_hand: f64,
+    /// Its incarnation, in hexadecimal digits.
+    #[serde(rename = "life")]
+    pub incarnation: String,
+    /// The version of the schedule that it has applied.
+    #[serde(rename = "confirmed")]
+    pub applied: String,
+    /// How long ago it last reported, in milliseconds; `None`: it has not reported to this leader.
+    #[serde(rename = "heard_ms")]
+    pub reported_ms: Option<u64>,
+    /// Calls in flight.
+    #[serde(rename = "in_hand")]
+    pub in_flight: f64,
+}
+
+impl ProcessView {
+    fn new(process: &Process, peer: &PeerState<Maintenance>, now: Micros) -> ProcessView {
+        let load = peer.report().map_or(0, |report| report.load);
+        ProcessView {
+            name: process.name.to_string(),
+            incarnation: format!("{:016x}", process.incarnation),
+            applied: peer.version().to_string(),
+            reported_ms: peer.last_report_at().map(|at| now.saturating_sub(at) / MICROS_PER_MILLI),
+            in_flight: f64::from(load) / THOUSANDTHS,
+        }
+    }
 }
 
-/// All that a process knows.
+/// All that a process knows of the drains.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct View {
-    /// Who hands out turns, and how this process stands to it.
+pub struct MaintenanceView {
+    /// Its lease, and who leads.
     #[serde(flatten)]
-    pub standing: LeaseStatus,
-    /// Open turns.
-    pub turns: Vec<TurnRow>,
-    /// The last that ended.
-    pub past: Vec<Past>,
-    /// Those that may send, at the holder.
-    pub members: Vec<MemberRow>,
+    pub lease: LeaseStatus,
+    /// The open drains.
+    #[serde(rename = "turns")]
+    pub drains: Vec<DrainView>,
+    /// The last that have ended.
+    #[serde(rename = "past")]
+    pub completed: Vec<CompletedDrain>,
+    /// At the leader: the processes on the roster.
+    #[serde(rename = "members")]
+    pub processes: Vec<ProcessView>,
 }
 
-/// What there is to show of a process.
-pub fn view(machine: &Machine<Turns>, now: Micros) -> View {
-    let hold = machine.leader_state(now);
-    let mut board = machine.member().current_state(now).state;
-    if let Some(hold) = hold {
-        // What its turns wait for is told with the next change only.
-        for turn in &mut board.turns {
-            let own = hold.state().state.turn(turn.id).map(|own| own.waits_for.clone());
-            turn.waits_for = own.unwrap_or_default();
+/// What a process knows of the drains.
+pub fn view(machine: &Machine<Maintenance>, now: Micros) -> MaintenanceView {
+    let leader = machine.leader_state(now);
+    let mut schedule = machine.member().current_state(now).state;
+    if let Some(leader) = leader {
+        // What its drains wait for is replicated with the next change only.
+        for drain in &mut schedule.drains {
+            let own = leader.state().state.drain(drain.id).map(|own| own.waits_for.clone());
+            drain.waits_for = own.unwrap_or_default();
         }
     }
-    let row = |(process, heard): (&Process, &PeerState<Turns>)| MemberRow {
-        name: process.name.to_string(),
-        life: format!("{:016x}", process.incarnation),
-        confirmed: heard.version().to_string(),
-        heard_ms: heard.last_report_at().map(|at| now.saturating_sub(at) / 1_000),
-        in_hand: f64::from(heard.report().map_or(0, |word| word.load)) / 1_000.0,
-    };
-    View {
-        standing: machine.status(now),
-        turns: board.turns.iter().map(Into::into).collect(),
-        past: board.past.iter().cloned().collect(),
-        members: hold.map_or_else(Vec::new, |hold| hold.processes().map(row).collect()),
+    let processes = leader.into_iter().flat_map(|leader| leader.processes());
+    MaintenanceView {
+        lease: machine.status(now),
+        drains: schedule.drains.iter().map(Into::into).collect(),
+        completed: schedule.completed.iter().cloned().collect(),
+        processes: processes.map(|(process, peer)| ProcessView::new(process, peer, now)).collect(),
     }
 }
 
--- a/maintenance/tests/disks/mod.rs
+++ b/maintenance/tests/disks/mod.rs
@@ -31,8 +31,8 @@
     pub(crate) fn judged(
         &self,
         world: &World,
-        on_disk: Option<(u8, PersistentState<Turns>)>,
-    ) -> Option<PersistentState<Turns>> {
+        on_disk: Option<(u8, PersistentState<Maintenance>)>,
+    ) -> Option<PersistentState<Maintenance>> {
         let moment = |step: u8| ClockReading { wall_ms: now(step), ..ClockReading::default() };
         let (written, memory) = on_disk?;
         let (header, parts) = (Header { written: moment(written), ..Header::default() }, Vec::new());
@@ -43,7 +43,7 @@
     }
 
     /// What a node knew at the step's beginning is on its disk.
-    pub(crate) fn write(&self, world: &mut World, node: usize) -> Vec<Envelope<Turns>> {
+    pub(crate) fn write(&self, world: &mut World, node: usize) -> Vec<Envelope<Maintenance>> {
         let mut out = Vec::new();
         if self.disks {
             world.model.disks[node] =
@@ -57,14 +57,19 @@
     pub(crate) fn confirm(&self, world: &mut World, node: usize, out: &mut Vec<Effect>) {
         let (facts, now) = (self.facts(world, node), self.time(world, node));
         let mut random = FixedRandom::of(node);
-        let mut around = Around { now, facts: &facts, random: &mut random };
+        let mut around = Context { now, facts: &facts, random: &mut random };
         if let Some(mark) = world.nodes[node].persistence_mark() {
             world.nodes[node].persisted(&mut around, mark, out);
         }
     }
 
     /// What becomes of what a node said: who is sent what.
-    pub(crate) fn sent(&self, world: &mut World, node: usize, out: Vec<Effect>) -> Vec<Envelope<Turns>> {
+    pub(crate) fn sent(
+        &self,
+        world: &mut World,
+        node: usize,
+        out: Vec<Effect>,
+    ) -> Vec<Envelope<Maintenance>> {
         self.judge(world);
         world.sent(node, out)
     }
@@ -103,8 +108,11 @@
     );
     let (mut forgot, mut spared_all) = (false, true);
     while !world.nodes.iter().all(|node| node.admission_status() == AdmissionStatus::Admitted) {
-        spared_all &= world.nodes.iter().all(|node| spared(node).contains(&(host(0), 0)));
-        forgot |= world.nodes.iter().any(|node| view(node, now(world.step)).standing.is_state_lost);
+        spared_all &= world
+            .nodes
+            .iter()
+            .all(|node| excluded_hosts(node).contains(&ExcludedHost { host: host(0), from: 0 }));
+        forgot |= world.nodes.iter().any(|node| view(node, now(world.step)).lease.is_state_lost);
         assert!(world.step < at + ENDS, "{world:?}");
         world = fleet.next(&world, Fault::Nothing);
     }
--- a/maintenance/tests/fleet/mod.rs
+++ b/maintenance/tests/fleet/mod.rs
@@ -4,8 +4,8 @@
 
 use flaxhead_lease::{AdmissionStatus, Config, MemberStatus, Micros, Name, Presence, Process, Voters};
 use flaxhead_maintenance::{
-    may_send, view, Around, Ask, Effect, Facts, HostFact, HostFacts, Limits, Machine, Message, Order, Rules,
-    Stage, Turn, Turns, Usage,
+    may_send, view, Command, Context, Drain, DrainRequest, Effect, Facts, HostFact, HostFacts, HostUsage,
+    Limits, Machine, Maintenance, Message, SchedulerConfig, Stage,
 };
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64;
@@ -221,20 +221,25 @@
         self.lives += 1;
         let voters = (0..self.plan.voters).map(name).collect();
         let voters = Voters::new(voters, Vec::new()).expect("voters");
-        let limits = Limits { all: self.plan.limit, zone: self.plan.limit, pod: 1, ..Limits::default() };
+        let limits = Limits {
+            max_total: self.plan.limit,
+            max_per_zone: self.plan.limit,
+            max_per_pod: 1,
+            ..Limits::default()
+        };
         let config = Config {
             lease: self.plan.lease,
             max_call_duration: 2 * SECOND,
             autonomy_timeout: Micros::MAX,
             ..Config::default()
         };
-        let rules = Rules { limits, back_most: 10 * SECOND, ..Rules::default() };
+        let rules = SchedulerConfig { limits, max_recovery_time: 10 * SECOND, ..SchedulerConfig::default() };
         let at = SocketAddr::from(([10, 0, (place / 250) as u8, (place % 250) as u8], 7_946));
         let me = Process { name: name(place), incarnation: self.lives, address: at };
         let now = self.local(place);
         let (lives, since) = (self.lives, self.now);
         let of = &mut self.places[place];
-        of.machine = Some(Machine::new(config, Turns::new(rules), voters, me, now));
+        of.machine = Some(Machine::new(config, Maintenance::new(rules), voters, me, now));
         (of.life, of.since, of.frozen, of.apart) = (lives, since, false, false);
         of.calls.clear();
         self.wake(place);
@@ -273,7 +278,7 @@
         }
     }
 
-    fn act(&mut self, place: usize, act: impl FnOnce(&mut Machine, &mut Around<'_>, &mut Vec<Effect>)) {
+    fn act(&mut self, place: usize, act: impl FnOnce(&mut Machine, &mut Context<'_>, &mut Vec<Effect>)) {
         // Only voters look at facts: for the others they need not be made.
         let old = self.places[place].facts.take().filter(|(at, _)| self.now < at + FRESH);
         let (looked, facts) = match old {
@@ -287,9 +292,9 @@
         let mut in_hand: BTreeMap<String, u32> = BTreeMap::new();
         self.places[place].calls.retain(|(_, until)| *until > now);
         self.places[place].calls.iter().for_each(|(host, _)| *in_hand.entry(host.clone()).or_default() += 1);
-        machine.application_mut().use_of_hosts(Usage { in_hand, load: 1_000 });
+        machine.application_mut().set_usage(HostUsage { in_flight: in_hand, load: 1_000 });
         let mut out = Vec::new();
-        let mut around = Around { now: local, facts: &facts, random: &mut self.random };
+        let mut around = Context { now: local, facts: &facts, random: &mut self.random };
         act(&mut machine, &mut around, &mut out);
         if place < self.plan.voters {
             self.holding(place, machine.leading_ballot(local).map(|ballot| ballot.round));
@@ -301,9 +306,9 @@
         }
         let turns: Vec<(String, bool)> = machine
             .state()
-            .turns
+            .drains
             .iter()
-            .map(|t| (t.ask.host.clone(), t.free && t.stage == Stage::Out))
+            .map(|t| (t.request.host.clone(), t.is_free && t.stage == Stage::OutOfService))
             .collect();
         self.places[place].facts = Some((looked, facts));
         self.places[place].machine = Some(machine);
@@ -507,7 +512,7 @@
         self.push(after, What::Fault);
     }
 
-    fn order(&mut self, place: usize, order: Order) {
+    fn order(&mut self, place: usize, order: Command) {
         self.orders += 1;
         let id = self.orders;
         let patience = 60 * self.plan.lease;
@@ -524,12 +529,12 @@
         }
     }
 
-    fn request(&self, host: &str, already_out: bool) -> Order {
-        Order::Ask(Ask {
+    fn request(&self, host: &str, already_out: bool) -> Command {
+        Command::Request(DrainRequest {
             host: host.to_owned(),
             kind: "kernel".to_owned(),
             by: "ops".to_owned(),
-            lasts: HOUR,
+            duration: HOUR,
             not_before: 0,
             not_after: None,
             already_out,
@@ -553,7 +558,7 @@
         let turn =
             self.places.iter().filter_map(|p| p.machine.as_ref()?.state().of_host(host)).map(|t| t.id).max();
         if let Some(turn) = turn {
-            self.order(place, Order::Done { turn, by: "ops".to_owned() });
+            self.order(place, Command::Complete { drain: turn, by: "ops".to_owned() });
         }
     }
 
@@ -561,8 +566,7 @@
     fn remember(&mut self) {
         let forgot = |place: &usize| {
             let of = &self.places[*place];
-            of.machine.as_ref().is_some_and(|m| view(m, self.local(*place)).standing.is_state_lost)
-                && !of.frozen
+            of.machine.as_ref().is_some_and(|m| view(m, self.local(*place)).lease.is_state_lost) && !of.frozen
         };
         let whole = self.places.iter().all(|p| p.machine.is_some() && !p.frozen && !p.apart);
         let holder = (0..self.plan.voters).find(forgot).filter(|_| whole);
@@ -572,7 +576,7 @@
                 let order = self.request(&host, true);
                 self.order(place, order);
             }
-            self.order(place, Order::Known { by: "ops".to_owned() });
+            self.order(place, Command::DeclareRecovered { by: "ops".to_owned() });
         }
         let Some((holder, _)) = self.held else { return };
         let Some(board) = self.places[holder].machine.as_ref().map(|m| m.state().clone()) else { return };
@@ -588,13 +592,18 @@
             self.order(place, order);
         }
         // What is back and still shown as out is said again.
-        let back = |turn: &&Turn| turn.stage == Stage::Out && !self.free.contains(&turn.ask.host);
-        let back: Vec<(u64, bool)> =
-            board.turns.iter().filter(back).map(|t| (t.id, self.working.contains(&t.ask.host))).collect();
+        let back =
+            |turn: &&Drain| turn.stage == Stage::OutOfService && !self.free.contains(&turn.request.host);
+        let back: Vec<(u64, bool)> = board
+            .drains
+            .iter()
+            .filter(back)
+            .map(|t| (t.id, self.working.contains(&t.request.host)))
+            .collect();
         for (turn, working) in back {
             if !working {
                 let place = self.someone();
-                self.order(place, Order::Done { turn, by: "ops".to_owned() });
+                self.order(place, Command::Complete { drain: turn, by: "ops".to_owned() });
             }
         }
     }
--- a/maintenance/tests/model.rs
+++ b/maintenance/tests/model.rs
@@ -11,8 +11,8 @@
     Versioned, VoterRecoveryResponse, Voters,
 };
 use flaxhead_maintenance::{
-    may_send, spared, view, Around, Ask, Effect, Facts, HostFact, HostFacts, Machine, Message, Order, Rules,
-    Stage, Turns, Usage,
+    excluded_hosts, may_send, view, Command, Context, DrainRequest, Effect, ExcludedHost, Facts, HostFact,
+    HostFacts, HostUsage, Machine, Maintenance, Message, SchedulerConfig, Stage,
 };
 use flaxhead_rig::{ActiveFault, Bounds, Envelope, FixedRandom, Fleet as _, LastingFault};
 use stateright::{Checker, Model, Property};
@@ -69,12 +69,12 @@
     back: BTreeSet<String>,
     fences: BTreeSet<Ballot>,
     /// What is on each disk, and since which step: what a process knew at the step's beginning.
-    disks: Vec<Option<(u8, PersistentState<Turns>)>>,
+    disks: Vec<Option<(u8, PersistentState<Maintenance>)>>,
     alone_after: Micros,
     known_wait: Micros,
 }
 
-type World = flaxhead_rig::World<Turns, Work>;
+type World = flaxhead_rig::World<Maintenance, Work>;
 type Fault = flaxhead_rig::Fault<Found>;
 
 struct Fleet {
@@ -103,9 +103,9 @@
     format!("h{number}")
 }
 
-fn ask(host: String) -> Ask {
+fn ask(host: String) -> DrainRequest {
     let (kind, by) = ("kernel".to_owned(), "ops".to_owned());
-    Ask { host, kind, by, lasts: 1_000, not_before: 0, not_after: None, already_out: false }
+    DrainRequest { host, kind, by, duration: 1_000, not_before: 0, not_after: None, already_out: false }
 }
 
 fn at(node: usize) -> SocketAddr {
@@ -147,12 +147,12 @@
             if let Some(holder) =
                 (0..world.nodes.len()).find(|n| world.nodes[*n].leading_ballot(now(world.step)).is_some())
             {
-                fleet.order(&mut world, holder, Order::Known { by: "ops".to_owned() });
+                fleet.order(&mut world, holder, Command::DeclareRecovered { by: "ops".to_owned() });
             }
         }
         assert!(world.nodes.iter().all(|n| n.admission_status() == AdmissionStatus::Admitted), "{world:?}");
         for number in 0..2 {
-            fleet.order(&mut world, number, Order::Ask(ask(host(number))));
+            fleet.order(&mut world, number, Command::Request(ask(host(number))));
         }
         let held = |node| ((node, host(0)), 3);
         world.model.in_hand = BTreeMap::from([held(1), held(2)]);
@@ -180,10 +180,10 @@
         }
     }
 
-    fn order(&self, world: &mut World, node: usize, order: Order) {
+    fn order(&self, world: &mut World, node: usize, order: Command) {
         let (facts, time) = (self.facts(world, node), now(world.step));
         let mut random = FixedRandom::of(node);
-        let mut around = Around { now: time, facts: &facts, random: &mut random };
+        let mut around = Context { now: time, facts: &facts, random: &mut random };
         // What it sends is lost; it is sent again.
         world.nodes[node].submit(&mut around, time + node as u64, order, 20 * LEASE, &mut Vec::new());
     }
@@ -230,9 +230,12 @@
     fn judge(&self, world: &mut World) {
         let mut wrong = None;
         for node in 0..world.nodes.len() {
-            for turn in &world.nodes[node].state().turns {
-                if turn.free && turn.stage == Stage::Out && !world.model.back.contains(&turn.ask.host) {
-                    world.model.free.entry(turn.ask.host.clone()).or_insert(world.step);
+            for turn in &world.nodes[node].state().drains {
+                if turn.is_free
+                    && turn.stage == Stage::OutOfService
+                    && !world.model.back.contains(&turn.request.host)
+                {
+                    world.model.free.entry(turn.request.host.clone()).or_insert(world.step);
                 }
             }
         }
@@ -268,7 +271,10 @@
     fn sends(&self, world: &World, node: usize, host: &str) -> bool {
         let (machine, time) = (&world.nodes[node], now(world.step));
         let may = |from: Option<Micros>| from.is_none_or(|from| time < from);
-        let from = spared(machine).into_iter().find(|(name, _)| name == host).map(|(_, from)| from);
+        let from = excluded_hosts(machine)
+            .into_iter()
+            .find(|excluded| excluded.host == host)
+            .map(|excluded| excluded.from);
         match self.broken {
             Broken::PermissionEnds => {
                 machine.admission_status() != AdmissionStatus::Pending && from != Some(0)
@@ -313,18 +319,22 @@
     /// all.
     fn remember(&self, world: &mut World) {
         let time = now(world.step);
-        let forgot = |node: &usize| view(&world.nodes[*node], time).standing.is_state_lost;
+        let forgot = |node: &usize| view(&world.nodes[*node], time).lease.is_state_lost;
         let Some(node) = (0..world.nodes.len()).find(forgot).filter(|_| world.active_fault.is_none()) else {
             return;
         };
         let out: Vec<String> =
             world.model.free.keys().filter(|h| !world.model.back.contains(*h)).cloned().collect();
         for host in &out {
-            if world.nodes[node].state().of_host(host).is_none_or(|turn| turn.stage < Stage::Out) {
-                self.order(world, node, Order::Ask(Ask { already_out: true, ..ask(host.clone()) }));
+            if world.nodes[node].state().of_host(host).is_none_or(|turn| turn.stage < Stage::OutOfService) {
+                self.order(
+                    world,
+                    node,
+                    Command::Request(DrainRequest { already_out: true, ..ask(host.clone()) }),
+                );
             }
         }
-        self.order(world, node, Order::Known { by: "ops".to_owned() });
+        self.order(world, node, Command::DeclareRecovered { by: "ops".to_owned() });
     }
 
     /// Steps in which faults may begin: where a word is not held back, up to a turn that takes no longer than a write.
@@ -343,7 +353,7 @@
         for (node, host) in (0..2).map(|n| (n, host(n))) {
             let unseen = !world.model.free.contains_key(&host) && world.step.is_multiple_of(10);
             if unseen && !world.is_frozen(node) {
-                self.order(world, node, Order::Ask(ask(host)));
+                self.order(world, node, Command::Request(ask(host)));
             }
         }
         let ready: Vec<String> = world
@@ -359,9 +369,10 @@
         }
         for host in world.model.back.clone() {
             for node in 0..world.nodes.len() {
-                let turn = world.nodes[node].state().of_host(&host).filter(|turn| turn.stage == Stage::Out);
+                let turn =
+                    world.nodes[node].state().of_host(&host).filter(|turn| turn.stage == Stage::OutOfService);
                 if let Some(turn) = turn.map(|turn| turn.id).filter(|_| !world.is_frozen(node)) {
-                    self.order(world, node, Order::Done { turn, by: "ops".to_owned() });
+                    self.order(world, node, Command::Complete { drain: turn, by: "ops".to_owned() });
                 }
             }
         }
@@ -373,7 +384,7 @@
 }
 
 impl flaxhead_rig::Fleet for Fleet {
-    type Application = Turns;
+    type Application = Maintenance;
     type Model = Work;
     type Found = Found;
 
@@ -399,11 +410,11 @@
         world: &mut World,
         node: usize,
         message: Option<(usize, Message)>,
-    ) -> Vec<Envelope<Turns>> {
+    ) -> Vec<Envelope<Maintenance>> {
         let facts = self.facts(world, node);
         let time = self.time(world, node);
         let mut random = FixedRandom::of(node);
-        let mut around = Around { now: time, facts: &facts, random: &mut random };
+        let mut around = Context { now: time, facts: &facts, random: &mut random };
         let mut out = Vec::new();
         let in_hand = |number: usize| {
             let held = world
@@ -414,7 +425,7 @@
             (host(number), u32::from(held && self.broken != Broken::Drains))
         };
         let in_hand = (0..2).map(in_hand).collect();
-        world.nodes[node].application_mut().use_of_hosts(Usage { in_hand, load: 0 });
+        world.nodes[node].application_mut().set_usage(HostUsage { in_flight: in_hand, load: 0 });
         match message {
             None => world.nodes[node].tick(&mut around, &mut out),
             Some((from, message)) => {
@@ -444,7 +455,7 @@
         self.judge(world);
     }
 
-    fn act(&self, world: &mut World, node: usize) -> Vec<Envelope<Turns>> {
+    fn act(&self, world: &mut World, node: usize) -> Vec<Envelope<Maintenance>> {
         let mut out = self.write(world, node);
         out.extend(self.react(world, node, None));
         out
@@ -472,15 +483,19 @@
         operator_wait: known_wait,
         ..Config::default()
     };
-    let mut rules = Rules { back_most: STEP, drain_most: 100 * LEASE, ..Rules::default() };
+    let mut rules = SchedulerConfig {
+        max_recovery_time: STEP,
+        max_drain_time: 100 * LEASE,
+        ..SchedulerConfig::default()
+    };
     if broken == Broken::Limits {
-        rules.limits.all = 2;
-        (rules.limits.zone, rules.limits.pod) = (2, 2);
+        rules.limits.max_total = 2;
+        (rules.limits.max_per_zone, rules.limits.max_per_pod) = (2, 2);
     }
     let me = Process { name: name(node), incarnation: 100 * world.starts + node as u64, address: at(node) };
     let time = now(world.step);
     let begun = if broken == Broken::Silence && !first { time - 3 * LEASE } else { time };
-    Machine::new(config, Turns::new(rules), voters, me, begun)
+    Machine::new(config, Maintenance::new(rules), voters, me, begun)
 }
 
 impl Model for Fleet {
--- a/maintenance/tests/wire_format.rs
+++ b/maintenance/tests/wire_format.rs
@@ -6,7 +6,10 @@
     RecoveryQuery, RecoveryReply, RecoveryState, RecoveryStatus as LeaseWord, Renewal, Roster, Version,
     Versioned, VoterRecoveryResponse, VoterSetHashes,
 };
-use flaxhead_maintenance::{Answer, Ask, Board, End, Order, Past, Refusal, Stage, Turn, Turns, Word};
+use flaxhead_maintenance::{
+    Command, CommandResponse, CompletedDrain, Drain, DrainRequest, DrainSchedule, Maintenance, Outcome,
+    Rejection, Stage, UsageReport,
+};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
@@ -47,39 +50,51 @@
     Roster { version: Version { fence: None, seq: 2 }, processes: BTreeSet::from([process()]) }
 }
 
-fn ask() -> Ask {
-    Ask {
+fn ask() -> DrainRequest {
+    DrainRequest {
         host: "h1".to_owned(),
         kind: "kernel".to_owned(),
         by: "ops".to_owned(),
-        lasts: 1_000_000,
+        duration: 1_000_000,
         not_before: 20,
         not_after: Some(30),
         already_out: true,
     }
 }
 
-fn turn(stage: Stage) -> Turn {
-    Turn { id: 3, ask: ask(), stage, since_seq: 4, age: 50, free: true, waits_for: "w".to_owned() }
+fn turn(stage: Stage) -> Drain {
+    Drain {
+        id: 3,
+        request: ask(),
+        stage,
+        stage_seq: 4,
+        stage_age: 50,
+        is_free: true,
+        waits_for: "w".to_owned(),
+    }
 }
 
-fn past(end: End) -> Past {
-    Past { id: 1, host: "h0".to_owned(), by: "ops".to_owned(), end }
+fn past(end: Outcome) -> CompletedDrain {
+    CompletedDrain { id: 1, host: "h0".to_owned(), by: "ops".to_owned(), outcome: end }
 }
 
-fn board() -> Board {
-    Board { next_id: 4, turns: vec![turn(Stage::Out)], past: VecDeque::from([past(End::Done)]) }
+fn board() -> DrainSchedule {
+    DrainSchedule {
+        last_id: 4,
+        drains: vec![turn(Stage::OutOfService)],
+        completed: VecDeque::from([past(Outcome::Completed)]),
+    }
 }
 
-fn told() -> Versioned<Board> {
+fn told() -> Versioned<DrainSchedule> {
     Versioned { version: version(), state: board() }
 }
 
-fn word() -> Word {
-    Word {
+fn word() -> UsageReport {
+    UsageReport {
         busy: BTreeMap::from([("h1".to_owned(), 2)]),
         load: 1_500,
-        lost: BTreeSet::from(["z1".to_owned()]),
+        lost_zones: BTreeSet::from(["z1".to_owned()]),
     }
 }
 
@@ -95,7 +110,7 @@
 
 #[test]
 fn every_message_keeps_its_bytes() {
-    let order = Order::Done { turn: 3, by: "ops".to_owned() };
+    let order = Command::Complete { drain: 3, by: "ops".to_owned() };
     let promise = Promise {
         ballot: ballot(),
         incarnation: 9,
@@ -111,7 +126,7 @@
         fence: Some(ballot()),
         report: word(),
     };
-    let messages: Vec<(&str, Message<Turns>)> = vec![
+    let messages: Vec<(&str, Message<Maintenance>)> = vec![
         (
             "Prepare",
             Message::Prepare { ballot: ballot(), voter_sets: VoterSetHashes { current: 1, next: 2 } },
@@ -176,12 +191,12 @@
         ),
         ("NotHolder", Message::NotLeader { leader: Some(name("n1")), fence: Some(ballot()) }),
         ("Order", Message::Command { id: 4, command: order }),
-        ("Answer", Message::CommandResponse { id: 4, result: Ok(Answer::Done) }),
+        ("Answer", Message::CommandResponse { id: 4, result: Ok(CommandResponse::Done) }),
     ];
     let encoded: Vec<Encoded> = messages.iter().map(|(name, message)| (*name, bytes(message))).collect();
     assert_encoded(&encoded, EXPECTED_MESSAGES);
     for (name, message) in &messages {
-        let decoded: Message<Turns> = postcard::from_bytes(&bytes(message)).expect("it can be decoded");
+        let decoded: Message<Maintenance> = postcard::from_bytes(&bytes(message)).expect("it can be decoded");
         assert_eq!(decoded, *message, "{name}");
     }
 }
@@ -203,25 +218,25 @@
 fn every_operator_command_and_response_keeps_its_bytes() {
     let by = || "ops".to_owned();
     let encoded: Vec<Encoded> = vec![
-        ("Ask", bytes(&Order::Ask(ask()))),
-        ("Withdraw", bytes(&Order::Withdraw { turn: 3, by: by() })),
-        ("Done", bytes(&Order::Done { turn: 3, by: by() })),
-        ("Gone", bytes(&Order::Gone { name: "n2".to_owned(), by: by() })),
-        ("Known", bytes(&Order::Known { by: by() })),
-        ("Answer::Turn", bytes(&Answer::Turn { id: 3, stage: Stage::Settled })),
-        ("Answer::Done", bytes(&Answer::Done)),
-        ("NoHolder", bytes(&Refusal::NoHolder)),
-        ("TimedOut", bytes(&Refusal::TimedOut)),
-        ("UnknownHost", bytes(&Refusal::UnknownHost("h".to_owned()))),
-        ("UnknownTurn", bytes(&Refusal::UnknownTurn(3))),
-        ("UnknownProcess", bytes(&Refusal::UnknownProcess("n".to_owned()))),
-        ("Runs", bytes(&Refusal::Runs("n".to_owned()))),
-        ("Never", bytes(&Refusal::Never("w".to_owned()))),
-        ("BadText", bytes(&Refusal::BadText("by".to_owned()))),
-        ("NotYours", bytes(&Refusal::NotYours { turn: 3, by: by() })),
-        ("WrongStage", bytes(&Refusal::WrongStage { turn: 3, stage: Stage::Draining })),
-        ("Ended", bytes(&Refusal::Ended { turn: 3, end: End::Done })),
-        ("TooMany", bytes(&Refusal::TooMany(64))),
+        ("Ask", bytes(&Command::Request(ask()))),
+        ("Withdraw", bytes(&Command::Withdraw { drain: 3, by: by() })),
+        ("Done", bytes(&Command::Complete { drain: 3, by: by() })),
+        ("Gone", bytes(&Command::RemoveProcess { name: "n2".to_owned(), by: by() })),
+        ("Known", bytes(&Command::DeclareRecovered { by: by() })),
+        ("Answer::Turn", bytes(&CommandResponse::Drain { id: 3, stage: Stage::Scheduled })),
+        ("Answer::Done", bytes(&CommandResponse::Done)),
+        ("NoHolder", bytes(&Rejection::NoLeader)),
+        ("TimedOut", bytes(&Rejection::TimedOut)),
+        ("UnknownHost", bytes(&Rejection::UnknownHost("h".to_owned()))),
+        ("UnknownTurn", bytes(&Rejection::UnknownDrain(3))),
+        ("UnknownProcess", bytes(&Rejection::UnknownProcess("n".to_owned()))),
+        ("Runs", bytes(&Rejection::ProcessRuns("n".to_owned()))),
+        ("Never", bytes(&Rejection::Impossible("w".to_owned()))),
+        ("BadText", bytes(&Rejection::InvalidText("by".to_owned()))),
+        ("NotYours", bytes(&Rejection::NotOwner { drain: 3, owner: by() })),
+        ("WrongStage", bytes(&Rejection::WrongStage { drain: 3, stage: Stage::Draining })),
+        ("Ended", bytes(&Rejection::Ended { drain: 3, outcome: Outcome::Completed })),
+        ("TooMany", bytes(&Rejection::TooMany(64))),
     ];
     assert_encoded(&encoded, EXPECTED_COMMANDS);
 }
@@ -232,11 +247,11 @@
     let texts = |values: &[serde_json::Value]| values.iter().map(ToString::to_string).collect::<Vec<_>>();
     let json = |value: &dyn erased::Json| value.json();
     let commands: Vec<serde_json::Value> = vec![
-        json(&Order::Ask(ask())),
-        json(&Order::Withdraw { turn: 3, by: by() }),
-        json(&Order::Done { turn: 3, by: by() }),
-        json(&Order::Gone { name: "n2".to_owned(), by: by() }),
-        json(&Order::Known { by: by() }),
+        json(&Command::Request(ask())),
+        json(&Command::Withdraw { drain: 3, by: by() }),
+        json(&Command::Complete { drain: 3, by: by() }),
+        json(&Command::RemoveProcess { name: "n2".to_owned(), by: by() }),
+        json(&Command::DeclareRecovered { by: by() }),
     ];
     assert_eq!(
         texts(&commands),
@@ -248,21 +263,21 @@
             r#"{"Known":{"by":"ops"}}"#,
         ]
     );
-    let results: Vec<Result<Answer, Refusal>> = vec![
-        Ok(Answer::Turn { id: 3, stage: Stage::Settled }),
-        Ok(Answer::Done),
-        Err(Refusal::NoHolder),
-        Err(Refusal::TimedOut),
-        Err(Refusal::UnknownHost("h".to_owned())),
-        Err(Refusal::UnknownTurn(3)),
-        Err(Refusal::UnknownProcess("n".to_owned())),
-        Err(Refusal::Runs("n".to_owned())),
-        Err(Refusal::Never("w".to_owned())),
-        Err(Refusal::BadText("by".to_owned())),
-        Err(Refusal::NotYours { turn: 3, by: by() }),
-        Err(Refusal::WrongStage { turn: 3, stage: Stage::Draining }),
-        Err(Refusal::Ended { turn: 3, end: End::Failed { why: "w".to_owned() } }),
-        Err(Refusal::TooMany(64)),
+    let results: Vec<Result<CommandResponse, Rejection>> = vec![
+        Ok(CommandResponse::Drain { id: 3, stage: Stage::Scheduled }),
+        Ok(CommandResponse::Done),
+        Err(Rejection::NoLeader),
+        Err(Rejection::TimedOut),
+        Err(Rejection::UnknownHost("h".to_owned())),
+        Err(Rejection::UnknownDrain(3)),
+        Err(Rejection::UnknownProcess("n".to_owned())),
+        Err(Rejection::ProcessRuns("n".to_owned())),
+        Err(Rejection::Impossible("w".to_owned())),
+        Err(Rejection::InvalidText("by".to_owned())),
+        Err(Rejection::NotOwner { drain: 3, owner: by() }),
+        Err(Rejection::WrongStage { drain: 3, stage: Stage::Draining }),
+        Err(Rejection::Ended { drain: 3, outcome: Outcome::Failed { reason: "w".to_owned() } }),
+        Err(Rejection::TooMany(64)),
     ];
     let results: Vec<serde_json::Value> = results.iter().map(|result| json(result)).collect();
     assert_eq!(
@@ -302,22 +317,22 @@
 #[test]
 fn every_stage_and_end_keeps_its_bytes() {
     let encoded: Vec<Encoded> = vec![
-        ("Asked", bytes(&turn(Stage::Asked))),
-        ("Settled", bytes(&turn(Stage::Settled))),
+        ("Asked", bytes(&turn(Stage::Requested))),
+        ("Settled", bytes(&turn(Stage::Scheduled))),
         ("Draining", bytes(&turn(Stage::Draining))),
-        ("Out", bytes(&turn(Stage::Out))),
-        ("Back", bytes(&turn(Stage::Back))),
-        ("Done", bytes(&past(End::Done))),
-        ("Withdrawn", bytes(&past(End::Withdrawn { by: "o".to_owned() }))),
-        ("Expired", bytes(&past(End::Expired { why: "e".to_owned() }))),
-        ("Failed", bytes(&past(End::Failed { why: "f".to_owned() }))),
+        ("Out", bytes(&turn(Stage::OutOfService))),
+        ("Back", bytes(&turn(Stage::Recovering))),
+        ("Done", bytes(&past(Outcome::Completed))),
+        ("Withdrawn", bytes(&past(Outcome::Withdrawn { by: "o".to_owned() }))),
+        ("Expired", bytes(&past(Outcome::Expired { reason: "e".to_owned() }))),
+        ("Failed", bytes(&past(Outcome::Failed { reason: "f".to_owned() }))),
     ];
     assert_encoded(&encoded, EXPECTED_STAGES);
 }
 
 #[test]
 fn the_record_on_disk_keeps_its_bytes() {
-    let memory: PersistentState<Turns> = PersistentState {
+    let memory: PersistentState<Maintenance> = PersistentState {
         is_recovered: true,
         voter_sets: VoterSetHashes { current: 1, next: 2 },
         promised: Some(ballot()),
--- a/proxy/src/features/status.rs
+++ b/proxy/src/features/status.rs
@@ -5,10 +5,10 @@
 use super::sections::{Problem, Section};
 use super::shares::{Shares, Shown};
 use crate::http::{Engine, Http};
-use crate::work::PATIENCE;
+use crate::maintenance_command::COMMIT_TIMEOUT;
 use flaxhead_engine::{Health, Note, Observer, View};
-use flaxhead_maintenance::Order;
-use flaxhead_maintenance_driver::Work;
+use flaxhead_maintenance::Command;
+use flaxhead_maintenance_driver::MaintenanceService;
 use flaxhead_peers::Peers;
 use flaxhead_policy::{ClassId, Outcome, ServerId};
 use html_escape::encode_safe;
@@ -156,7 +156,7 @@
     /// The membership.
     pub peers: Option<Peers>,
     /// Hosts taken out for work.
-    pub work: Option<Work>,
+    pub work: Option<MaintenanceService>,
     /// Connection capacity that tenants share.
     pub shares: Option<Shares>,
 }
@@ -267,7 +267,7 @@
 async fn accept(listener: &TcpListener, latest: &Rc<RefCell<Rendered>>, sources: &Sources) {
     let places = Arc::new(Semaphore::new(READERS));
     // An order is answered once it is on record.
-    let most = READER_TIME + sources.work.as_ref().map_or(Duration::ZERO, |_| PATIENCE);
+    let most = READER_TIME + sources.work.as_ref().map_or(Duration::ZERO, |_| COMMIT_TIMEOUT);
     while let Ok(place) = places.clone().acquire_owned().await {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
@@ -325,14 +325,14 @@
 }
 
 /// Shows the turns, or takes an order on them.
-async fn turns(request: Request<Incoming>, work: &Work) -> Response<Full<Bytes>> {
+async fn turns(request: Request<Incoming>, work: &MaintenanceService) -> Response<Full<Bytes>> {
     let body = match *request.method() {
-        Method::GET => serde_json::to_vec(&work.shown()),
+        Method::GET => serde_json::to_vec(&work.view()),
         Method::POST => {
             let whole = timeout(READER_TIME, Limited::new(request.into_body(), ORDER_MOST).collect()).await;
             let Ok(Ok(whole)) = whole else { return plain(StatusCode::PAYLOAD_TOO_LARGE) };
-            match serde_json::from_slice::<Order>(&whole.to_bytes()) {
-                Ok(order) => serde_json::to_vec(&work.order(order, PATIENCE).await),
+            match serde_json::from_slice::<Command>(&whole.to_bytes()) {
+                Ok(order) => serde_json::to_vec(&work.submit(order, COMMIT_TIMEOUT).await),
                 Err(error) => {
                     let mut answer = Response::new(Full::from(error.to_string()));
                     *answer.status_mut() = StatusCode::BAD_REQUEST;
--- a/proxy/src/features/tests.rs
+++ b/proxy/src/features/tests.rs
@@ -99,10 +99,13 @@
         ),
         (2 * second, 12 * second, 13 * second, 14 * second)
     );
-    assert_eq!((work.rules.drain_most, work.rules.back_most), (11 * second, 15 * second));
-    let limits = &work.rules.limits;
-    assert_eq!((limits.longest, limits.all, limits.zone, limits.pod), (16 * second, 3, 4, 5));
-    assert_eq!((limits.host_calls, limits.margin), (6_000, 700));
+    assert_eq!((work.scheduler.max_drain_time, work.scheduler.max_recovery_time), (11 * second, 15 * second));
+    let limits = &work.scheduler.limits;
+    assert_eq!(
+        (limits.max_duration, limits.max_total, limits.max_per_zone, limits.max_per_pod),
+        (16 * second, 3, 4, 5)
+    );
+    assert_eq!((limits.calls_per_host, limits.load_margin), (6_000, 700));
     let shares = features.shares.as_ref().expect("on");
     assert_eq!((shares.lease, shares.alone), (3 * second, 21 * second));
     let terms = &shares.terms;
--- a/proxy/src/features/work.rs
+++ b/proxy/src/features/work.rs
@@ -8,8 +8,8 @@
 use crate::http::Engine;
 use flaxhead_engine::{Health, List, News, Source, Watching};
 use flaxhead_lease::{Config, Micros};
-use flaxhead_maintenance::{HostFact, HostFacts, Limits, Rules, Step, Usage};
-use flaxhead_maintenance_driver::{Hosts, Settings};
+use flaxhead_maintenance::{DrainEvent, HostFact, HostFacts, HostUsage, Limits, SchedulerConfig};
+use flaxhead_maintenance_driver::{ExcludedUntilNotice, Hosts, Settings};
 use std::cell::Cell;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::rc::Rc;
@@ -25,7 +25,7 @@
 /// What `[work]` says; the longest request comes from the configuration.
 pub fn read(section: &mut Section) -> Result<Settings, Problem> {
     let voters = voters(section)?;
-    let (mut config, mut rules) = (Config::default(), Rules::default());
+    let (mut config, mut rules) = (Config::default(), SchedulerConfig::default());
     let mut span = |key: &str, (least, most): (u64, u64), unit: Micros, to: &mut Micros| {
         let good = |value: &u64| match (least..=most).contains(value) {
             true => Ok(()),
@@ -37,13 +37,20 @@
     };
     let second = 1_000_000;
     span("lease_ms", (500, 60_000), 1_000, &mut config.lease)?;
-    span("drain_s", (1, 86_400), second, &mut rules.drain_most)?;
+    span("drain_s", (1, 86_400), second, &mut rules.max_drain_time)?;
     span("forgotten_s", (1, 86_400), second, &mut config.state_loss_timeout)?;
     span("alone_s", (1, 3_600), second, &mut config.autonomy_timeout)?;
     span("known_s", (0, 3_600), second, &mut config.operator_wait)?;
-    span("back_s", (1, 3_600), second, &mut rules.back_most)?;
-    let Limits { mut all, mut zone, mut pod, mut host_calls, mut margin, mut longest } = rules.limits;
-    span("longest_s", (1, 7 * 86_400), second, &mut longest)?;
+    span("back_s", (1, 3_600), second, &mut rules.max_recovery_time)?;
+    let Limits {
+        mut max_total,
+        mut max_per_zone,
+        mut max_per_pod,
+        mut calls_per_host,
+        mut load_margin,
+        mut max_duration,
+    } = rules.limits;
+    span("longest_s", (1, 7 * 86_400), second, &mut max_duration)?;
     let mut count = |key: &str, (least, most): (u32, u32), to: &mut u32| {
         let good = |value: &u32| match (least..=most).contains(value) {
             true => Ok(()),
@@ -53,17 +60,24 @@
         Ok::<_, Problem>(())
     };
     // None at all would forbid every turn: whoever wants that leaves the section out.
-    count("hosts", (1, 1_000), &mut all)?;
-    count("hosts_zone", (1, 1_000), &mut zone)?;
-    count("hosts_pod", (1, 1_000), &mut pod)?;
-    count("host_calls", (0, 100_000), &mut host_calls)?;
-    count("margin_percent", (0, 1_000), &mut margin)?;
-    host_calls *= 1_000;
-    if margin != rules.limits.margin {
-        margin *= 10;
+    count("hosts", (1, 1_000), &mut max_total)?;
+    count("hosts_zone", (1, 1_000), &mut max_per_zone)?;
+    count("hosts_pod", (1, 1_000), &mut max_per_pod)?;
+    count("host_calls", (0, 100_000), &mut calls_per_host)?;
+    count("margin_percent", (0, 1_000), &mut load_margin)?;
+    calls_per_host *= 1_000;
+    if load_margin != rules.limits.load_margin {
+        load_margin *= 10;
     }
-    rules.limits = Limits { all, zone, pod, host_calls, margin, longest };
-    Ok(Settings { voters, config, rules })
+    rules.limits = Limits {
+        max_total: max_total,
+        max_per_zone: max_per_zone,
+        max_per_pod: max_per_pod,
+        calls_per_host: calls_per_host,
+        load_margin: load_margin,
+        max_duration: max_duration,
+    };
+    Ok(Settings { voters, config, scheduler: rules })
 }
 
 /// The hosts, as the turns go by them.
@@ -90,7 +104,7 @@
         HostFacts { hosts: self.known.facts(&self.engine, fact).collect(), lost_zones: self.known.lost() }
     }
 
-    fn usage(&self) -> Usage {
+    fn usage(&self) -> HostUsage {
         let (in_hand, open) = self.engine.view(|view| {
             let out = view.out_at();
             let open: u32 = out.values().sum();
@@ -100,17 +114,17 @@
         let kept = (-at.elapsed().as_secs_f64() / LOAD_MEMORY).exp();
         let mean = mean * kept + f64::from(open) * (1.0 - kept);
         self.load.set((mean, Instant::now()));
-        Usage { in_hand, load: (mean * 1_000.0) as u32 }
+        HostUsage { in_flight: in_hand, load: (mean * 1_000.0) as u32 }
     }
 
-    fn spare(&self, hosts: Vec<(String, Instant)>) {
-        self.engine.spare(hosts);
+    fn exclude(&self, hosts: Vec<ExcludedUntilNotice>) {
+        self.engine.spare(hosts.into_iter().map(|excluded| (excluded.host, excluded.from)));
     }
 
-    fn noted(&self, step: &Step) {
+    fn event(&self, step: &DrainEvent) {
         if let Some(trail) = &self.trail {
-            let Step { turn, host, what, why } = step;
-            trail.note("work", Actor::Operator, &format!("turn {turn} {host} {what}: {why}"));
+            let DrainEvent { drain, host, change, reason } = step;
+            trail.note("work", Actor::Operator, &format!("turn {drain} {host} {change}: {reason}"));
         }
     }
 }
--- a/proxy/src/features/work/tests.rs
+++ b/proxy/src/features/work/tests.rs
@@ -8,7 +8,10 @@
     let peers = "[peers]\nlisten = 10.0.0.4:7946\ncluster = a\nnetworks = 10.0.0.0/8\n";
     let good = format!("{peers}[work]\nvoters = a, b, c\nhosts = 2\nlease_ms = 2000\nmargin_percent = 50\n");
     let work = Features::parse(&good).expect("good").work.expect("on");
-    assert_eq!((work.rules.limits.all, work.rules.limits.margin, work.config.lease), (2, 500, 2_000_000));
+    assert_eq!(
+        (work.scheduler.limits.max_total, work.scheduler.limits.load_margin, work.config.lease),
+        (2, 500, 2_000_000)
+    );
     let cases = [
         (good.replace("a, b, c", "a, b"), 5, "an odd number"),
         (good.replace("a, b, c", "a, b, a"), 5, "twice"),
--- a/proxy/src/lib.rs
+++ b/proxy/src/lib.rs
@@ -7,18 +7,18 @@
 pub mod config;
 pub mod features;
 pub mod http;
+pub mod maintenance_command;
 pub mod members;
 pub mod output;
 pub mod program;
 pub mod side;
-pub mod work;
 
 use config::Config;
 use features::status::Sources;
 use features::work::{Fleet, Gated};
 use flaxhead_discovery::Discovery;
 use flaxhead_engine::{spawn, Engine, Setup, Source};
-use flaxhead_maintenance_driver::Work;
+use flaxhead_maintenance_driver::MaintenanceService;
 use http::front::{self, Driver};
 use http::Http;
 use side::Side;
@@ -46,7 +46,7 @@
     let mut known = config.known.clone();
     let transport = Http::new(config.connections_each_way(), connect_timeout, conn_idle);
     // Where hosts are taken out for work, a proxy sends to none before it knows which are to be left alone.
-    let open = side.work.as_ref().map(Work::open);
+    let open = side.work.as_ref().map(MaintenanceService::may_serve);
     // Of the seed, and not the module's: when a silent watch is opened again must not shift its draws.
     let (ask, watch_seed) = (config.settings.ask, seed.rotate_left(16));
     let watched = move |address| match ask {
--- a/proxy/src/program.rs
+++ b/proxy/src/program.rs
@@ -6,10 +6,10 @@
 use crate::features::capture::replay::{self, Line, Report};
 use crate::features::{self, Features};
 use crate::http::front;
+use crate::maintenance_command;
 use crate::members;
 use crate::output;
 use crate::side::Side;
-use crate::work;
 use clap::{Args, Parser, Subcommand};
 use std::ffi::OsString;
 use std::fmt::Display;
@@ -53,7 +53,7 @@
         /// The side port of any one proxy, as [status] has it.
         address: SocketAddr,
         #[command(subcommand)]
-        what: work::Command,
+        what: maintenance_command::Subcommand,
     },
     /// Checks an operators' file, and the configuration where ROUTER_CONFIG is set, without starting.
     Check {
--- a/proxy/src/side.rs
+++ b/proxy/src/side.rs
@@ -11,7 +11,7 @@
 use crate::http::{front, Http};
 use crate::output;
 use flaxhead_engine::Observer;
-use flaxhead_maintenance_driver::Work;
+use flaxhead_maintenance_driver::MaintenanceService;
 use flaxhead_membership::Name;
 use flaxhead_peers::Peers;
 use flaxhead_policy::Access;
@@ -37,7 +37,7 @@
     /// The membership among client proxies.
     pub peers: Option<Peers>,
     /// Hosts taken out for work.
-    pub work: Option<Work>,
+    pub work: Option<MaintenanceService>,
     /// What is known of the hosts, where something is settled by it.
     pub hosts: Option<Known>,
     /// Connection capacity that tenants share.
@@ -93,7 +93,7 @@
             let longest = config.settings.classes.iter().map(|class| class.deadline).max();
             settings.config.max_call_duration = longest.unwrap_or(settings.config.max_call_duration);
             let disk = memory.as_ref().map(|memory| memory.application("turns", recollection.as_mut()));
-            Work::start(settings, peers, config.seed.rotate_left(32), disk)
+            MaintenanceService::start(settings, peers, config.seed.rotate_left(32), disk)
         });
         let (access, dumps, board) = (features.access, dumps.transpose()?, Shared::default());
         let hosts = (work.is_some() || features.shares.is_some()).then(Known::default);
