--- a/lab/tests/returns_shares.rs
+++ b/lab/tests/returns_shares.rs
@@ -9,7 +9,7 @@
 use flaxhead_lab::peers::rig::Rig;
 use flaxhead_lab::proxy::Program;
 use flaxhead_lease::PersistentState;
-use flaxhead_quota::Shares;
+use flaxhead_quota::QuotaApplication;
 use flaxhead_snapshot::{disk, format, Snapshot};
 use serde_json::Value;
 use std::io::{Read, Write};
@@ -92,7 +92,8 @@
     let parts = format::decode(&std::fs::read(file).unwrap_or_default()).map(|snapshot| snapshot.parts);
     let parts = parts.unwrap_or_default();
     let shares = parts.iter().find(|part| part.name == "shares");
-    let memory = shares.and_then(|part| postcard::from_bytes::<PersistentState<Shares>>(&part.bytes).ok());
+    let memory =
+        shares.and_then(|part| postcard::from_bytes::<PersistentState<QuotaApplication>>(&part.bytes).ok());
     memory.is_some_and(|memory| memory.is_recovered && memory.roster.processes.len() >= ALL)
 }
 
--- a/proxy/src/features/mod.rs
+++ b/proxy/src/features/mod.rs
@@ -7,8 +7,8 @@
 pub mod capture;
 pub mod hosts;
 mod peers;
+pub mod quota;
 mod sections;
-pub mod shares;
 pub mod state;
 pub mod status;
 pub mod work;
@@ -58,7 +58,7 @@
     /// Hosts taken out for work.
     pub work: Option<flaxhead_maintenance_driver::Settings>,
     /// Connection capacity that tenants share.
-    pub shares: Option<shares::Settings>,
+    pub shares: Option<quota::Settings>,
     /// What is remembered on disk.
     pub state: Option<state::Settings>,
     /// The log's form.
@@ -112,7 +112,7 @@
                 }
                 "shares" => {
                     shares_at = section.line;
-                    features.shares = Some(shares::Settings::read(&mut section)?);
+                    features.shares = Some(quota::Settings::read(&mut section)?);
                 }
                 "state" => features.state = Some(state::Settings::read(&mut section)?),
                 "log" => features.log = Some(section.take("format")?.unwrap_or_default()),
--- a/proxy/src/features/shares/settings/tests.rs
+++ b/proxy/src/features/quota/settings/tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `settings`.
+//! Unit tests of the settings.
 
 use crate::config::Config;
 use crate::features::Features;
@@ -10,7 +10,7 @@
 #[test]
 fn what_would_never_work_ends_the_start_with_its_line() {
     let shares = Features::parse(GOOD).expect("good").shares.expect("on");
-    assert_eq!((shares.terms.caps.len(), shares.lease, shares.alone), (2, 6_000_000, 15_000_000));
+    assert_eq!((shares.quota.caps.len(), shares.lease, shares.autonomy_timeout), (2, 6_000_000, 15_000_000));
     let cases = [
         (GOOD.replace("a, b, c", "a, b"), 5, "an odd number"),
         (GOOD.replace("= 50", "= 0"), 7, "1 to 100"),
@@ -40,11 +40,11 @@
         Config::parse(&text.replace("TENANTS", tenants)).expect("a configuration")
     };
     let with = config(r#"[{"name": "alfa", "portion": 0.5}, {"name": "beta", "portion": 0.2}]"#);
-    let book = shares.book(&with).expect("fits");
+    let registry = shares.registry(&with).expect("fits");
     assert_eq!(
-        book.tenants.iter().map(|t| (t.cap, t.own)).collect::<Vec<_>>(),
+        registry.tenants.iter().map(|t| (t.cap, t.guaranteed)).collect::<Vec<_>>(),
         [(Some(40), 5), (None, 0), (Some(4), 1)]
     );
-    let reason = shares.book(&config("[]")).expect_err("no alfa").to_string();
+    let reason = shares.registry(&config("[]")).expect_err("no alfa").to_string();
     assert!(reason.starts_with("ops.ini:9: [shares] caps names \"alfa\""), "{reason}");
 }
--- a/proxy/src/features/status.rs
+++ b/proxy/src/features/status.rs
@@ -2,8 +2,8 @@
 //! then, off the request path, and served from a side port as it was last made.
 
 use super::bounds::{port, within};
+use super::quota::{Quota, QuotaStatus};
 use super::sections::{Problem, Section};
-use super::shares::{Shares, Shown};
 use crate::http::{Engine, Http};
 use crate::maintenance_command::COMMIT_TIMEOUT;
 use flaxhead_engine::{Health, Note, Observer, View};
@@ -147,7 +147,7 @@
     pub load: Vec<LoadRow>,
     /// The tenants, where they share.
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub shares: Option<Shown>,
+    pub shares: Option<QuotaStatus>,
 }
 
 /// What the page shows beside the engine, where it is on.
@@ -158,7 +158,7 @@
     /// Hosts taken out for work.
     pub work: Option<MaintenanceService>,
     /// Connection capacity that tenants share.
-    pub shares: Option<Shares>,
+    pub shares: Option<Quota>,
 }
 
 impl Snapshot {
@@ -208,7 +208,7 @@
             );
         }
         page += "</table>\n";
-        page += &self.shares.as_ref().map_or_else(String::new, Shown::html);
+        page += &self.shares.as_ref().map_or_else(String::new, QuotaStatus::html);
         page + "</body></html>\n"
     }
 }
@@ -255,7 +255,7 @@
                     row.per_second = new as f64 / self.refresh.as_secs_f64();
                 }
                 before = snapshot.load.iter().map(|row| row.requests).collect();
-                snapshot.shares = sources.shares.as_ref().map(Shares::shown);
+                snapshot.shares = sources.shares.as_ref().map(Quota::status);
                 latest.replace(Rendered::new(&snapshot));
                 sleep(self.refresh).await;
             }
@@ -311,7 +311,7 @@
             (shown.into(), "application/json")
         }
         ("/shares.json", _, Some(shares)) => {
-            let shown = serde_json::to_vec(&shares.shown()).unwrap_or_default();
+            let shown = serde_json::to_vec(&shares.status()).unwrap_or_default();
             (shown.into(), "application/json")
         }
         _ => return plain(StatusCode::NOT_FOUND),
--- a/proxy/src/features/tests.rs
+++ b/proxy/src/features/tests.rs
@@ -107,10 +107,10 @@
     );
     assert_eq!((limits.calls_per_host, limits.load_margin), (6_000, 700));
     let shares = features.shares.as_ref().expect("on");
-    assert_eq!((shares.lease, shares.alone), (3 * second, 21 * second));
-    let terms = &shares.terms;
-    assert_eq!((terms.proxies_most, terms.own_percent), (4, 30));
-    assert_eq!((terms.host_calls, terms.margin_percent, terms.caps.len()), (7, 20, 2));
+    assert_eq!((shares.lease, shares.autonomy_timeout), (3 * second, 21 * second));
+    let quota = &shares.quota;
+    assert_eq!((quota.max_proxies, quota.guaranteed_percent), (4, 30));
+    assert_eq!((quota.calls_per_host, quota.margin_percent, quota.caps.len()), (7, 20, 2));
     let state = features.state.as_ref().expect("on");
     assert_eq!((state.dir.to_str(), state.old.as_secs()), (Some("/s"), 90));
     let peers = features.peers.as_ref().expect("on");
--- a/proxy/src/http/front/conversation.rs
+++ b/proxy/src/http/front/conversation.rs
@@ -157,10 +157,10 @@
         if *self.stage.borrow() == Stage::Answered {
             return refused(StatusCode::SERVICE_UNAVAILABLE, Duration::ZERO);
         }
-        // A client that goes meanwhile leaves its line.
-        let ticket = match &self.driver.lines {
+        // A client that goes meanwhile leaves its queue.
+        let ticket = match &self.driver.queues {
             None => None,
-            Some(lines) => match lines.enter(&ask).await {
+            Some(queues) => match queues.admit(&ask).await {
                 Ok(ticket) => Some(ticket),
                 Err(after) => return refused(StatusCode::SERVICE_UNAVAILABLE, after),
             },
--- a/proxy/src/http/front/mod.rs
+++ b/proxy/src/http/front/mod.rs
@@ -9,7 +9,7 @@
 
 use super::Engine;
 use crate::config::Config;
-use crate::features::shares::Lines;
+use crate::features::quota::AdmissionQueues;
 use clients::{Clients, ACCEPT_PAUSE};
 use conversation::Stage;
 use flaxhead_policy::Access;
@@ -45,7 +45,7 @@
     /// Names of classes and tenants, and the limits.
     pub config: Rc<Config>,
     /// Where calls wait for their tenant's units, if tenants share any.
-    pub lines: Option<Lines>,
+    pub queues: Option<AdmissionQueues>,
 }
 
 /// Listens at an address. A proxy that was killed leaves connections behind there, which must not keep the
--- a/proxy/src/lib.rs
+++ b/proxy/src/lib.rs
@@ -67,7 +67,7 @@
         let fleet = Rc::new(Fleet::new(engine.clone(), known, trail.clone()));
         spawn(async move { work.serve(fleet).await })
     });
-    let lines = side.shares.as_ref().map(|shares| shares.lines.clone());
+    let queues = side.shares.as_ref().map(|shares| shares.queues.clone());
     let _shares = side.shares.clone().zip(side.hosts).map(|(shares, known)| {
         let engine = engine.clone();
         spawn(async move { shares.serve(engine, known).await })
@@ -87,7 +87,7 @@
             });
         }
     });
-    let driver = Driver { engine: engine.clone(), config: Rc::new(config), lines };
+    let driver = Driver { engine: engine.clone(), config: Rc::new(config), queues };
     // Peers hear of the stop while what was taken is answered.
     let (told, stopping) = oneshot::channel::<()>();
     let leaving = side.peers.map(|peers| {
--- a/proxy/src/program.rs
+++ b/proxy/src/program.rs
@@ -124,7 +124,7 @@
         let config =
             std::env::var_os("ROUTER_CONFIG").map(|path| Config::load(Path::new(&path))).transpose()?;
         if let Some((shares, config)) = features.shares.zip(config) {
-            shares.book(&config)?;
+            shares.registry(&config)?;
         }
         Ok::<_, Error>(())
     };
@@ -204,7 +204,7 @@
     #[error(transparent)]
     Features(#[from] features::Error),
     #[error(transparent)]
-    Shares(#[from] features::shares::Misfit),
+    Shares(#[from] features::quota::SettingsError),
     /// The system gives no event queue or no signals.
     #[error("{0}")]
     System(#[from] io::Error),
--- a/proxy/src/side.rs
+++ b/proxy/src/side.rs
@@ -4,7 +4,7 @@
 use crate::features::audit::Trail;
 use crate::features::capture::{Dumps, Recorder, Watch};
 use crate::features::hosts::Known;
-use crate::features::shares::Shares;
+use crate::features::quota::Quota;
 use crate::features::state::Memory;
 use crate::features::status::{Page, Shared};
 use crate::features::Features;
@@ -41,7 +41,7 @@
     /// What is known of the hosts, where something is settled by it.
     pub hosts: Option<Known>,
     /// Connection capacity that tenants share.
-    pub shares: Option<Shares>,
+    pub shares: Option<Quota>,
     /// What is remembered on disk.
     pub memory: Option<Memory>,
     /// Address lists.
@@ -103,9 +103,9 @@
         config.side_descriptors = side.descriptors();
         let shares = features.shares.map(|settings| {
             let disk = side.memory.as_ref().map(|memory| memory.application("shares", recollection.as_mut()));
-            Shares::open(settings, config, side.peers.clone(), disk)
+            Quota::open(settings, config, side.peers.clone(), disk)
         });
-        side.shares = shares.transpose().map_err(|misfit| misfit.to_string())?;
+        side.shares = shares.transpose().map_err(|error| error.to_string())?;
         Ok(side)
     }
 
--- a/proxy/tests/shares.rs
+++ b/proxy/tests/shares.rs
@@ -5,7 +5,7 @@
 use common::*;
 use flaxhead_proxy::config::Config;
 use flaxhead_proxy::features::hosts::Known;
-use flaxhead_proxy::features::shares::Shares;
+use flaxhead_proxy::features::quota::Quota;
 use flaxhead_proxy::features::Features;
 use flaxhead_proxy::side::Side;
 use serde_json::{json, Value};
@@ -42,13 +42,13 @@
 }
 
 /// A proxy that has all of its caps without anybody.
-async fn capped(host: &Host, caps: &str, change: fn(&mut Value)) -> (Proxy, Shares) {
+async fn capped(host: &Host, caps: &str, change: fn(&mut Value)) -> (Proxy, Quota) {
     let section =
         format!("{PEERS}[shares]\nvoters = n0\nproxies_most = 1\nown_percent = 100\ncaps = {caps}\n");
     let settings = Features::parse(&section).expect("good").shares.expect("on");
     let mut opened = None;
     let side = |config: &mut Config| {
-        let shares = Shares::open(settings, config, None, None).expect("it fits");
+        let shares = Quota::open(settings, config, None, None).expect("it fits");
         opened = Some(shares.clone());
         Side { shares: Some(shares), hosts: Some(Known::default()), ..Side::default() }
     };
@@ -57,9 +57,9 @@
 }
 
 /// Of a tenant: in hand, waiting.
-fn of(shares: &Shares, place: usize) -> (u32, u32) {
-    let row = &shares.shown().tenants[place];
-    (row.in_hand, row.waiting)
+fn of(quota: &Quota, place: usize) -> (u32, u32) {
+    let row = &quota.status().tenants[place];
+    (row.in_flight, row.queued)
 }
 
 #[test]
@@ -113,11 +113,11 @@
         eventually("one is out", || host.count() == 1).await;
         // It could wait for 200 ms; then no answer within its class's aim is left to hope for.
         let answer = waits.ask(&from("alfa", 2_200)).await;
-        assert_eq!((answer.status(), shares.shown().tenants[0].refused), (503, 1));
+        assert_eq!((answer.status(), shares.status().tenants[0].rejected), (503, 1));
         let after: f64 = answer.header("retry-after").and_then(|after| after.parse().ok()).expect("advice");
         assert!((0.0..=0.75).contains(&after), "{after}");
         let answer = late.ask(&from("alfa", 1_900)).await;
-        assert_eq!((answer.status(), shares.shown().tenants[0].refused), (503, 2));
+        assert_eq!((answer.status(), shares.status().tenants[0].rejected), (503, 2));
         // Calls of no tenant and of an unknown one are one group.
         let (mut nobody, mut unknown) = (proxy.client().await, proxy.client().await);
         nobody.send(&request("unsafe", "", "")).await;
@@ -136,7 +136,7 @@
         runs.send(&from("alfa", 2_500)).await;
         eventually("one is out", || host.count() == 1).await;
         waits.send(&from("alfa", 2_500)).await;
-        eventually("it has come", || of(&shares, 0) == (1, 1) || shares.shown().tenants[0].refused == 1)
+        eventually("it has come", || of(&shares, 0) == (1, 1) || shares.status().tenants[0].rejected == 1)
             .await;
         proxy.stop.take().map(|stop| stop.send(()));
         assert_eq!(waits.message().await.expect("an answer").status(), 503);
--- a/quota/benches/gate.rs
+++ b/quota/benches/admission.rs
@@ -4,13 +4,16 @@
 //! `cargo bench -p flaxhead-quota`
 
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
-use flaxhead_quota::gate::{Answer, Asked, Class, Gate, Rules, Verdict, Verdicts};
-use flaxhead_quota::{Allowance, Units};
+use flaxhead_quota::admission::{
+    AdmissionConfig, AdmissionController, AdmissionDecision, AdmissionRequest, Class, QueuedVerdict, Verdict,
+    Verdicts,
+};
+use flaxhead_quota::{Allowance, TenantAllowance};
 use std::hint::black_box;
 
 /// A gate of so many tenants, with the moment that it is at and whose unit comes back next.
 struct Bench {
-    gate: Gate,
+    gate: AdmissionController,
     now: u64,
     out: std::collections::VecDeque<usize>,
     tenants: usize,
@@ -19,11 +22,13 @@
 
 impl Bench {
     fn new(tenants: usize, all: Option<u32>, waiting: usize) -> Bench {
-        let classes = vec![Class { aim: 100_000, deadline: 1 << 40 }];
-        let rules = Rules { classes, tenants, line_most: 1_024, max_retry_after: 1_000_000 };
-        let units = |n: usize| Units { cap: Some(1_000), own: Some(1), share: 4 + n as u32 };
-        let allowance = Allowance { tenants: (0..tenants).map(units).collect(), all, until: Some(1 << 50) };
-        let gate = Gate::new(0, rules, allowance, false);
+        let classes = vec![Class { latency_objective: 100_000, deadline: 1 << 40 }];
+        let rules = AdmissionConfig { classes, tenants, max_queue: 1_024, max_retry_after: 1_000_000 };
+        let units =
+            |n: usize| TenantAllowance { cap: Some(1_000), guaranteed: Some(1), fair_share: 4 + n as u32 };
+        let allowance =
+            Allowance { tenants: (0..tenants).map(units).collect(), total: all, expires_at: Some(1 << 50) };
+        let gate = AdmissionController::new(0, rules, allowance, false);
         let mut bench = Bench { gate, now: 1, out: Default::default(), tenants, verdicts: Vec::new() };
         (0..64 + waiting).for_each(|n| bench.ask(n));
         bench
@@ -31,8 +36,8 @@
 
     fn ask(&mut self, n: usize) {
         let tenant = n % self.tenants;
-        let asked = Asked { tenant: Some(tenant), class: 0, deadline: self.now + (1 << 40) };
-        if self.gate.ask(self.now, asked) == Answer::Now(Verdict::Enters) {
+        let asked = AdmissionRequest { tenant: Some(tenant), class: 0, deadline: self.now + (1 << 40) };
+        if self.gate.request(self.now, asked) == AdmissionDecision::Decided(Verdict::Admitted) {
             self.out.push_back(tenant);
         }
     }
@@ -42,11 +47,11 @@
         self.now += 50;
         self.ask(n);
         if let Some(tenant) = self.out.pop_front() {
-            self.gate.end(self.now, Some(tenant), &mut self.verdicts);
+            self.gate.release(self.now, Some(tenant), &mut self.verdicts);
         }
-        while let Some((key, verdict)) = self.verdicts.pop() {
-            if verdict == Verdict::Enters {
-                self.out.push_back(key.tenant());
+        while let Some(QueuedVerdict { call, verdict }) = self.verdicts.pop() {
+            if verdict == Verdict::Admitted {
+                self.out.push_back(call.tenant());
             }
         }
     }
--- a/quota/benches/shares.rs
+++ b/quota/benches/shares.rs
@@ -5,8 +5,8 @@
 #[path = "../tests/fleet/mod.rs"]
 mod fleet;
 
-use flaxhead_quota::divide::{fill, Want};
-use flaxhead_quota::{Micros, Pace};
+use flaxhead_quota::max_min::{fill, Demand};
+use flaxhead_quota::{Micros, QuotaTiming};
 use fleet::{site, Fleet, Mode, Plan, SECOND};
 use std::time::Instant;
 
@@ -20,7 +20,11 @@
         site: site("banks", 4 * processes as u32),
         hosts: 2 * processes,
         host_calls: 8,
-        pace: Pace { lease: 6 * SECOND, longest_call: 10 * SECOND, alone_after: 15 * SECOND },
+        pace: QuotaTiming {
+            lease: 6 * SECOND,
+            max_call_duration: 10 * SECOND,
+            autonomy_timeout: 15 * SECOND,
+        },
         call: SECOND / 10,
         long_calls: false,
         tick: if processes > 50 { SECOND / 50 } else { SECOND / 200 },
@@ -37,7 +41,7 @@
     let tenants = fleet.book().tenants.iter().enumerate();
     let wants = tenants.map(|(at, tenant)| {
         let demand = fleet.wanted(at).min(tenant.cap.unwrap_or(u32::MAX));
-        Want { weight: tenant.weight, least: demand.min(1), demand }
+        Demand { weight: tenant.weight, minimum: demand.min(1), wanted: demand }
     });
     fill(carried, &wants.collect::<Vec<_>>())
 }
@@ -193,7 +197,7 @@
         let usable = capped.iter().map(|(tenant, _)| fleet.allowed(*tenant)).sum::<u32>();
         let took = (fleet.now - since) as f64 / 1e6;
         let parts =
-            capped.iter().map(|(at, _)| fleet.book().tenants[*at].own).sum::<u32>() * processes as u32;
+            capped.iter().map(|(at, _)| fleet.book().tenants[*at].guaranteed).sum::<u32>() * processes as u32;
         own = own.or((usable >= parts).then_some(took));
         half = half.or((usable * 2 >= all).then_some(took));
         whole = whole.or((usable == all).then_some(took));
@@ -208,7 +212,8 @@
 
 fn through_faults(processes: usize, lasts: Micros) {
     let start = Instant::now();
-    let pace = Pace { lease: 6 * SECOND, longest_call: 10 * SECOND, alone_after: 15 * SECOND };
+    let pace =
+        QuotaTiming { lease: 6 * SECOND, max_call_duration: 10 * SECOND, autonomy_timeout: 15 * SECOND };
     let mut fleet = Fleet::new(Plan {
         fault_every: SECOND / 3,
         shift_every: SECOND / 10,
--- a/quota/src/application.rs
+++ b/quota/src/application.rs
@@ -1,183 +1,193 @@
-//! The shares, as something that the proxies settle in common.
+//! The quotas, as something that the proxies agree upon.
 
 use crate::allowance::Allowance;
-use crate::book::Book;
-use crate::capacity::Host;
-use crate::held::Held;
-use crate::ledger::Ledger;
-use crate::pace::Pace;
-use crate::word::{Leave, Seat, Stamp, Usage, Word};
+use crate::capacity::HostCapacity;
+use crate::ledger::QuotaLedger;
+use crate::local_quota::LocalQuota;
+use crate::registry::TenantRegistry;
+use crate::report::{GrantVersion, QuotaGrant, QuotaReport, Slot, Usage};
+use crate::timing::QuotaTiming;
 use flaxhead_lease::{
     Application, ApplicationTypes, Ballot, CommandError, Config, LeaderContext, Member, MemberStatus, Micros,
     Name, NoCommand, Presence, Process, ReceivedGrant, ReceivedReport,
 };
 
-/// One process's part.
-pub type Machine = flaxhead_lease::Machine<Shares>;
-/// What one process says to another.
-pub type Message = flaxhead_lease::Message<Shares>;
-/// What is to be done.
-pub type Effect = flaxhead_lease::Effect<Shares>;
+/// One process's part in the quotas.
+pub type Machine = flaxhead_lease::Machine<QuotaApplication>;
+/// A message between two processes.
+pub type Message = flaxhead_lease::Message<QuotaApplication>;
+/// What the driver is to do.
+pub type Effect = flaxhead_lease::Effect<QuotaApplication>;
 /// What a process is given with everything that happens.
-pub type Around<'a> = flaxhead_lease::Context<'a, Vec<Host>>;
-/// What a process knows from elsewhere.
-pub type Facts = flaxhead_lease::Facts<Vec<Host>>;
+pub type Context<'a> = flaxhead_lease::Context<'a, Vec<HostCapacity>>;
+/// What a process knows from outside the protocol.
+pub type Facts = flaxhead_lease::Facts<Vec<HostCapacity>>;
 
-/// The shares, as one process takes part in them.
+/// The quotas, as one process takes part in them.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Shares {
-    held: Held,
-    pace: Pace,
+pub struct QuotaApplication {
+    local: LocalQuota,
+    timing: QuotaTiming,
     usage: Usage,
-    hurries: bool,
+    wants_early_renewal: bool,
 }
 
-impl Shares {
+impl QuotaApplication {
     /// A process that starts at `now` and remembers nothing.
-    pub fn new(now: Micros, book: Book, pace: Pace) -> Shares {
-        let held = Held::new(now, book, pace.clone());
-        Shares { held, pace, usage: Usage::default(), hurries: false }
+    pub fn new(now: Micros, registry: TenantRegistry, timing: QuotaTiming) -> QuotaApplication {
+        let local = LocalQuota::new(now, registry, timing.clone());
+        QuotaApplication { local, timing, usage: Usage::default(), wants_early_renewal: false }
     }
 
-    /// How the machine is to be paced. A holder that remembers nothing needs to wait for nobody's word: its ledger learns
-    /// for so long.
-    pub fn config(pace: &Pace) -> Config {
+    /// The time spans of the lease. A leader that remembers nothing needs to wait for no process: its ledger learns for as
+    /// long as grants may be valid.
+    pub fn config(timing: &QuotaTiming) -> Config {
         Config {
-            lease: pace.lease,
-            max_call_duration: pace.longest_call,
-            state_loss_timeout: pace.all_over(),
-            autonomy_timeout: pace.alone_after,
+            lease: timing.lease,
+            max_call_duration: timing.max_call_duration,
+            state_loss_timeout: timing.max_grant_lifetime(),
+            autonomy_timeout: timing.autonomy_timeout,
             operator_wait: 0,
         }
     }
 
-    /// What the process has now, what it had at the most since this was last said, and what was refused or ended since.
-    pub fn use_now(&mut self, now: Micros, usage: Usage) {
+    /// Sets what the process has in flight now. Peaks and counts are since this was last called, and are added up until the
+    /// next report.
+    pub fn set_usage(&mut self, now: Micros, usage: Usage) {
         let before = std::mem::replace(&mut self.usage, usage);
         for (tenant, before) in self.usage.tenants.iter_mut().zip(&before.tenants) {
-            tenant.most = tenant.most.max(before.most);
-            tenant.refused = tenant.refused.saturating_add(before.refused);
+            tenant.peak = tenant.peak.max(before.peak);
+            tenant.rejected = tenant.rejected.saturating_add(before.rejected);
         }
         self.usage.attempts = self.usage.attempts.saturating_add(before.attempts);
-        self.usage.turned_away = self.usage.turned_away.saturating_add(before.turned_away);
-        self.hurries = now >= self.word_wanted();
+        self.usage.rejected_by_hosts = self.usage.rejected_by_hosts.saturating_add(before.rejected_by_hosts);
+        self.wants_early_renewal = now >= self.next_report_at();
     }
 
-    /// When the next word is wanted: [`Shares::use_now`] is to be called then, and when something begins to wait.
-    pub fn word_wanted(&self) -> Micros {
-        self.held.word_wanted(&self.usage)
+    /// When the next report is wanted: [`QuotaApplication::set_usage`] is to be called then, and when calls begin to wait.
+    pub fn next_report_at(&self) -> Micros {
+        self.local.next_report_at(&self.usage)
     }
 
-    /// What may be in hand from now on.
+    /// What may be in flight from now on.
     pub fn allowance(&mut self, now: Micros) -> Allowance {
-        self.held.allowance(now)
+        self.local.allowance(now)
     }
 
-    /// When that says something else, if nothing is heard until then.
+    /// When that next changes, if nothing is heard until then.
     pub fn next_change(&self, now: Micros) -> Option<Micros> {
-        self.held.next_change(now)
+        self.local.next_change(now)
     }
 
-    /// Whether this process may use its own parts.
-    pub fn seat(&self) -> Seat {
-        self.held.seat()
+    /// Whether this process may use its guaranteed minimums.
+    pub fn slot(&self) -> Slot {
+        self.local.slot()
     }
 
-    /// The newest leave that it goes by.
-    pub fn fence(&self) -> Option<&Stamp> {
-        self.held.fence()
-    }
-
-    /// Nobody can say that there are too many processes.
-    pub fn nobody_holds(&mut self) {
-        self.held.nobody_holds();
+    /// The newest grant that it has heard of.
+    pub fn grant_version(&self) -> Option<&GrantVersion> {
+        self.local.grant_version()
     }
 }
 
-impl ApplicationTypes for Shares {
+impl ApplicationTypes for QuotaApplication {
     type State = ();
-    type Report = Word;
-    type Grant = Leave;
+    type Report = QuotaReport;
+    type Grant = QuotaGrant;
     type Command = NoCommand;
     type Response = NoCommand;
     type Rejection = CommandError;
-    type Facts = Vec<Host>;
+    type Facts = Vec<HostCapacity>;
     type Event = String;
 
     const MAX_STATE_BYTES: usize = 0;
-    // As many tenants as a book can have, with their names where settings differ.
+    // As many tenants as a registry can have, with their names where configurations differ.
     const MAX_REPORT_BYTES: usize = 1 << 15;
     const MAX_GRANT_BYTES: usize = 1 << 13;
     const MAX_COMMAND_BYTES: usize = 0;
 }
 
-impl Application for Shares {
-    type LeaderData = Ledger;
+impl Application for QuotaApplication {
+    type LeaderData = QuotaLedger;
 
-    fn report(&mut self, now: Micros, _: &Member<Self>, _: &Vec<Host>) -> Word {
-        self.hurries = false;
-        let said = self.usage.clone();
+    fn report(&mut self, now: Micros, _: &Member<Self>, _: &Vec<HostCapacity>) -> QuotaReport {
+        self.wants_early_renewal = false;
+        let reported = self.usage.clone();
         for tenant in &mut self.usage.tenants {
-            (tenant.most, tenant.refused) = (0, 0);
+            tenant.peak = 0;
+            tenant.rejected = 0;
         }
-        (self.usage.attempts, self.usage.turned_away) = (0, 0);
-        self.held.word(now, said)
+        self.usage.attempts = 0;
+        self.usage.rejected_by_hosts = 0;
+        self.local.report(now, reported)
     }
 
     fn granted(&mut self, granted: &ReceivedGrant<Self>) {
-        self.held.leave(&granted.ballot, granted.expires_at, granted.grant.clone());
+        self.local.take_grant(&granted.ballot, granted.expires_at, granted.grant.clone());
     }
 
     fn fenced(&mut self, fence: &Ballot) {
-        self.held.fence_rose(fence);
+        self.local.observe_fence(fence);
     }
 
     fn state_lost(&mut self) {
-        self.held.nobody_holds();
+        self.local.assume_slot();
     }
 
     fn wants_early_renewal(&self) -> bool {
-        self.hurries
+        self.wants_early_renewal
     }
 
-    fn begin_leadership(&self, room: &mut LeaderContext<'_, Self>) -> Ledger {
-        let (ballot, sure) = (room.ballot().clone(), room.state_lost_since().is_none());
-        let roster = room.processes().map(|(process, _)| process);
-        Ledger::begin(room.now, self.held.book().clone(), self.pace.clone(), ballot, sure, roster)
+    fn begin_leadership(&self, context: &mut LeaderContext<'_, Self>) -> QuotaLedger {
+        let is_roster_complete = context.state_lost_since().is_none();
+        let roster = context.processes().map(|(process, _)| process);
+        QuotaLedger::new(
+            context.now,
+            self.local.registry().clone(),
+            self.timing.clone(),
+            context.ballot().clone(),
+            is_roster_complete,
+            roster,
+        )
     }
 
     fn report_received(
         &self,
-        ledger: &mut Ledger,
-        room: &mut LeaderContext<'_, Self>,
-        said: &ReceivedReport<'_, Self>,
+        ledger: &mut QuotaLedger,
+        context: &mut LeaderContext<'_, Self>,
+        received: &ReceivedReport<'_, Self>,
     ) {
-        ledger.word(room.now, said.process, said.sent_at, said.report.clone());
+        ledger.record_report(context.now, received.process, received.sent_at, received.report.clone());
     }
 
-    fn grant(&self, ledger: &mut Ledger, room: &mut LeaderContext<'_, Self>, process: &Process) -> Leave {
-        ledger.hosts(&room.facts.application);
-        let runs = |fact: &MemberStatus| !matches!(fact.presence, Presence::Exited);
-        let members = room.facts.members.iter().filter(|(_, fact)| runs(fact));
-        let listed = |(name, fact): (&Name, &MemberStatus)| Process {
+    fn grant(
+        &self,
+        ledger: &mut QuotaLedger,
+        context: &mut LeaderContext<'_, Self>,
+        process: &Process,
+    ) -> QuotaGrant {
+        ledger.set_hosts(&context.facts.application);
+        let may_run = |member: &MemberStatus| member.presence != Presence::Exited;
+        let members = context.facts.members.iter().filter(|(_, member)| may_run(member));
+        let process_of = |(name, member): (&Name, &MemberStatus)| Process {
             name: name.clone(),
-            incarnation: fact.incarnation,
-            address: fact.address,
+            incarnation: member.incarnation,
+            address: member.address,
         };
-        ledger.members(members.map(listed));
-        ledger.leave(room.now, process)
+        ledger.set_members(members.map(process_of));
+        ledger.grant(context.now, process)
     }
 
-    fn process_left(&self, ledger: &mut Ledger, _: &mut LeaderContext<'_, Self>, process: &Process) {
-        ledger.forgotten(process);
+    fn process_left(&self, ledger: &mut QuotaLedger, _: &mut LeaderContext<'_, Self>, process: &Process) {
+        ledger.remove_process(process);
     }
 
     fn command(
         &self,
-        _: &mut Ledger,
+        _: &mut QuotaLedger,
         _: &mut LeaderContext<'_, Self>,
-        order: NoCommand,
+        command: NoCommand,
     ) -> Result<NoCommand, CommandError> {
-        match order {}
+        match command {}
     }
 }
--- a/quota/src/capacity.rs
+++ b/quota/src/capacity.rs
@@ -1,91 +1,102 @@
 //! What the hosts can carry now.
 //!
-//! From facts: each ready host that does not fail carries `host_calls` for its size and warmth. How many that should be
-//! nobody knows exactly, so what the hosts themselves say lowers it: the share of attempts that they turned away as full,
-//! over all processes. Source of the way in which it moves: additive increase, multiplicative decrease (Chiu and Jain,
-//! Computer Networks and ISDN Systems 17, 1989).
+//! By the facts, each ready host that does not fail carries `calls_per_host` for its size and warmth. How many that should
+//! be nobody knows exactly, so what the hosts themselves report lowers it: the share of attempts that they rejected as they
+//! were full, over all processes. Source of the way in which it moves: additive increase, multiplicative decrease (Chiu and
+//! Jain, Computer Networks and ISDN Systems 17, 1989).
 
-use crate::book::Book;
+use crate::registry::TenantRegistry;
 use flaxhead_lease::Micros;
 
 /// The whole, in thousandths.
 const WHOLE: u32 = 1_000;
-/// It is never lowered under this.
-const LEAST: u32 = WHOLE / 4;
-/// How much is added for each window without trouble, in thousandths.
-const STEP: u32 = 10;
-/// One in this many attempts turned away is too many.
-const TROUBLE: u64 = 50;
+/// The learned part is never lower than this.
+const MIN_PART: u32 = WHOLE / 4;
+/// What is added for each window in which hosts rejected few attempts, in thousandths.
+const INCREASE: u32 = 10;
+/// One in this many is subtracted for each window in which they rejected many.
+const DECREASE_PARTS: u32 = 8;
+/// More than one attempt in this many rejected are many.
+const MAX_REJECTED_PARTS: u64 = 50;
 /// Fewer attempts than this say nothing.
-const ENOUGH: u64 = 20;
-/// How long words are gathered.
+const MIN_ATTEMPTS: u64 = 20;
+/// How long reports are gathered.
 const WINDOW: Micros = 1_000_000;
+/// A host's size and warmth and the learned part are in thousandths, the margin in hundredths.
+const SCALE: u128 = 1_000 * 1_000 * 1_000 * 100;
 
-/// A host, as discovery lists it and the holder's calls find it.
+/// A host, as discovery lists it and the leader's calls find it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Host {
+pub struct HostCapacity {
     /// Discovery lists it as ready.
     pub ready: bool,
     /// Calls to it fail.
     pub failing: bool,
-    /// How warm it is, in thousandths.
+    /// How far it has warmed up, in thousandths.
     pub warmth: u32,
-    /// Its size beside the others', in thousandths.
+    /// Its size relative to the others', in thousandths.
     pub size: u32,
 }
 
 /// What was learned from attempts.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Learned {
+pub struct LearnedCapacity {
     part: u32,
-    since: Micros,
+    window_began: Micros,
     attempts: u64,
-    turned_away: u64,
+    rejected: u64,
 }
 
-impl Learned {
-    /// Nothing yet.
-    pub fn new(now: Micros) -> Learned {
-        Learned { part: WHOLE, since: now, attempts: 0, turned_away: 0 }
+impl LearnedCapacity {
+    /// Nothing was learned yet.
+    pub fn new(now: Micros) -> LearnedCapacity {
+        LearnedCapacity { part: WHOLE, window_began: now, attempts: 0, rejected: 0 }
     }
 
-    /// Of what the facts say, in thousandths.
+    /// The part that hosts carry of what the facts say, in thousandths.
     pub fn part(&self) -> u32 {
         self.part
     }
 
-    /// A process says how many attempts ended, and how many of them were turned away.
-    pub fn heard(&mut self, now: Micros, attempts: u32, turned_away: u32) {
+    /// A process reports how many attempts ended, and how many of them were rejected by hosts.
+    pub fn record(&mut self, now: Micros, attempts: u32, rejected: u32) {
         self.attempts += u64::from(attempts);
-        self.turned_away += u64::from(turned_away.min(attempts));
-        if now.saturating_sub(self.since) < WINDOW {
+        self.rejected += u64::from(rejected.min(attempts));
+        if now.saturating_sub(self.window_began) < WINDOW {
             return;
         }
-        if self.attempts >= ENOUGH && self.turned_away * TROUBLE > self.attempts {
-            self.part = (self.part - self.part / 8).max(LEAST);
+        let are_many = self.rejected * MAX_REJECTED_PARTS > self.attempts;
+        if self.attempts >= MIN_ATTEMPTS && are_many {
+            self.part = (self.part - self.part / DECREASE_PARTS).max(MIN_PART);
         } else {
-            self.part = (self.part + STEP).min(WHOLE);
+            self.part = (self.part + INCREASE).min(WHOLE);
         }
-        (self.since, self.attempts, self.turned_away) = (now, 0, 0);
+        *self = LearnedCapacity { part: self.part, ..LearnedCapacity::new(now) };
     }
 }
 
-/// Calls that the hosts carry; `None`: the settings do not say, or no host is known.
-pub fn carried<'a>(book: &Book, hosts: impl IntoIterator<Item = &'a Host>, learned: u32) -> Option<u32> {
-    if book.host_calls == 0 {
+/// Calls that the hosts carry; `None`: not configured, or no host is known.
+pub fn fleet_capacity<'a>(
+    registry: &TenantRegistry,
+    hosts: impl IntoIterator<Item = &'a HostCapacity>,
+    learned_part: u32,
+) -> Option<u32> {
+    if registry.calls_per_host == 0 {
         return None;
     }
-    let mut known = false;
+    let mut is_known = false;
     let mut sum: u128 = 0;
     for host in hosts {
-        known = true;
+        is_known = true;
         if host.ready && !host.failing {
             sum += u128::from(host.size) * u128::from(host.warmth.min(WHOLE));
         }
     }
-    let left = u128::from(100 - book.margin_percent.min(99));
-    let calls = sum * u128::from(book.host_calls) * left * u128::from(learned) / 100_000_000_000;
-    known.then(|| calls.clamp(1, u128::from(u32::MAX)) as u32)
+    let remaining_percent = u128::from(100 - registry.margin_percent.min(99));
+    let calls =
+        sum * u128::from(registry.calls_per_host) * remaining_percent * u128::from(learned_part) / SCALE;
+    let calls = u32::try_from(calls).unwrap_or(u32::MAX).max(1);
+    is_known.then_some(calls)
 }
 
 #[cfg(test)]
--- a/quota/src/ledger/mod.rs
+++ b/quota/src/ledger/mod.rs
@@ -1,204 +1,239 @@
-//! The part of the holder: what each process may go by, and what it is given next.
-
-mod aims;
-mod entry;
-mod seats;
-mod terms;
-
-use crate::book::{Book, Tenant};
-use crate::capacity::{carried, Host, Learned};
-use crate::pace::Pace;
-use crate::word::{Leave, Seat, Use, Word};
-use aims::Aims;
-use entry::Entry;
+//! The part of the leader: what each process may use, and what it is granted next.
+
+mod effective_config;
+mod process_entry;
+mod slots;
+mod targets;
+
+use crate::capacity::{fleet_capacity, HostCapacity, LearnedCapacity};
+use crate::registry::{Tenant, TenantRegistry};
+use crate::report::{QuotaGrant, QuotaReport, Slot, TenantUsage};
+use crate::timing::QuotaTiming;
+use effective_config::EffectiveConfig;
 use flaxhead_lease::{Ballot, Micros, Process};
+use process_entry::{ProcessEntry, ReportVersion};
 use std::collections::{BTreeMap, BTreeSet};
-use terms::Agreed;
+use targets::Targets;
 
-/// What a holder knows of the units that it may grant. It begins with its ballot and ends with its lease; nothing of it
-/// outlives it, as the processes say themselves what they have. Times are by its own clock.
+const MICROS_PER_MILLI: Micros = 1_000;
+
+/// What a leader knows of the permits that it may grant. It begins with its ballot and ends with its lease. Nothing of it
+/// outlives it, as the processes report what they have. Times are by its own clock.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Ledger {
-    book: Book,
-    pace: Pace,
+pub struct QuotaLedger {
+    registry: TenantRegistry,
+    timing: QuotaTiming,
     ballot: Ballot,
     began: Micros,
-    /// Those that may have something and have not said under this ballot what; `None`: it is not known who that is.
+    /// The processes that may have something and have not reported under this ballot what; `None`: it is not known which
+    /// those are.
     awaited: Option<BTreeSet<Process>>,
-    entries: BTreeMap<Process, Entry>,
-    /// Processes that run or may run, by the membership.
+    entries: BTreeMap<Process, ProcessEntry>,
+    /// The processes that run or may run, according to the membership.
     members: BTreeSet<Process>,
-    agreed: Agreed,
-    learned: Learned,
-    hosts: Option<u32>,
-    aims: Aims,
+    effective: EffectiveConfig,
+    learned: LearnedCapacity,
+    /// Calls that the hosts carry; `None`: not configured, or not known.
+    capacity: Option<u32>,
+    targets: Targets,
+}
+
+/// What a tenant has at one process.
+pub(crate) struct ProcessUsage<'a> {
+    pub process: &'a Process,
+    /// Its guaranteed minimum.
+    pub guaranteed: u32,
+    /// Permits that it may use, or has in flight, beside that.
+    pub granted: u32,
+    /// Its calls, by its last report.
+    pub usage: TenantUsage,
 }
 
-impl Ledger {
-    /// A holder begins. `roster`: all that may have been granted anything by another; `sure`: there is nobody else.
-    pub fn begin<'a>(
+impl QuotaLedger {
+    /// The ledger of a process that becomes the leader. `roster`: the processes that another leader may have granted
+    /// anything; `is_roster_complete`: there are no others.
+    pub fn new<'a>(
         now: Micros,
-        book: Book,
-        pace: Pace,
+        registry: TenantRegistry,
+        timing: QuotaTiming,
         ballot: Ballot,
-        sure: bool,
+        is_roster_complete: bool,
         roster: impl IntoIterator<Item = &'a Process>,
-    ) -> Ledger {
+    ) -> QuotaLedger {
         let roster: BTreeSet<Process> = roster.into_iter().cloned().collect();
-        let entries = roster.iter().map(|process| (process.clone(), Entry::default())).collect();
-        Ledger {
-            agreed: Agreed::new(&book),
-            aims: Aims::default(),
+        QuotaLedger {
+            effective: EffectiveConfig::new(&registry),
+            targets: Targets::default(),
             members: BTreeSet::new(),
-            awaited: sure.then_some(roster),
-            learned: Learned::new(now),
-            hosts: None,
-            book,
-            pace,
+            entries: roster.iter().map(|process| (process.clone(), ProcessEntry::default())).collect(),
+            awaited: is_roster_complete.then_some(roster),
+            learned: LearnedCapacity::new(now),
+            capacity: None,
+            registry,
+            timing,
             ballot,
             began: now,
-            entries,
         }
     }
 
-    /// Its number.
+    /// The leader's ballot.
     pub fn ballot(&self) -> &Ballot {
         &self.ballot
     }
 
-    /// Until when nothing is given but what processes state that they have; `None`: all is known.
-    pub fn learns_until(&self, now: Micros) -> Option<Micros> {
-        let until = self.began + self.pace.all_over();
-        let all_said = self.awaited.as_ref().is_some_and(BTreeSet::is_empty);
-        (now < until && !all_said).then_some(until)
+    /// Until when nothing is granted but what processes report that they have; `None`: what all have is known.
+    pub fn learning_until(&self, now: Micros) -> Option<Micros> {
+        let until = self.began + self.timing.max_grant_lifetime();
+        let have_all_reported = self.awaited.as_ref().is_some_and(BTreeSet::is_empty);
+        (now < until && !have_all_reported).then_some(until)
     }
 
-    /// A process's word came, which it said at `stamp` by its clock. One that was said before another that came is of no
-    /// use, nor one that a later holder's leave has made.
-    pub fn word(&mut self, now: Micros, process: &Process, stamp: Micros, word: Word) {
-        let (digest, learned) = (self.book.digest, &mut self.learned);
+    /// Takes a process's report, which it sent at `sent_at` by its clock. A report that was sent before another one that
+    /// came is of no use, nor is one of a process that has taken a later leader's grant.
+    pub fn record_report(&mut self, now: Micros, process: &Process, sent_at: Micros, report: QuotaReport) {
         let entry = self.entries.entry(process.clone()).or_default();
-        let newer = word.by.as_ref().is_some_and(|by| by.ballot > self.ballot);
-        let before = entry.said.as_ref().is_some_and(|last| (stamp, &word.by) < (last.0, &last.1));
-        if newer || before {
+        let grant_version = report.grant_version.clone();
+        let is_of_later_leader = grant_version.as_ref().is_some_and(|version| version.ballot > self.ballot);
+        let version = ReportVersion { sent_at, grant_version };
+        let is_outdated = entry.last_report.as_ref().is_some_and(|last| version < *last);
+        if is_of_later_leader || is_outdated {
             return;
         }
-        learned.heard(now, word.usage.attempts, word.usage.turned_away);
-        let known = entry.goes_by(&self.book, digest, &word);
-        let agreed = known && entry.deal_is_new(&word);
-        entry.said = Some((stamp, word.by.clone()));
-        entry.heard(now, &self.ballot, &self.pace, word, known);
-        if entry.stated {
+        self.learned.record(now, report.usage.attempts, report.usage.rejected_by_hosts);
+        let is_config_known = entry.learn_config(&self.registry, &report);
+        let has_config_changed = is_config_known && entry.store_config(&report);
+        entry.last_report = Some(version);
+        entry.record(now, &self.ballot, &self.timing, report, is_config_known);
+        if entry.is_settled {
             if let Some(awaited) = &mut self.awaited {
                 awaited.remove(process);
             }
         }
-        if agreed {
-            self.agreed.gather(&self.book, self.entries.values().filter_map(|entry| entry.deal.as_ref()));
+        if has_config_changed {
+            self.update_effective_config();
         }
-        self.aims.stale = true;
+        self.targets.is_stale = true;
     }
 
-    /// The process has ended: nothing of it is left.
-    pub fn forgotten(&mut self, process: &Process) {
+    /// A process has ended: nothing of it is left.
+    pub fn remove_process(&mut self, process: &Process) {
         if let Some(awaited) = &mut self.awaited {
             awaited.remove(process);
         }
-        if self.entries.remove(process).is_some_and(|entry| entry.deal.is_some()) {
-            self.agreed.gather(&self.book, self.entries.values().filter_map(|entry| entry.deal.as_ref()));
+        if self.entries.remove(process).is_some_and(|entry| entry.config.is_some()) {
+            self.update_effective_config();
         }
-        self.aims.stale = true;
+        self.targets.is_stale = true;
+    }
+
+    fn update_effective_config(&mut self) {
+        let others = self.entries.values().filter_map(|entry| entry.config.as_ref());
+        self.effective = EffectiveConfig::of(&self.registry, others);
     }
 
-    /// What is known of the hosts.
-    pub fn hosts<'a>(&mut self, hosts: impl IntoIterator<Item = &'a Host>) {
-        let carried = carried(&self.book, hosts, self.learned.part());
-        if self.hosts != carried {
-            (self.hosts, self.aims.stale) = (carried, true);
+    /// Sets what is known of the hosts.
+    pub fn set_hosts<'a>(&mut self, hosts: impl IntoIterator<Item = &'a HostCapacity>) {
+        let capacity = fleet_capacity(&self.registry, hosts, self.learned.part());
+        if self.capacity != capacity {
+            self.capacity = capacity;
+            self.targets.is_stale = true;
         }
     }
 
-    /// What a process is told along with its leave. Once it was made, it may be gone by.
-    pub fn leave(&mut self, now: Micros, process: &Process) -> Leave {
+    /// What a process is granted along with its lease. From now on it may use that.
+    pub fn grant(&mut self, now: Micros, process: &Process) -> QuotaGrant {
         self.entries.entry(process.clone()).or_default();
         self.divide(now);
-        let seat = self.seat_for(process);
-        let learns = self.learns_until(now).is_some();
-        let room: Vec<u32> = (0..self.book.tenants.len()).map(|t| self.room(now, t, process)).collect();
-        let pace_ms = (self.pace.between_words(self.entries.len()) / 1_000) as u32;
-        let (book, agreed, pace) = (&self.book, &self.agreed, &self.pace);
-        let Some(entry) = self.entries.get_mut(process) else { return Leave::default() };
-        entry.seat = seat;
-        let lowered = agreed.lowered(book, entry.deal.as_ref());
-        let leave = Leave { seat, lowered, known: !learns, digest: book.digest, pace_ms, ..Leave::default() };
-        if !entry.stated {
-            return leave;
+        let has_slot = self.assigns_slot(process);
+        let is_learning = self.learning_until(now).is_some();
+        let tenants = 0..self.registry.tenants.len();
+        let available: Vec<u32> = tenants.map(|tenant| self.available(now, tenant, process)).collect();
+        let report_interval = self.timing.report_interval(self.entries.len()) / MICROS_PER_MILLI;
+        let Some(entry) = self.entries.get_mut(process) else { return QuotaGrant::default() };
+        entry.has_slot = has_slot;
+        let grant = QuotaGrant {
+            has_slot,
+            lowered: self.effective.lowered(&self.registry, entry.config.as_ref()),
+            is_complete: !is_learning,
+            digest: self.registry.digest,
+            report_interval_ms: u32::try_from(report_interval).unwrap_or(u32::MAX),
+            ..QuotaGrant::default()
+        };
+        if !entry.is_settled {
+            return grant;
         }
-        let units: Vec<u32> = match learns {
-            true => entry.has(now),
-            false => entry.aim.iter().zip(&room).map(|(aim, room)| *aim.min(room)).collect(),
+        let permits = if is_learning {
+            entry.current_permits(now)
+        } else {
+            entry.target.iter().zip(&available).map(|(target, available)| *target.min(available)).collect()
         };
-        let seq = entry.issue(now, pace, units);
-        let shares = if learns { Vec::new() } else { entry.shares.clone() };
-        let fair = self.hosts.filter(|_| !learns);
-        let all = fair.map(|_| shares.iter().sum::<u32>().max(1));
-        let grants = Some(entry.in_its_order(entry.issued()));
-        Leave { seq, grants, all, shares: entry.in_its_order(&shares), ..leave }
+        let seq = entry.issue(now, &self.timing, permits);
+        let fair_shares = if is_learning { Vec::new() } else { entry.fair_shares.clone() };
+        let capacity = self.capacity.filter(|_| !is_learning);
+        QuotaGrant {
+            seq,
+            permits: Some(entry.in_process_order(entry.issued())),
+            total: capacity.map(|_| fair_shares.iter().sum::<u32>().max(1)),
+            fair_shares: entry.in_process_order(&fair_shares),
+            ..grant
+        }
     }
 
-    /// Units of a tenant that one process may be granted beside all that others may go by.
-    fn room(&self, now: Micros, tenant: usize, process: &Process) -> u32 {
+    /// Permits of a tenant that one process may be granted beside all that others may use.
+    fn available(&self, now: Micros, tenant: usize, process: &Process) -> u32 {
         let others = self.entries.iter().filter(|(other, _)| *other != process);
-        let counted = others.map(|(_, entry)| u64::from(self.counted(now, tenant, entry))).sum::<u64>();
-        let pool = u64::from(self.agreed.pool(tenant).unwrap_or(0));
-        pool.saturating_sub(counted) as u32
+        let used = others.map(|(_, entry)| u64::from(self.max_permits(now, tenant, entry))).sum::<u64>();
+        let pool = u64::from(self.effective.pool(tenant).unwrap_or(0));
+        u32::try_from(pool.saturating_sub(used)).unwrap_or(u32::MAX)
     }
 
-    /// Units of a tenant that a process may go by or has in hand, beside its own part.
-    fn counted(&self, now: Micros, tenant: usize, entry: &Entry) -> u32 {
-        let own = if entry.said_seat == Seat::Has { self.agreed.own(tenant) } else { 0 };
-        entry.counted(now, tenant, own, &self.pace)
+    /// Permits of a tenant that a process may use or has in flight, beside its guaranteed minimum.
+    fn max_permits(&self, now: Micros, tenant: usize, entry: &ProcessEntry) -> u32 {
+        let has_minimum = entry.reported_slot == Slot::Assigned;
+        let guaranteed = if has_minimum { self.effective.guaranteed(tenant) } else { 0 };
+        entry.max_permits(now, tenant, guaranteed, &self.timing)
     }
 }
 
-// What there is to show.
-impl Ledger {
+// What operators see.
+impl QuotaLedger {
     pub(crate) fn tenants(&self) -> &[Tenant] {
-        &self.book.tenants
+        &self.registry.tenants
     }
 
-    pub(crate) fn carried(&self) -> Option<u32> {
-        self.hosts
+    pub(crate) fn capacity(&self) -> Option<u32> {
+        self.capacity
     }
 
     pub(crate) fn cap(&self, tenant: usize) -> Option<u32> {
-        self.agreed.cap(tenant)
-    }
-
-    pub(crate) fn own(&self, tenant: usize) -> u32 {
-        self.agreed.own(tenant)
+        self.effective.cap(tenant)
     }
 
-    pub(crate) fn share(&self, tenant: usize) -> Option<u32> {
-        self.hosts.and_then(|_| self.aims.shares.get(tenant).copied())
+    pub(crate) fn fair_share(&self, tenant: usize) -> Option<u32> {
+        self.capacity.and_then(|_| self.targets.fair_shares.get(tenant).copied())
     }
 
-    /// Each process with its own part, its units beside that, and its last word.
-    pub(crate) fn uses(&self, now: Micros, tenant: usize) -> impl Iterator<Item = (&Process, [u32; 2], Use)> {
-        self.entries.iter().map(move |(process, entry)| {
-            let usage = entry.usage.get(tenant).copied().unwrap_or_default();
-            let own = if entry.seat { self.own(tenant) } else { 0 };
-            (process, [own, self.counted(now, tenant, entry)], usage)
+    /// What a tenant has at each process.
+    pub(crate) fn usages(&self, now: Micros, tenant: usize) -> impl Iterator<Item = ProcessUsage<'_>> {
+        self.entries.iter().map(move |(process, entry)| ProcessUsage {
+            process,
+            guaranteed: if entry.has_slot { self.effective.guaranteed(tenant) } else { 0 },
+            granted: self.max_permits(now, tenant, entry),
+            usage: entry.usage.get(tenant).copied().unwrap_or_default(),
         })
     }
 
-    pub(crate) fn not_heard(&self, now: Micros) -> Vec<String> {
-        let silent = |entry: &Entry| entry.at.is_none_or(|at| now >= at + self.pace.lease);
-        self.entries.iter().filter(|(_, entry)| silent(entry)).map(|(p, _)| p.name.to_string()).collect()
+    /// The processes that have not reported within a lease.
+    pub(crate) fn silent(&self, now: Micros) -> Vec<String> {
+        let is_silent =
+            |entry: &ProcessEntry| entry.last_report_at.is_none_or(|at| now >= at + self.timing.lease);
+        let silent = self.entries.iter().filter(|(_, entry)| is_silent(entry));
+        silent.map(|(process, _)| process.name.to_string()).collect()
     }
 
-    pub(crate) fn differ(&self) -> Vec<String> {
-        let differ = self.entries.iter().filter(|(_, entry)| entry.deal.is_some());
-        differ.map(|(process, _)| process.name.to_string()).collect()
+    /// The processes with another configuration.
+    pub(crate) fn with_other_config(&self) -> Vec<String> {
+        let others = self.entries.iter().filter(|(_, entry)| entry.config.is_some());
+        others.map(|(process, _)| process.name.to_string()).collect()
     }
 }
--- a/quota/tests/gate.rs
+++ b/quota/tests/admission.rs
@@ -1,7 +1,10 @@
 //! What must hold at the gate whatever comes, from drawn events. All is reckoned from what goes in and comes out.
 
-use flaxhead_quota::gate::{Answer, Asked, Class, Gate, Key, Rules, Verdict, Verdicts};
-use flaxhead_quota::{Allowance, Units};
+use flaxhead_quota::admission::{
+    AdmissionConfig, AdmissionController, AdmissionDecision, AdmissionRequest, Class, QueuedCall,
+    QueuedVerdict, Verdict, Verdicts,
+};
+use flaxhead_quota::{Allowance, TenantAllowance};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
@@ -18,13 +21,16 @@
 }
 
 fn allowance() -> impl Strategy<Value = Allowance> {
-    let units =
-        (proptest::option::of(0_u32..5), 0_u32..5).prop_map(|(cap, share)| Units { cap, own: cap, share });
+    let units = (proptest::option::of(0_u32..5), 0_u32..5).prop_map(|(cap, share)| TenantAllowance {
+        cap,
+        guaranteed: cap,
+        fair_share: share,
+    });
     let tenants = proptest::collection::vec(units, TENANTS);
     (tenants, proptest::option::of(1_u32..10)).prop_map(|(tenants, all)| Allowance {
         tenants,
-        all,
-        until: None,
+        total: all,
+        expires_at: None,
     })
 }
 
@@ -39,20 +45,23 @@
     ]
 }
 
-fn rules() -> Rules {
-    let classes = vec![Class { aim: 100, deadline: 1_000 }, Class { aim: 900, deadline: 1_000 }];
-    Rules { classes, tenants: TENANTS, line_most: 12, max_retry_after: 400 }
+fn rules() -> AdmissionConfig {
+    let classes = vec![
+        Class { latency_objective: 100, deadline: 1_000 },
+        Class { latency_objective: 900, deadline: 1_000 },
+    ];
+    AdmissionConfig { classes, tenants: TENANTS, max_queue: 12, max_retry_after: 400 }
 }
 
 /// A gate, and what its events come to.
 struct Play {
-    gate: Gate,
+    gate: AdmissionController,
     now: u64,
     allowance: Allowance,
     /// Whose units are in hand.
     out: Vec<usize>,
     /// Calls that wait, with the moment at which they are given up.
-    waiting: BTreeMap<Key, (usize, u64)>,
+    waiting: BTreeMap<QueuedCall, (usize, u64)>,
     /// What tenants are behind their share among those that wait for the same units, below their share or above it.
     behind: [[f64; TENANTS]; 2],
     asked: usize,
@@ -61,7 +70,7 @@
 
 impl Play {
     fn new(allowance: Allowance) -> Play {
-        let gate = Gate::new(0, rules(), allowance.clone(), false);
+        let gate = AdmissionController::new(0, rules(), allowance.clone(), false);
         let (out, waiting, behind) = Default::default();
         Play { gate, now: 0, allowance, out, waiting, behind, asked: 0, answered: 0 }
     }
@@ -76,7 +85,7 @@
     }
 
     fn all_free(&self) -> bool {
-        self.allowance.all.is_none_or(|all| (self.out.len() as u32) < all)
+        self.allowance.total.is_none_or(|all| (self.out.len() as u32) < all)
     }
 
     fn waits(&self, tenant: usize) -> bool {
@@ -84,11 +93,11 @@
     }
 
     fn weight(&self, tenant: usize) -> f64 {
-        f64::from(self.allowance.tenants[tenant].share.max(1))
+        f64::from(self.allowance.tenants[tenant].fair_share.max(1))
     }
 
     fn is_above(&self, tenant: usize) -> bool {
-        self.in_hand(tenant) >= self.allowance.tenants[tenant].share.max(1)
+        self.in_hand(tenant) >= self.allowance.tenants[tenant].fair_share.max(1)
     }
 
     fn entered(&mut self, tenant: usize) -> Result<(), TestCaseError> {
@@ -99,7 +108,7 @@
 
     /// A waiting call enters: nobody who waits below its share is passed by one above it, and nobody falls behind.
     fn reckon(&mut self, tenant: usize) -> Result<(), TestCaseError> {
-        if self.allowance.all.is_none() {
+        if self.allowance.total.is_none() {
             return Ok(());
         }
         let able: Vec<usize> = (0..TENANTS).filter(|t| self.waits(*t) && self.has_room(*t)).collect();
@@ -124,19 +133,19 @@
     }
 
     fn heard(&mut self, verdicts: Verdicts) -> Result<(), TestCaseError> {
-        for (key, verdict) in verdicts {
+        for QueuedVerdict { call: key, verdict } in verdicts {
             let found = self.waiting.get(&key).copied();
             prop_assert!(found.is_some(), "a verdict for one that does not wait");
             let Some((tenant, until)) = found else { continue };
             match verdict {
-                Verdict::Enters => {
+                Verdict::Admitted => {
                     let first = self.waiting.iter().find(|(_, (whose, _))| *whose == tenant);
                     prop_assert_eq!(first.map(|(first, _)| *first), Some(key), "out of order");
                     prop_assert!(self.now < until, "let in too late");
                     self.reckon(tenant)?;
                     self.entered(tenant)?;
                 }
-                Verdict::Refused(after) => {
+                Verdict::Rejected { retry_after: after } => {
                     let shut = self.allowance.tenants[tenant].cap == Some(0);
                     prop_assert!(self.now >= until || shut, "given up though its turn may come");
                     prop_assert!(after <= 400);
@@ -153,19 +162,19 @@
         match event {
             Event::Ask { tenant, class } => {
                 self.asked += 1;
-                let asked = Asked { tenant: Some(tenant), class, deadline: self.now + 1_000 };
+                let asked = AdmissionRequest { tenant: Some(tenant), class, deadline: self.now + 1_000 };
                 let tenant = tenant.min(TENANTS - 1);
-                match self.gate.ask(self.now, asked) {
-                    Answer::Now(Verdict::Enters) => {
+                match self.gate.request(self.now, asked) {
+                    AdmissionDecision::Decided(Verdict::Admitted) => {
                         prop_assert!(!self.waits(tenant), "past a line");
                         self.entered(tenant)?;
                         self.answered += 1;
                     }
-                    Answer::Now(Verdict::Refused(after)) => {
+                    AdmissionDecision::Decided(Verdict::Rejected { retry_after: after }) => {
                         prop_assert!(!self.has_room(tenant) && after <= 400);
                         self.answered += 1;
                     }
-                    Answer::Waits(key) => {
+                    AdmissionDecision::Queued(key) => {
                         let kept = if class == 0 { 100 } else { 500 };
                         self.waiting.insert(key, (tenant, self.now + 1_000 - kept));
                     }
@@ -173,12 +182,12 @@
             }
             Event::End(which) if !self.out.is_empty() => {
                 let tenant = self.out.swap_remove(which % self.out.len());
-                self.gate.end(self.now, Some(tenant), &mut verdicts);
+                self.gate.release(self.now, Some(tenant), &mut verdicts);
             }
             Event::Copy(which) if !self.out.is_empty() => {
                 let tenant = self.out[which % self.out.len()];
                 let room = self.has_room(tenant);
-                prop_assert_eq!(self.gate.another(self.now, Some(tenant)), room);
+                prop_assert_eq!(self.gate.acquire_extra(self.now, Some(tenant)), room);
                 if room {
                     self.out.push(tenant);
                 }
@@ -186,13 +195,13 @@
             Event::Leave(which) if !self.waiting.is_empty() => {
                 let key = *self.waiting.keys().nth(which % self.waiting.len()).expect("one");
                 self.waiting.remove(&key);
-                self.gate.leave(key);
+                self.gate.abandon(key);
                 self.answered += 1;
             }
             Event::Allow(allowance, to_come) => {
                 self.allowance = allowance;
                 self.behind = Default::default();
-                self.gate.allow(self.now, self.allowance.clone(), to_come, &mut verdicts);
+                self.gate.set_allowance(self.now, self.allowance.clone(), to_come, &mut verdicts);
             }
             Event::Time(span) => {
                 let end = self.now + span;
@@ -206,9 +215,9 @@
             Event::End(_) | Event::Copy(_) | Event::Leave(_) => {}
         }
         self.heard(verdicts)?;
-        for (tenant, shown) in self.gate.shown().enumerate() {
+        for (tenant, shown) in self.gate.stats().enumerate() {
             let waiting = self.waiting.values().filter(|(whose, _)| *whose == tenant).count() as u32;
-            prop_assert_eq!((shown.in_hand, shown.waiting), (self.in_hand(tenant), waiting));
+            prop_assert_eq!((shown.in_flight, shown.queued), (self.in_hand(tenant), waiting));
             prop_assert!(waiting == 0 || !self.has_room(tenant), "{} waits beside a free unit", tenant);
         }
         Ok(())
@@ -237,12 +246,12 @@
     fn among_those_that_wait_nobody_falls_behind(
         shares in proptest::collection::vec(1_u32..60, TENANTS), ends in proptest::collection::vec(any::<usize>(), 1..400),
     ) {
-        let units = |share: &u32| Units { share: *share, ..Units::default() };
+        let units = |share: &u32| TenantAllowance { fair_share: *share, ..TenantAllowance::default() };
         let all = Some(shares.iter().sum::<u32>() / 2 + 1);
-        let mut play = Play::new(Allowance { tenants: shares.iter().map(units).collect(), all, until: None });
+        let mut play = Play::new(Allowance { tenants: shares.iter().map(units).collect(), total: all, expires_at: None });
         for which in ends {
             for tenant in 0..TENANTS {
-                while play.gate.shown().nth(tenant).is_some_and(|shown| shown.waiting < 2) {
+                while play.gate.stats().nth(tenant).is_some_and(|shown| shown.queued < 2) {
                     play.feed(Event::Ask { tenant, class: 0 })?;
                 }
             }
@@ -251,60 +260,69 @@
     }
 }
 
-fn one_tenant(cap: u32) -> Gate {
-    let allowance =
-        Allowance { tenants: vec![Units { cap: Some(cap), own: Some(0), share: 1 }], all: None, until: None };
-    Gate::new(0, Rules { tenants: 1, ..rules() }, allowance, false)
+fn one_tenant(cap: u32) -> AdmissionController {
+    let allowance = Allowance {
+        tenants: vec![TenantAllowance { cap: Some(cap), guaranteed: Some(0), fair_share: 1 }],
+        total: None,
+        expires_at: None,
+    };
+    AdmissionController::new(0, AdmissionConfig { tenants: 1, ..rules() }, allowance, false)
 }
 
-fn ask(gate: &mut Gate, now: u64) -> Answer {
-    gate.ask(now, Asked { tenant: None, class: 0, deadline: now + 1_000 })
+fn ask(gate: &mut AdmissionController, now: u64) -> AdmissionDecision {
+    gate.request(now, AdmissionRequest { tenant: None, class: 0, deadline: now + 1_000 })
 }
 
 #[test]
 fn a_call_whose_turn_cannot_come_in_time_is_turned_away_at_once() {
     let mut gate = one_tenant(1);
-    assert_eq!(ask(&mut gate, 0), Answer::Now(Verdict::Enters));
+    assert_eq!(ask(&mut gate, 0), AdmissionDecision::Decided(Verdict::Admitted));
     // A unit came free each 400: the second in the line would have its turn after 800 of its 900, the third never.
     for now in [400, 800, 1_200, 1_600] {
-        gate.end(now, None, &mut Verdicts::new());
-        assert_eq!(ask(&mut gate, now), Answer::Now(Verdict::Enters));
+        gate.release(now, None, &mut Verdicts::new());
+        assert_eq!(ask(&mut gate, now), AdmissionDecision::Decided(Verdict::Admitted));
     }
-    assert!(matches!(ask(&mut gate, 1_600), Answer::Waits(_)));
-    let refused: Vec<Answer> = (0..3).map(|_| ask(&mut gate, 1_600)).collect();
-    assert!(matches!(refused[2], Answer::Now(Verdict::Refused(400))), "{refused:?}");
+    assert!(matches!(ask(&mut gate, 1_600), AdmissionDecision::Queued(_)));
+    let refused: Vec<AdmissionDecision> = (0..3).map(|_| ask(&mut gate, 1_600)).collect();
+    assert!(
+        matches!(refused[2], AdmissionDecision::Decided(Verdict::Rejected { retry_after: 400 })),
+        "{refused:?}"
+    );
     // Nothing ended for as long as a client waits: what waits may still be next, but nobody behind it.
     let mut gate = one_tenant(1);
-    assert_eq!(ask(&mut gate, 0), Answer::Now(Verdict::Enters));
-    assert!(matches!(ask(&mut gate, 850), Answer::Waits(_)));
-    assert!(matches!(ask(&mut gate, 850), Answer::Now(Verdict::Refused(_))));
+    assert_eq!(ask(&mut gate, 0), AdmissionDecision::Decided(Verdict::Admitted));
+    assert!(matches!(ask(&mut gate, 850), AdmissionDecision::Queued(_)));
+    assert!(matches!(ask(&mut gate, 850), AdmissionDecision::Decided(Verdict::Rejected { .. })));
 }
 
 #[test]
 fn where_nothing_is_to_come_nobody_waits() {
-    let none =
-        Allowance { tenants: vec![Units { cap: Some(0), own: Some(0), share: 0 }], all: None, until: None };
+    let none = Allowance {
+        tenants: vec![TenantAllowance { cap: Some(0), guaranteed: Some(0), fair_share: 0 }],
+        total: None,
+        expires_at: None,
+    };
     let mut gate = one_tenant(0);
-    assert_eq!(ask(&mut gate, 0), Answer::Now(Verdict::Refused(400)));
-    gate.allow(0, none.clone(), true, &mut Verdicts::new());
-    let Answer::Waits(key) = ask(&mut gate, 0) else { panic!("it may still come") };
+    assert_eq!(ask(&mut gate, 0), AdmissionDecision::Decided(Verdict::Rejected { retry_after: 400 }));
+    gate.set_allowance(0, none.clone(), true, &mut Verdicts::new());
+    let AdmissionDecision::Queued(key) = ask(&mut gate, 0) else { panic!("it may still come") };
     let mut verdicts = Verdicts::new();
-    gate.allow(5, none, false, &mut verdicts);
-    assert_eq!(verdicts, [(key, Verdict::Refused(400))]);
+    gate.set_allowance(5, none, false, &mut verdicts);
+    assert_eq!(verdicts, [QueuedVerdict { call: key, verdict: Verdict::Rejected { retry_after: 400 } }]);
 }
 
 #[test]
 fn once_the_allowance_is_over_the_own_part_alone_counts() {
-    let units = |cap, own| Units { cap: Some(cap), own: Some(own), share: 1 };
-    let allowance = Allowance { tenants: vec![units(3, 1)], all: Some(2), until: Some(100) };
-    let mut gate = Gate::new(0, Rules { tenants: 1, ..rules() }, allowance, false);
+    let units = |cap, own| TenantAllowance { cap: Some(cap), guaranteed: Some(own), fair_share: 1 };
+    let allowance = Allowance { tenants: vec![units(3, 1)], total: Some(2), expires_at: Some(100) };
+    let mut gate = AdmissionController::new(0, AdmissionConfig { tenants: 1, ..rules() }, allowance, false);
     let answers = [ask(&mut gate, 0), ask(&mut gate, 0), ask(&mut gate, 0)];
-    assert_eq!(answers[..2], [Answer::Now(Verdict::Enters); 2]);
-    assert!(matches!(answers[2], Answer::Waits(_)) && gate.next_due() == Some(100));
+    assert_eq!(answers[..2], [AdmissionDecision::Decided(Verdict::Admitted); 2]);
+    assert!(matches!(answers[2], AdmissionDecision::Queued(_)) && gate.next_due() == Some(100));
     let mut verdicts = Verdicts::new();
-    gate.end(100, None, &mut verdicts);
-    assert!(verdicts.is_empty() && !gate.another(100, None), "one is in hand, and one is its own");
-    gate.end(100, None, &mut verdicts);
+    gate.release(100, None, &mut verdicts);
+    assert!(verdicts.is_empty() && !gate.acquire_extra(100, None), "one is in hand, and one is its own");
+    gate.release(100, None, &mut verdicts);
     assert_eq!(verdicts.len(), 1);
-    assert_eq!((gate.usage()[0].most, gate.usage()[0].in_hand), (3, 1));
+    assert_eq!((gate.usage()[0].peak, gate.usage()[0].in_flight), (3, 1));
 }
--- a/quota/tests/disks.rs
+++ b/quota/tests/disks.rs
@@ -4,7 +4,9 @@
 mod fleet;
 
 use flaxhead_lease::Voters;
-use flaxhead_quota::{Around, Effect, Facts, Machine, Message, Name, Pace, Process, Shares};
+use flaxhead_quota::{
+    Context, Effect, Facts, Machine, Message, Name, Process, QuotaApplication, QuotaTiming,
+};
 use fleet::{site, Fleet, Mode, Plan, SECOND};
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64;
@@ -23,7 +25,7 @@
         site: site("banks", 4 * ALL as u32),
         hosts: 2 * ALL,
         host_calls: 8,
-        pace: Pace { lease: LEASE, longest_call: 10 * SECOND, alone_after: 15 * SECOND },
+        pace: QuotaTiming { lease: LEASE, max_call_duration: 10 * SECOND, autonomy_timeout: 15 * SECOND },
         call: SECOND,
         long_calls: true,
         tick: SECOND / 20,
@@ -122,21 +124,21 @@
     let mut fleet = settled(1, 0.0);
     fleet.play(2 * LEASE);
     let voters: Vec<Name> = (0..3).map(|place| Name::new(&format!("p{place:03}")).expect("a name")).collect();
-    let pace = Pace { lease: LEASE, longest_call: 10 * SECOND, alone_after: 15 * SECOND };
+    let pace = QuotaTiming { lease: LEASE, max_call_duration: 10 * SECOND, autonomy_timeout: 15 * SECOND };
     let (facts, mut random) = (Facts { participates: true, ..Facts::default() }, Pcg64::seed_from_u64(3));
     let mut bids = |place: usize| {
         let at = SocketAddr::from(([10, 0, 0, place as u8], 7_946));
         let me = Process { name: voters[place].clone(), incarnation: 99, address: at };
-        let shares = Shares::new(0, fleet.book().clone(), pace.clone());
+        let shares = QuotaApplication::new(0, fleet.book().clone(), pace.clone());
         let list = Voters::new(voters.clone(), Vec::new()).expect("voters");
         let found = fleet.memory(place).filter(|memory| memory.is_recovered);
         assert!(found.is_some(), "it is sure");
         let mut machine =
-            Machine::new(Shares::config(&pace), shares, list, me, 0).with_disk(0, found, SECOND);
+            Machine::new(QuotaApplication::config(&pace), shares, list, me, 0).with_disk(0, found, SECOND);
         let mut steps = std::iter::once(0).chain((LEASE..3 * LEASE).step_by(1_000));
         let bid = |now: &u64| {
             let mut out = Vec::new();
-            machine.tick(&mut Around { now: *now, facts: &facts, random: &mut random }, &mut out);
+            machine.tick(&mut Context { now: *now, facts: &facts, random: &mut random }, &mut out);
             out.iter().any(|of| matches!(of, Effect::Send { message: Message::Prepare { .. }, .. }))
         };
         steps.find(bid)
--- a/quota/tests/divide.rs
+++ b/quota/tests/divide.rs
@@ -1,18 +1,18 @@
 //! Divisions against a reference that is written differently: the exact level, found by halving over fractions, without
 //! any sorting or remainder.
 
-use flaxhead_quota::divide::{fill, settle, settle_tenants, spread, Want};
+use flaxhead_quota::max_min::{fill, settle, settle_tenants, spread, Demand};
 use proptest::prelude::*;
 
 /// What each would have if units could be split: everybody's wish, or least units, or its weight's part of one level.
-fn exact(total: u32, wants: &[Want]) -> Vec<f64> {
-    let least: f64 = wants.iter().map(|want| f64::from(want.least)).sum();
-    let at = |level: f64, want: &Want| {
-        let most = f64::from(want.demand.max(want.least));
+fn exact(total: u32, wants: &[Demand]) -> Vec<f64> {
+    let least: f64 = wants.iter().map(|want| f64::from(want.minimum)).sum();
+    let at = |level: f64, want: &Demand| {
+        let most = f64::from(want.wanted.max(want.minimum));
         let (low, most) = if least >= f64::from(total) {
-            (0.0, f64::from(want.least))
+            (0.0, f64::from(want.minimum))
         } else {
-            (f64::from(want.least), most)
+            (f64::from(want.minimum), most)
         };
         (level * want.weight.max(1) as f64).clamp(low, most)
     };
@@ -29,9 +29,9 @@
     wants.iter().map(|want| at(low, want)).collect()
 }
 
-fn wants() -> impl Strategy<Value = Vec<Want>> {
+fn wants() -> impl Strategy<Value = Vec<Demand>> {
     let want = (1u64..2_000, 0u32..6, 0u32..60);
-    let want = want.prop_map(|(weight, least, demand)| Want { weight, least, demand });
+    let want = want.prop_map(|(weight, least, demand)| Demand { weight, minimum: least, wanted: demand });
     proptest::collection::vec(want, 1..14)
 }
 
@@ -47,9 +47,9 @@
         let units = fill(total, &wants);
         for ((units, exact), want) in units.iter().zip(exact(total, &wants)).zip(&wants) {
             prop_assert!((f64::from(*units) - exact).abs() < 1.0 + 1e-6, "{units} for {exact}, {want:?}");
-            prop_assert!(*units <= want.demand.max(want.least));
+            prop_assert!(*units <= want.wanted.max(want.minimum));
         }
-        let wanted = wants.iter().map(|want| want.demand.max(want.least)).sum::<u32>();
+        let wanted = wants.iter().map(|want| want.wanted.max(want.minimum)).sum::<u32>();
         prop_assert_eq!(sum(&units), total.min(wanted));
     }
 
@@ -57,8 +57,8 @@
     fn gives_all_units_and_all_that_is_wanted_where_there_is_enough(total in 0u32..900, wants in wants()) {
         let units = settle(total, &wants, &[]);
         prop_assert_eq!(sum(&units), total);
-        if wants.iter().map(|want| want.demand.max(want.least)).sum::<u32>() <= total {
-            prop_assert!(units.iter().zip(&wants).all(|(units, want)| *units >= want.demand.max(want.least)));
+        if wants.iter().map(|want| want.wanted.max(want.minimum)).sum::<u32>() <= total {
+            prop_assert!(units.iter().zip(&wants).all(|(units, want)| *units >= want.wanted.max(want.minimum)));
         }
     }
 
@@ -76,14 +76,14 @@
         let units = settle(total, &wants, &old);
         prop_assert_eq!(sum(&units), total);
         let enough = sum(&fill(total, &wants)) < total;
-        let least: u32 = wants.iter().map(|want| want.least.max(want.demand.min(1))).sum();
+        let least: u32 = wants.iter().map(|want| want.minimum.max(want.wanted.min(1))).sum();
         for ((units, exact), want) in units.iter().zip(exact(total, &wants)).zip(&wants) {
             prop_assert!(f64::from(*units) > exact - 2.0 - 1e-6, "{units} for {exact}, {want:?}");
             if !enough {
                 prop_assert!(f64::from(*units) < exact + 3.0 + 1e-6, "{units} for {exact}, {want:?}");
             }
             if fill(total, &wants).iter().all(|units| *units >= 1) && least <= total {
-                prop_assert!(*units >= want.least.max(want.demand.min(1)), "{units}, {want:?}");
+                prop_assert!(*units >= want.minimum.max(want.wanted.min(1)), "{units}, {want:?}");
             }
         }
     }
@@ -105,7 +105,7 @@
     fn a_swing_of_one_call_does_not_swing_what_is_granted(total in 40u32..400, wants in wants(), at in 0usize..14) {
         let at = at % wants.len();
         let mut higher = wants.clone();
-        higher[at].demand += 1;
+        higher[at].wanted += 1;
         for settle in [settle, settle_tenants] {
             let settled = settle(total, &higher, &settle(total, &wants, &[]));
             let mut units = settled.clone();
@@ -128,16 +128,16 @@
 
 #[test]
 fn a_tenant_of_the_least_weight_is_not_shut_out() {
-    let want = |weight| Want { weight, least: 1, demand: 50 };
+    let want = |weight| Demand { weight, minimum: 1, wanted: 50 };
     assert_eq!(fill(10, &[want(1_000_000), want(1), want(1)]), [8, 1, 1]);
 }
 
 /// A unit that came to one of them while the other was not there goes back, though it is only one.
 #[test]
 fn where_all_want_more_than_they_get_nobody_keeps_a_unit_of_another() {
-    let want = |demand| Want { weight: 1, least: 1, demand };
+    let want = |demand| Demand { weight: 1, minimum: 1, wanted: demand };
     assert_eq!(
-        settle_tenants(32, &[want(60), want(40), Want { least: 0, ..want(0) }], &[17, 15, 0]),
+        settle_tenants(32, &[want(60), want(40), Demand { minimum: 0, ..want(0) }], &[17, 15, 0]),
         [16, 16, 0]
     );
     // Where one has enough, its wish moves from call to call, and one unit is left where it is.
@@ -146,6 +146,6 @@
 
 #[test]
 fn what_one_leaves_goes_to_the_others_by_weight() {
-    let want = |weight, demand| Want { weight, least: 0, demand };
+    let want = |weight, demand| Demand { weight, minimum: 0, wanted: demand };
     assert_eq!(fill(40, &[want(500, 5), want(300, 90), want(200, 90)]), [5, 21, 14]);
 }
--- a/quota/tests/faults.rs
+++ b/quota/tests/faults.rs
@@ -2,7 +2,7 @@
 
 mod fleet;
 
-use flaxhead_quota::Pace;
+use flaxhead_quota::QuotaTiming;
 use fleet::{site, Fleet, Mode, Plan, SECOND};
 
 fn plan(name: &str, processes: usize, seed: u64) -> Plan {
@@ -13,7 +13,7 @@
         site: site(name, 4 * processes as u32),
         hosts: 2 * processes,
         host_calls: 8,
-        pace: Pace { lease: 3 * SECOND, longest_call: 4 * SECOND, alone_after: 8 * SECOND },
+        pace: QuotaTiming { lease: 3 * SECOND, max_call_duration: 4 * SECOND, autonomy_timeout: 8 * SECOND },
         call: SECOND,
         long_calls: true,
         tick: SECOND / 20,
@@ -44,7 +44,7 @@
 /// Two more than own parts are counted for. Nobody takes a part by itself here, as where the voters are never all gone.
 #[test]
 fn with_more_processes_than_seats_no_cap_is_passed() {
-    let pace = Pace { alone_after: u64::MAX, ..plan("banks", 8, 0).pace };
+    let pace = QuotaTiming { autonomy_timeout: u64::MAX, ..plan("banks", 8, 0).pace };
     let seen = played(Plan { processes: 10, pace, ..plan("banks", 8, 5) }, 600 * SECOND);
     assert!(seen.faults > 150 && seen.calls > 5_000, "{seen:?}");
 }
--- a/quota/tests/fleet/mod.rs
+++ b/quota/tests/fleet/mod.rs
@@ -10,7 +10,8 @@
 
 use flaxhead_lease::{Config, MemberStatus, PersistentState, Presence, Voters};
 use flaxhead_quota::{
-    Allowance, Book, Facts, Host, Machine, Message, Micros, Name, Pace, Process, Shares, Terms,
+    Allowance, Facts, HostCapacity, Machine, Message, Micros, Name, Process, QuotaApplication, QuotaConfig,
+    QuotaTiming, TenantRegistry,
 };
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64;
@@ -42,7 +43,7 @@
     pub site: Site,
     pub hosts: usize,
     pub host_calls: u32,
-    pub pace: Pace,
+    pub pace: QuotaTiming,
     /// How long a call takes in the middle, and whether some take as long as they may.
     pub call: Micros,
     pub long_calls: bool,
@@ -103,7 +104,7 @@
 
 pub struct Fleet {
     plan: Plan,
-    book: Book,
+    book: TenantRegistry,
     pub now: Micros,
     queue: BinaryHeap<Reverse<(Micros, u64, What)>>,
     order: u64,
@@ -111,7 +112,7 @@
     places: Vec<Place>,
     names: BTreeMap<Name, usize>,
     random: Pcg64,
-    pub hosts: Vec<Host>,
+    pub hosts: Vec<HostCapacity>,
     lives: u64,
     /// By process and tenant, what might be used at its last step; and the sums.
     usable: Vec<Vec<u32>>,
@@ -130,14 +131,14 @@
 impl Fleet {
     pub fn new(plan: Plan) -> Fleet {
         let mut random = Pcg64::seed_from_u64(plan.seed);
-        let terms = Terms {
-            proxies_most: plan.proxies_most,
-            host_calls: plan.host_calls,
+        let terms = QuotaConfig {
+            max_proxies: plan.proxies_most,
+            calls_per_host: plan.host_calls,
             caps: plan.site.caps.clone(),
-            ..Terms::default()
+            ..QuotaConfig::default()
         };
         let tenants = plan.site.tenants.iter().map(|(name, portion)| (name.as_str(), *portion));
-        let book = Book::new(&terms, tenants).expect("terms");
+        let book = TenantRegistry::new(&terms, tenants).expect("terms");
         let groups = book.tenants.len();
         let places = (0..plan.processes).map(|_| Place {
             machine: None,
@@ -155,7 +156,7 @@
             in_hand: vec![0; groups],
             facts: None,
         });
-        let host = Host { ready: true, failing: false, warmth: 1_000, size: 1_000 };
+        let host = HostCapacity { ready: true, failing: false, warmth: 1_000, size: 1_000 };
         let mut fleet = Fleet {
             now: SECOND,
             queue: BinaryHeap::new(),
@@ -187,7 +188,7 @@
         fleet
     }
 
-    pub fn book(&self) -> &Book {
+    pub fn book(&self) -> &TenantRegistry {
         &self.book
     }
 
@@ -215,7 +216,10 @@
     }
 
     pub fn shares(&self, tenant: usize) -> u32 {
-        self.places.iter().map(|of| of.allowance.tenants.get(tenant).map_or(0, |units| units.share)).sum()
+        self.places
+            .iter()
+            .map(|of| of.allowance.tenants.get(tenant).map_or(0, |units| units.fair_share))
+            .sum()
     }
 
     pub fn holder(&self) -> Option<usize> {
@@ -248,7 +252,7 @@
     }
 
     /// What a process has on its disk.
-    pub fn memory(&self, place: usize) -> Option<PersistentState<Shares>> {
+    pub fn memory(&self, place: usize) -> Option<PersistentState<QuotaApplication>> {
         self.places[place].machine.as_ref().map(|machine| machine.persistent_state(self.local(place)))
     }
 
@@ -258,7 +262,7 @@
     }
 
     /// Starts one that goes by a disk, and finds this there.
-    pub fn launch_with(&mut self, place: usize, found: Option<PersistentState<Shares>>) {
+    pub fn launch_with(&mut self, place: usize, found: Option<PersistentState<QuotaApplication>>) {
         self.start(place, |machine, now| machine.with_disk(now, found, SECOND));
     }
 
@@ -266,10 +270,10 @@
         self.lives += 1;
         let voters = (0..self.plan.voters).map(name).collect();
         let voters = Voters::new(voters, Vec::new()).expect("voters");
-        let config: Config = Shares::config(&self.plan.pace);
+        let config: Config = QuotaApplication::config(&self.plan.pace);
         let me = Process { name: name(place), incarnation: self.lives, address: at(place) };
         let now = self.local(place);
-        let shares = Shares::new(now, self.book.clone(), self.plan.pace.clone());
+        let shares = QuotaApplication::new(now, self.book.clone(), self.plan.pace.clone());
         let (lives, since) = (self.lives, self.now);
         let of = &mut self.places[place];
         of.machine = Some(with(Machine::new(config, shares, voters, me, now), now));
@@ -282,7 +286,7 @@
         let Some(machine) = &self.places[place].machine else { return };
         let shares = machine.application();
         let wake = machine.next_wake().min(shares.next_change(local).unwrap_or(Micros::MAX));
-        let after = wake.min(shares.word_wanted().max(local + 5_000)).saturating_sub(local).max(1_000);
+        let after = wake.min(shares.next_report_at().max(local + 5_000)).saturating_sub(local).max(1_000);
         let at = self.now + after;
         self.places[place].wake = at;
         self.push(after, What::Wake(place, at));
--- a/quota/tests/fleet/play.rs
+++ b/quota/tests/fleet/play.rs
@@ -1,7 +1,9 @@
 //! What happens, one thing after the other.
 
 use super::{name, Fleet, Mode, Place, What, FRESH, SECOND};
-use flaxhead_quota::{Allowance, Around, Effect, Facts, Machine, Message, Micros, Name, Units, Usage, Use};
+use flaxhead_quota::{
+    Allowance, Context, Effect, Facts, Machine, Message, Micros, Name, TenantAllowance, TenantUsage, Usage,
+};
 use rand_core::RngCore;
 use std::cmp::Reverse;
 
@@ -69,7 +71,7 @@
     pub(super) fn act(
         &mut self,
         place: usize,
-        act: impl FnOnce(&mut Machine, &mut Around<'_>, &mut Vec<Effect>),
+        act: impl FnOnce(&mut Machine, &mut Context<'_>, &mut Vec<Effect>),
     ) {
         // Only voters look at facts: for the others they need not be made.
         let old = self.places[place].facts.take().filter(|(at, _)| self.now < at + FRESH);
@@ -81,9 +83,9 @@
         self.end_calls(place);
         let (local, usage) = (self.local(place), self.usage(place));
         let Some(mut machine) = self.places[place].machine.take() else { return };
-        machine.application_mut().use_now(local, usage);
+        machine.application_mut().set_usage(local, usage);
         let mut out = Vec::new();
-        let mut around = Around { now: local, facts: &facts, random: &mut self.random };
+        let mut around = Context { now: local, facts: &facts, random: &mut self.random };
         act(&mut machine, &mut around, &mut out);
         // A disk has at once what is to be kept.
         if let Some(mark) = machine.persistence_mark() {
@@ -94,10 +96,10 @@
             Mode::Fixed => self.fixed(place),
             Mode::Nothing => Allowance::default(),
         };
-        allowance.tenants.resize(self.book.tenants.len(), Units::default());
+        allowance.tenants.resize(self.book.tenants.len(), TenantAllowance::default());
         let of = &mut self.places[place];
         self.seen.pushed +=
-            u64::from(of.allowance.tenants != allowance.tenants || of.allowance.all != allowance.all);
+            u64::from(of.allowance.tenants != allowance.tenants || of.allowance.total != allowance.total);
         (of.allowance, of.facts, of.machine) = (allowance, Some((looked, facts)), Some(machine));
         self.judge(place);
         for effect in out {
@@ -114,22 +116,22 @@
         let part = |cap: u32| cap / count + u32::from((place as u32) < cap % count);
         let units = self.book.tenants.iter().map(|tenant| {
             let cap = tenant.cap.map(part);
-            Units { cap, own: cap, share: 1 }
+            TenantAllowance { cap, guaranteed: cap, fair_share: 1 }
         });
         let carried = self.hosts.len() as u32 * self.plan.host_calls * 9 / 10;
         let all = (self.plan.host_calls > 0).then(|| part(carried));
-        Allowance { tenants: units.collect(), all, until: None }
+        Allowance { tenants: units.collect(), total: all, expires_at: None }
     }
 
     fn usage(&self, place: usize) -> Usage {
         let Place { wants, in_hand, .. } = &self.places[place];
-        let tenants = wants.iter().zip(in_hand).map(|(wants, in_hand)| Use {
-            in_hand: *in_hand,
-            most: *in_hand.max(wants),
-            waiting: wants.saturating_sub(*in_hand),
-            refused: 0,
+        let tenants = wants.iter().zip(in_hand).map(|(wants, in_hand)| TenantUsage {
+            in_flight: *in_hand,
+            peak: *in_hand.max(wants),
+            queued: wants.saturating_sub(*in_hand),
+            rejected: 0,
         });
-        Usage { tenants: tenants.collect(), attempts: 0, turned_away: 0 }
+        Usage { tenants: tenants.collect(), attempts: 0, rejected_by_hosts: 0 }
     }
 
     fn end_calls(&mut self, place: usize) {
@@ -148,10 +150,10 @@
             return;
         }
         let local = self.local(place);
-        let waited = self.usage(place).tenants.iter().any(|tenant| tenant.waiting > 0);
+        let waited = self.usage(place).tenants.iter().any(|tenant| tenant.queued > 0);
         while let Some(tenant) = self.next(place, local) {
             let (call, drawn) = (self.plan.call, self.below(self.plan.call));
-            let most = self.plan.pace.longest_call;
+            let most = self.plan.pace.max_call_duration;
             let lasts = if self.plan.long_calls && self.below(200) == 0 {
                 most
             } else {
@@ -162,7 +164,7 @@
             of.in_hand[tenant] += 1;
             self.seen.calls += 1;
         }
-        let waits = self.usage(place).tenants.iter().any(|tenant| tenant.waiting > 0);
+        let waits = self.usage(place).tenants.iter().any(|tenant| tenant.queued > 0);
         self.judge(place);
         if waits || waited {
             self.act(place, |machine, around, out| machine.tick(around, out));
@@ -173,7 +175,7 @@
     fn next(&self, place: usize, local: Micros) -> Option<usize> {
         let Place { allowance, wants, in_hand, .. } = &self.places[place];
         let sum: u32 = in_hand.iter().sum();
-        if allowance.all(local).is_some_and(|all| sum >= all) {
+        if allowance.total(local).is_some_and(|all| sum >= all) {
             return None;
         }
         let may = |tenant: &usize| {
@@ -181,7 +183,7 @@
             held < wants[tenant] && allowance.cap(local, tenant).is_none_or(|cap| held < cap)
         };
         let for_share = |tenant: &usize| {
-            let share = allowance.tenants.get(*tenant).map_or(1, |units| units.share.max(1));
+            let share = allowance.tenants.get(*tenant).map_or(1, |units| units.fair_share.max(1));
             u64::from(in_hand[*tenant]) * 1_000_000 / u64::from(share)
         };
         (0..wants.len()).filter(may).min_by_key(for_share)
--- a/quota/tests/model/world.rs
+++ b/quota/tests/model/world.rs
@@ -2,8 +2,8 @@
 
 use flaxhead_lease::{Ballot, NoCommand, Presence, RecoveryState, Voters};
 use flaxhead_quota::{
-    Allowance, Around, Book, Facts, Machine, Message, Micros, Name, Pace, Process, Seat, Shares, Terms,
-    Usage, Use,
+    Allowance, Context, Facts, Machine, Message, Micros, Name, Process, QuotaApplication, QuotaConfig,
+    QuotaTiming, Slot, TenantRegistry, TenantUsage, Usage,
 };
 use flaxhead_rig::{Bounds, Envelope, FixedRandom, Fleet as _, LastingFault};
 use std::collections::BTreeMap;
@@ -52,7 +52,7 @@
     pub begun: Option<Ballot>,
 }
 
-pub type World = flaxhead_rig::World<Shares, Calls>;
+pub type World = flaxhead_rig::World<QuotaApplication, Calls>;
 pub type Fault = flaxhead_rig::Fault<NoCommand>;
 
 /// Who takes part, and what there is for them.
@@ -107,14 +107,17 @@
 fn machine(site: &Site, node: usize, world: &mut World) -> Machine {
     world.starts += 1;
     let voters = Voters::new((0..VOTERS).map(name).collect(), Vec::new()).expect("voters");
-    let terms =
-        Terms { proxies_most: site.seats, caps: vec![format!("others {}", site.cap)], ..Terms::default() };
-    let book = Book::new(&terms, []).expect("terms");
+    let terms = QuotaConfig {
+        max_proxies: site.seats,
+        caps: vec![format!("others {}", site.cap)],
+        ..QuotaConfig::default()
+    };
+    let book = TenantRegistry::new(&terms, []).expect("terms");
     let longest_call = Micros::from(site.call) * STEP;
-    let pace = Pace { lease: LEASE, longest_call, alone_after: Micros::MAX };
+    let pace = QuotaTiming { lease: LEASE, max_call_duration: longest_call, autonomy_timeout: Micros::MAX };
     let me = Process { name: name(node), incarnation: 100 * world.starts + node as u64, address: at(node) };
     let time = now(world.step);
-    Machine::new(Shares::config(&pace), Shares::new(time, book, pace), voters, me, time)
+    Machine::new(QuotaApplication::config(&pace), QuotaApplication::new(time, book, pace), voters, me, time)
 }
 
 impl Fleet {
@@ -189,17 +192,17 @@
         match (&mut message, self.broken) {
             (Message::Renew(renewal), Broken::Confirmed) => {
                 let word = &mut renewal.report;
-                (word.held, word.left) = (Vec::new(), 0);
-                word.by.iter_mut().for_each(|by| by.seq += 1);
-                word.usage.tenants.iter_mut().for_each(|tenant| tenant.in_hand = 0);
+                (word.granted, word.grant_left) = (Vec::new(), 0);
+                word.grant_version.iter_mut().for_each(|by| by.seq += 1);
+                word.usage.tenants.iter_mut().for_each(|tenant| tenant.in_flight = 0);
             }
             (Message::Granted(granted), Broken::Fence) => {
-                let fence = world.nodes[to].application().fence();
+                let fence = world.nodes[to].application().grant_version();
                 let newest =
                     fence.filter(|fence| fence.ballot == granted.ballot).map_or(0, |fence| fence.seq);
                 granted.grant.seq = granted.grant.seq.max(newest);
             }
-            (Message::Granted(granted), Broken::Seats) => granted.grant.seat = true,
+            (Message::Granted(granted), Broken::Seats) => granted.grant.has_slot = true,
             (Message::VoterRecoveryResponse(response), Broken::Forgotten) => {
                 response.recovery = RecoveryState::Recovered;
             }
@@ -218,7 +221,7 @@
             .map(|node| in_hand(world, node).max(may(world, self.broken, node)))
             .sum::<u32>();
         let seats = (0..world.nodes.len())
-            .filter(|node| world.nodes[*node].application().seat() == Seat::Has)
+            .filter(|node| world.nodes[*node].application().slot() == Slot::Assigned)
             .count();
         let wrong = [
             (holding.len() > 1, "two hold at once"),
@@ -230,7 +233,7 @@
 }
 
 impl flaxhead_rig::Fleet for Fleet {
-    type Application = Shares;
+    type Application = QuotaApplication;
     type Model = Calls;
     type Found = NoCommand;
 
@@ -255,18 +258,18 @@
         world: &mut World,
         node: usize,
         message: Option<(usize, Message)>,
-    ) -> Vec<Envelope<Shares>> {
+    ) -> Vec<Envelope<QuotaApplication>> {
         let (facts, time) = (self.facts(world, node), now(world.step));
         let mut random = FixedRandom::of(node);
-        let mut around = Around { now: time, facts: &facts, random: &mut random };
+        let mut around = Context { now: time, facts: &facts, random: &mut random };
         let (in_hand, wants) = (in_hand(world, node), self.wants(world, node));
         let told = if self.broken == Broken::InHand { 0 } else { in_hand };
         let (most, waiting) = (told.max(wants), wants.saturating_sub(in_hand));
-        let usage = Use { in_hand: told, most, waiting, refused: 0 };
+        let usage = TenantUsage { in_flight: told, peak: most, queued: waiting, rejected: 0 };
         let usage = Usage { tenants: vec![usage], ..Usage::default() };
         let message = message.map(|(from, message)| (from, self.tampered(world, node, message)));
         let machine = &mut world.nodes[node];
-        machine.application_mut().use_now(time, usage);
+        machine.application_mut().set_usage(time, usage);
         let mut out = Vec::new();
         let ticks = message.is_none();
         match message {
--- a/quota/tests/wire_format.rs
+++ b/quota/tests/wire_format.rs
@@ -5,7 +5,8 @@
     LeaseGrant, Message, PersistentState, Promise, Renewal, Roster, Version, Versioned, VoterSetHashes,
 };
 use flaxhead_quota::{
-    Ballot, Book, Deal, Leave, Name, Process, Seat, Shares, Stamp, Terms, Usage, Use, Word,
+    Ballot, GrantVersion, LoweredMinimum, Name, Process, QuotaApplication, QuotaConfig, QuotaGrant,
+    QuotaReport, ReportedConfig, Slot, TenantRegistry, TenantUsage, Usage,
 };
 use std::net::SocketAddr;
 
@@ -22,43 +23,43 @@
     Ballot { round: 300, name: name("n1"), incarnation: 7 }
 }
 
-fn book() -> Book {
-    let terms = Terms { proxies_most: 4, caps: vec!["a 40".to_owned()], ..Terms::default() };
-    Book::new(&terms, [("a", 0.5), ("b", 0.25)]).expect("a good book")
+fn book() -> TenantRegistry {
+    let terms = QuotaConfig { max_proxies: 4, caps: vec!["a 40".to_owned()], ..QuotaConfig::default() };
+    TenantRegistry::new(&terms, [("a", 0.5), ("b", 0.25)]).expect("a good book")
 }
 
-fn word(seat: Seat) -> Word {
+fn word(seat: Slot) -> QuotaReport {
     let usage = Usage {
-        tenants: vec![Use { in_hand: 1, most: 2, waiting: 3, refused: 4 }],
+        tenants: vec![TenantUsage { in_flight: 1, peak: 2, queued: 3, rejected: 4 }],
         attempts: 500,
-        turned_away: 6,
+        rejected_by_hosts: 6,
     };
-    Word {
-        by: Some(Stamp { ballot: ballot(), seq: 8 }),
-        held: vec![9, 10],
-        left: 11,
-        seat,
+    QuotaReport {
+        grant_version: Some(GrantVersion { ballot: ballot(), seq: 8 }),
+        granted: vec![9, 10],
+        grant_left: 11,
+        slot: seat,
         usage,
         digest: 12,
-        deal: Some(Deal { tenants: book().tenants, proxies_most: 4 }),
+        config: Some(ReportedConfig { tenants: book().tenants, max_proxies: 4 }),
     }
 }
 
-fn leave() -> Leave {
-    Leave {
+fn leave() -> QuotaGrant {
+    QuotaGrant {
         seq: 1,
-        grants: Some(vec![2, 3]),
-        seat: true,
-        all: Some(4),
-        shares: vec![5, 6],
-        lowered: vec![(7, 8)],
-        known: true,
+        permits: Some(vec![2, 3]),
+        has_slot: true,
+        total: Some(4),
+        fair_shares: vec![5, 6],
+        lowered: vec![LoweredMinimum { tenant: 7, guaranteed: 8 }],
+        is_complete: true,
         digest: 9,
-        pace_ms: 10,
+        report_interval_ms: 10,
     }
 }
 
-fn renewal(seat: Seat) -> Message<Shares> {
+fn renewal(seat: Slot) -> Message<QuotaApplication> {
     let process =
         Process { name: name("n2"), incarnation: 9, address: SocketAddr::from(([127, 0, 0, 2], 7_946)) };
     let (version, fence) = (Version { fence: None, seq: 0 }, Some(ballot()));
@@ -74,7 +75,7 @@
 
 #[test]
 fn every_message_that_carries_quotas_keeps_its_bytes() {
-    let granted = Message::<Shares>::Granted(Box::new(LeaseGrant {
+    let granted = Message::<QuotaApplication>::Granted(Box::new(LeaseGrant {
         ballot: ballot(),
         incarnation: 9,
         requested_at: 1_000,
@@ -82,14 +83,14 @@
         grant: leave(),
     }));
     let told = Versioned { version: Version { fence: None, seq: 1 }, state: () };
-    let promise = Promise::<Shares> {
+    let promise = Promise::<QuotaApplication> {
         ballot: ballot(),
         incarnation: 9,
         recovery: flaxhead_lease::RecoveryState::Recovered,
         roster: Roster::default(),
         state: told.clone(),
     };
-    let memory = PersistentState::<Shares> {
+    let memory = PersistentState::<QuotaApplication> {
         is_recovered: true,
         voter_sets: VoterSetHashes { current: 1, next: 2 },
         promised: None,
@@ -98,11 +99,11 @@
         state: told,
     };
     let actual = [
-        ("Renew, Seat::Waits", hex(&renewal(Seat::Waits))),
-        ("Renew, Seat::Has", hex(&renewal(Seat::Has))),
-        ("Renew, Seat::Denied", hex(&renewal(Seat::Denied))),
+        ("Renew, Seat::Waits", hex(&renewal(Slot::Pending))),
+        ("Renew, Seat::Has", hex(&renewal(Slot::Assigned))),
+        ("Renew, Seat::Denied", hex(&renewal(Slot::Denied))),
         ("Granted", hex(&granted)),
-        ("Promised", hex(&Message::<Shares>::Promised(Box::new(promise)))),
+        ("Promised", hex(&Message::<QuotaApplication>::Promised(Box::new(promise)))),
         ("Memory", hex(&memory)),
     ];
     let expected: Vec<(&str, String)> =
