--- a/coordination/src/coordinator.rs
+++ b/coordination/src/coordinator.rs
@@ -102,7 +102,7 @@
             machine = machine.with_disk(0, found.state, found.age);
         }
         let coordinator = Coordinator(Rc::new(Inner {
-            peers: peers.clone(),
+            peers,
             channel,
             machine: RefCell::new(machine),
             facts: RefCell::new(Facts::default()),
@@ -118,7 +118,7 @@
             may_serve: watch::Sender::new(false),
             dropped: Cell::new(0),
         }));
-        peers.register(channel, Rc::new(coordinator.clone()));
+        coordinator.0.peers.register(channel, Rc::new(coordinator.clone()));
         coordinator
     }
 
--- a/coordination/src/lib.rs
+++ b/coordination/src/lib.rs
@@ -4,7 +4,6 @@
 //! and leaves every decision to the machine. It runs on the sockets of [`flaxhead_peers`], on a [`Channel`] of its own, on
 //! the thread that it is started on. Where a process takes part in several applications, each has a coordinator of its
 //! own, and they share nothing but the sockets.
-#![forbid(unsafe_code)]
 
 mod codec;
 mod coordinator;
--- a/lab/benches/members.rs
+++ b/lab/benches/members.rs
@@ -68,7 +68,7 @@
     let packet = Packet { from: card(1), digest: 0, kind: Kind::Gossip, updates: others.collect() };
     let mut machine = Machine::new(card(0).name, at(0), Vec::new(), config(false), 1, 0);
     let region = Region::new(ALLOCATOR);
-    machine.receive_full_state(0, at(1), packet.clone(), &mut Vec::new());
+    machine.receive_full_state(0, at(1), &packet, &mut Vec::new());
     let change = region.change();
     // What the copy of the packet took is freed by now.
     (change.bytes_allocated as f64 - change.bytes_deallocated as f64) / f64::from(members)
--- a/lab/src/peers/virtual_net.rs
+++ b/lab/src/peers/virtual_net.rs
@@ -127,7 +127,7 @@
             });
             let packet = Packet { updates: updates.collect(), from, digest: 0, kind: Kind::Gossip };
             let Some(machine) = net.nodes[place].machine.as_mut() else { continue };
-            machine.receive_full_state(0, address((place + 1) % count), packet, &mut Vec::new());
+            machine.receive_full_state(0, address((place + 1) % count), &packet, &mut Vec::new());
         }
         net
     }
@@ -378,7 +378,7 @@
                 let Some(packet) = self.packets.remove(&number) else { return };
                 let back = self.machine(to).map(Machine::full_state);
                 self.with(to, |machine, now, out| {
-                    machine.receive_full_state(now, address(from), packet, out)
+                    machine.receive_full_state(now, address(from), &packet, out)
                 });
                 if let Some(back) = back.filter(|_| answer) {
                     self.exchange(to, from, back, false);
@@ -506,5 +506,5 @@
 }
 
 fn packet_bytes(packet: &Packet) -> usize {
-    HEADERS + FRAME + packet.updates.iter().map(|update| update.bytes()).sum::<usize>()
+    HEADERS + FRAME + packet.updates.iter().map(|update| update.max_bytes()).sum::<usize>()
 }
--- a/lease/rig/src/lib.rs
+++ b/lease/rig/src/lib.rs
@@ -2,7 +2,6 @@
 //!
 //! A model says what is particular to its application ([`Fleet`]); the rig runs a step and lists the faults that may occur
 //! in it. Faults occur between any two messages of a step. For tests only.
-#![forbid(unsafe_code)]
 
 mod fault;
 mod fleet;
--- a/lease/rig/src/random.rs
+++ b/lease/rig/src/random.rs
@@ -8,8 +8,12 @@
 
 impl FixedRandom {
     /// The source of a node, of which there are four at the most.
+    ///
+    /// # Panics
+    ///
+    /// Panics for the number of a node that no model has.
     pub fn of(node: usize) -> FixedRandom {
-        FixedRandom((node as u32) << 30)
+        FixedRandom(u32::try_from(node).expect("four nodes at the most") << 30)
     }
 }
 
@@ -23,7 +27,7 @@
     }
 
     fn fill_bytes(&mut self, to: &mut [u8]) {
-        to.fill(self.0 as u8);
+        to.fill(self.0.to_le_bytes()[0]);
     }
 
     fn try_fill_bytes(&mut self, to: &mut [u8]) -> Result<(), rand_core::Error> {
--- a/lease/src/admission/evidence.rs
+++ b/lease/src/admission/evidence.rs
@@ -9,6 +9,7 @@
 /// What the fresh replies amount to. That a majority of voters has lost the state holds for one moment if all of them
 /// replied so within the duration of one lease, having been quarantined for longer than a lease before: at that moment no
 /// leader is left that knows the state, and none can come before operators declare it.
+#[expect(clippy::struct_excessive_bools, reason = "each is one finding, independent of the others")]
 pub(super) struct Evidence {
     has_replies: bool,
     /// A process with the complete state lives.
--- a/lease/src/leader/state.rs
+++ b/lease/src/leader/state.rs
@@ -63,7 +63,7 @@
         config: &Config,
         voters: &Voters,
         candidacy: Candidacy<T>,
-        own: OwnState<T>,
+        own: &OwnState<T>,
         me: Process,
     ) -> LeaderState<T> {
         let is_recovered = candidacy.is_recovered(voters);
--- a/lease/src/lib.rs
+++ b/lease/src/lib.rs
@@ -15,7 +15,6 @@
 //!   leader therefore needs no log: any process that was admitted all along has the whole state.
 //!
 //! What a proxy guarantees while it is alone, in a minority, paused or restarted stands in `docs/design/lease.md`.
-#![forbid(unsafe_code)]
 
 mod admission;
 mod application;
--- a/lease/src/machine/lease.rs
+++ b/lease/src/machine/lease.rs
@@ -55,7 +55,7 @@
         let ballot = candidacy.ballot.clone();
         let own =
             OwnState { state: self.member.current_state(now), is_complete: self.member.has_complete_state };
-        let state = LeaderState::new(now, &self.config, &self.voters, candidacy, own, self.me.clone());
+        let state = LeaderState::new(now, &self.config, &self.voters, candidacy, &own, self.me.clone());
         let environment = LeaderEnvironment {
             now,
             config: &self.config,
--- a/maintenance/benches/week.rs
+++ b/maintenance/benches/week.rs
@@ -1,5 +1,10 @@
 //! Turns at fleets of several sizes, in virtual time: how long until a host is free, how long nobody hands out turns,
 //! what is sent; and a week of 300 processes and 200 hosts with faults.
+#![expect(
+    clippy::cast_possible_truncation,
+    clippy::cast_sign_loss,
+    reason = "the counts of a run are small and never negative"
+)]
 
 #[path = "../tests/fleet/mod.rs"]
 mod fleet;
--- a/maintenance/driver/src/lib.rs
+++ b/maintenance/driver/src/lib.rs
@@ -1,6 +1,5 @@
 //! Host maintenance at one process: what it reports of its hosts, and to which of them it sends nothing new. Timers and
 //! messages are those of [`flaxhead_coordination`], on the thread of the engine.
-#![forbid(unsafe_code)]
 
 mod participant;
 mod service;
--- a/maintenance/src/lib.rs
+++ b/maintenance/src/lib.rs
@@ -5,7 +5,6 @@
 //! host is free. A drain is requested, scheduled, draining, out of service and free, and recovering; the leader moves it on
 //! ([`Maintenance`]), and each process sends nothing new to the hosts that its schedule excludes ([`excluded_hosts`],
 //! [`may_send`]).
-#![forbid(unsafe_code)]
 
 mod application;
 mod application_types;
--- a/maintenance/src/scheduler/commands.rs
+++ b/maintenance/src/scheduler/commands.rs
@@ -16,8 +16,8 @@
         match command {
             Command::Request(request) => self.request(request),
             Command::Withdraw { drain, by } => self.withdraw(drain, by),
-            Command::Complete { drain, by } => self.finish_work(drain, by),
-            Command::RemoveProcess { name, by } => self.remove_process(name, by),
+            Command::Complete { drain, by } => self.finish_work(drain, &by),
+            Command::RemoveProcess { name, by } => self.remove_process(&name, &by),
             Command::DeclareRecovered { by } => {
                 if self.leader.declare_recovered() {
                     let reason = format!("all that is out is on the board, by the word of {by}");
@@ -107,7 +107,7 @@
     }
 
     /// The work is done: the host is back in service.
-    fn finish_work(&mut self, id: u64, by: String) -> Result<CommandResponse, Rejection> {
+    fn finish_work(&mut self, id: u64, by: &str) -> Result<CommandResponse, Rejection> {
         let drain = self.open_drain(id)?;
         let (stage, owner) = (drain.stage, drain.request.by.clone());
         match stage {
@@ -124,17 +124,17 @@
     }
 
     /// Removes the processes of a name that are not heard and, by the operators' word, do not run.
-    fn remove_process(&mut self, name: String, by: String) -> Result<CommandResponse, Rejection> {
+    fn remove_process(&mut self, name: &str, by: &str) -> Result<CommandResponse, Rejection> {
         let has_name = |process: &Process| process.name.as_str() == name;
         if !self.leader.processes().any(|(process, _)| has_name(process)) {
-            return Err(Rejection::UnknownProcess(name));
+            return Err(Rejection::UnknownProcess(name.to_owned()));
         }
         let named = self.leader.processes().filter(|(process, _)| has_name(process));
         let silent =
             named.filter(|(process, peer)| !self.is_running(process) && !self.leader.heard_recently(peer));
         let silent: Vec<Process> = silent.map(|(process, _)| process.clone()).collect();
         if silent.is_empty() {
-            return Err(Rejection::ProcessRuns(name));
+            return Err(Rejection::ProcessRuns(name.to_owned()));
         }
         silent.iter().for_each(|process| self.leader.remove_process(process));
         let reason = format!("{name} does not run any more, by the word of {by}");
--- a/maintenance/tests/fleet/mod.rs
+++ b/maintenance/tests/fleet/mod.rs
@@ -1,6 +1,12 @@
 //! A fleet of processes in virtual time: messages that take time and are lost, processes that crash and forget, freeze
 //! and are cut off, clocks that run apart, operators who ask for hosts one after the other. One seed gives one run.
-#![allow(dead_code)]
+#![allow(dead_code, reason = "the bench uses other parts than the tests")]
+#![expect(
+    clippy::cast_possible_truncation,
+    clippy::cast_sign_loss,
+    clippy::too_many_lines,
+    reason = "the counts and times of a simulation are small, and its parts are read in one piece"
+)]
 
 use flaxhead_lease::{AdmissionStatus, Config, MemberStatus, Micros, Name, Presence, Process, Voters};
 use flaxhead_maintenance::{
--- a/maintenance/tests/model.rs
+++ b/maintenance/tests/model.rs
@@ -109,7 +109,7 @@
 }
 
 fn at(node: usize) -> SocketAddr {
-    SocketAddr::from(([127, 0, 0, node as u8 + 1], 7_000))
+    SocketAddr::from(([127, 0, 0, u8::try_from(node + 1).expect("few nodes")], 7_000))
 }
 
 fn now(step: u8) -> Micros {
--- a/maintenance/tests/wire_format.rs
+++ b/maintenance/tests/wire_format.rs
@@ -109,6 +109,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "one case after the other")]
 fn every_message_keeps_its_bytes() {
     let order = Command::Complete { drain: 3, by: "ops".to_owned() };
     let promise = Promise {
@@ -242,6 +243,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "one case after the other")]
 fn every_operator_command_and_response_keeps_its_json() {
     let by = || "ops".to_owned();
     let texts = |values: &[serde_json::Value]| values.iter().map(ToString::to_string).collect::<Vec<_>>();
--- a/membership/src/machine/config.rs
+++ b/membership/src/machine/config.rs
@@ -1,35 +1,35 @@
-//! How the protocol is paced.
+//! The time spans and limits of the protocol.
 
 use crate::Micros;
 
-/// How the protocol is paced.
+/// The time spans and limits of the protocol.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Config {
-    /// One probe each.
+    /// Time between two probes.
     pub probe_interval: Micros,
-    /// How long an answer to a ping may take.
+    /// How long the answer to a ping may take.
     pub ack_timeout: Micros,
-    /// Members that are asked to ask one that did not answer.
+    /// Members that are asked to ping one that did not answer.
     pub indirect_probes: usize,
-    /// How often updates are sent on while there are any, and to how many.
+    /// How often updates are sent while there are any.
     pub gossip_interval: Micros,
-    /// See `gossip_every`.
+    /// To how many members they are sent.
     pub fanout: usize,
-    /// How long a suspicion lasts at the least, with all confirmations: longer than any pause that is to be borne.
+    /// The shortest suspicion, with all confirmations: longer than any pause that is to be tolerated.
     pub min_suspicion: Micros,
-    /// And at the most, without any.
+    /// The longest suspicion, without any.
     pub max_suspicion: Micros,
-    /// Confirmations that bring it to the least.
+    /// Confirmations that shorten a suspicion to the minimum.
     pub confirmations: u32,
     /// How often two views are compared.
     pub sync_interval: Micros,
-    /// How often one that is gone is asked whether it is back.
+    /// How often a member that is gone is pinged, in case it is back.
     pub reconnect_interval: Micros,
-    /// How long those that are gone are remembered.
+    /// How long members that are gone are remembered.
     pub retention: Micros,
-    /// Bytes of a packet at the most.
+    /// Maximum size of a packet, in bytes.
     pub max_packet_bytes: usize,
-    /// Plain SWIM: no health of oneself, no vouching, no confirmations, no asking a member's machine. For comparison.
+    /// Plain SWIM, without local health, vouching, confirmations and checks of a member's machine. For comparison.
     pub is_plain_swim: bool,
 }
 
--- a/membership/src/machine/contacts.rs
+++ b/membership/src/machine/contacts.rs
@@ -1,61 +1,68 @@
-//! Who is asked for others: contacts at which no member is known, and members that are gone.
+//! Whom a process asks for other members: contacts at which no member is known, and members that are gone.
 
 use super::{Effect, Machine};
 use crate::name::Name;
 use crate::probe::Stage;
-use crate::table::State;
+use crate::table::{Member, State};
 use crate::Micros;
 use std::net::SocketAddr;
 
-/// Tries to join double their pause up to this many times.
-const JOIN_DOUBLINGS: u32 = 3;
-/// The same where others are known, and a contact is not: it may be gone for good, or no member's own address.
-const UNMET_DOUBLINGS: u32 = 7;
+/// Doublings of the backoff between attempts to join.
+const MAX_JOIN_DOUBLINGS: u32 = 3;
+/// The same where other members are known, and a contact is not: it may be gone for good, or no member's own address.
+const MAX_UNMET_DOUBLINGS: u32 = 7;
 
 impl Machine {
-    /// Contacts at which no member is known. Each is asked until one is: a contact that others come to first knows
-    /// them, and would ask no other contact; so those that start together could part into groups that never meet.
-    pub(super) fn unmet(&self) -> impl Iterator<Item = SocketAddr> + '_ {
-        let met = |at: &SocketAddr| self.table.others().any(|member| member.record.address == *at);
-        self.contacts.iter().copied().filter(move |at| !met(at))
+    /// The contacts at which no member is known. Each is asked until one is: a contact that others come to first knows them,
+    /// and would ask no other contact; so those that start together could part into groups that never meet.
+    pub(super) fn unmet_contacts(&self) -> impl Iterator<Item = SocketAddr> + '_ {
+        let is_met =
+            |address: &SocketAddr| self.table.others().any(|member| member.record.address == *address);
+        self.contacts.iter().copied().filter(move |address| !is_met(address))
     }
 
     pub(super) fn wants_contact(&self) -> bool {
-        self.leaving.is_none() && self.unmet().next().is_some()
+        self.leaving.is_none() && self.unmet_contacts().next().is_some()
     }
 
-    pub(super) fn join(&mut self, now: Micros, out: &mut Vec<Effect>) {
-        let unmet: Vec<SocketAddr> = self.unmet().collect();
-        let place = self.below(unmet.len() as u64) as usize;
+    /// Asks one of the contacts, and schedules the next attempt.
+    pub(super) fn join(&mut self, now: Micros, effects: &mut Vec<Effect>) {
+        let unmet: Vec<SocketAddr> = self.unmet_contacts().collect();
+        let place = self.random_index(unmet.len());
         let doublings = match self.table.others().next() {
-            None => self.join_tries.min(JOIN_DOUBLINGS),
-            Some(_) => self.unmet_tries.min(UNMET_DOUBLINGS),
+            None => self.join_attempts.min(MAX_JOIN_DOUBLINGS),
+            Some(_) => self.unmet_attempts.min(MAX_UNMET_DOUBLINGS),
         };
-        let wait = self.config.probe_interval << doublings;
-        self.join_tries += 1;
-        self.unmet_tries = self.unmet_tries.saturating_add(1);
-        self.timers.join = now + wait / 2 + self.below(wait);
-        out.extend(unmet.get(place).map(|&at| Effect::Exchange { address: at }));
+        let backoff = self.config.probe_interval << doublings;
+        self.join_attempts += 1;
+        self.unmet_attempts = self.unmet_attempts.saturating_add(1);
+        self.timers.join = now + backoff / 2 + self.random_below(backoff);
+        effects.extend(unmet.get(place).map(|&address| Effect::Exchange { address }));
     }
 
-    /// Asks one that is gone whether it is back: a cut that has healed is found out so.
-    pub(super) fn reconnect(&mut self, now: Micros, out: &mut Vec<Effect>) {
-        let keep = self.config.retention;
-        let is = |m: &&crate::Member, state| m.state == state;
-        let gone = self.table.iter().filter(|m| is(m, State::Dead) || is(m, State::Left));
-        let old = |m: &&crate::Member| {
-            self.peers.get(&m.record.name).is_some_and(|peer| now.saturating_sub(peer.since) >= keep)
+    /// Pings a dead member, in case it is back: so a partition that has healed is found out. Members that have been gone
+    /// for long are removed.
+    pub(super) fn reconnect(&mut self, now: Micros, effects: &mut Vec<Effect>) {
+        self.remove_expired(now);
+        let is_dead = |member: &&Member| member.state == State::Dead;
+        let dead: Vec<Name> =
+            self.table.iter().filter(is_dead).map(|member| member.record.name.clone()).collect();
+        let place = self.random_index(dead.len());
+        if let Some(name) = dead.get(place) {
+            self.probe(now, name, Stage::Reconnect, false, effects);
+        }
+    }
+
+    fn remove_expired(&mut self, now: Micros) {
+        let has_expired = |member: &&Member| {
+            let since = self.peers.get(&member.record.name).map(|peer| peer.since);
+            since.is_some_and(|since| now.saturating_sub(since) >= self.config.retention)
         };
-        let old: Vec<Name> = gone.filter(old).map(|m| m.record.name.clone()).collect();
-        for name in old {
+        let gone = self.table.iter().filter(|member| matches!(member.state, State::Dead | State::Left));
+        let expired: Vec<Name> = gone.filter(has_expired).map(|member| member.record.name.clone()).collect();
+        for name in expired {
             self.table.remove(&name);
             self.peers.remove(&name);
         }
-        let dead: Vec<Name> =
-            self.table.iter().filter(|m| is(m, State::Dead)).map(|m| m.record.name.clone()).collect();
-        let place = self.below(dead.len() as u64) as usize;
-        if let Some(name) = dead.get(place) {
-            self.probe(now, name, Stage::Reconnect, false, out);
-        }
     }
 }
--- a/membership/src/machine/effect.rs
+++ b/membership/src/machine/effect.rs
@@ -1,4 +1,4 @@
-//! What a machine asks for, what comes of it, and what it has to tell.
+//! What a machine asks its driver for, what comes of that, and what has changed.
 
 use crate::name::Name;
 use crate::packet::{MemberRecord, Packet};
@@ -6,12 +6,12 @@
 use crate::CutOff;
 use std::net::SocketAddr;
 
-/// What a member's machine says when it is asked over a connection.
+/// What a member's machine reports when it is asked over a connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CheckResult {
     /// The member answered.
     Answered(MemberRecord),
-    /// The connection came up and nothing was answered.
+    /// The connection was accepted and not answered.
     Stalled,
     /// Nothing listens there.
     Refused,
@@ -19,7 +19,7 @@
     Unreachable,
 }
 
-/// Something about members that is worth a line.
+/// A change of the membership that is worth a log line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
     /// A member is met for the first time.
@@ -28,29 +28,29 @@
     Restarted(Name),
     /// A member is suspected.
     Suspected {
-        /// Which.
+        /// The member.
         name: Name,
-        /// Whose word it was.
+        /// Who suspects it.
         by: Name,
         /// Why.
         cause: Cause,
     },
     /// A member that was suspected, or taken for gone, runs.
     Recovered(Name),
-    /// A member is taken for gone.
+    /// A member is taken for dead.
     Died {
-        /// Which.
+        /// The member.
         name: Name,
-        /// Whose word settled it.
+        /// Who declared it dead.
         by: Name,
         /// Why.
         cause: Cause,
     },
-    /// A member said that it goes.
+    /// A member announced that it leaves.
     Left(Name),
     /// This process finds itself cut off, or no longer.
     CutOff(Option<CutOff>),
-    /// This process was suspected and has said that it runs.
+    /// This process was suspected and has refuted that.
     Refuted,
     /// Another process that runs claims this name, and has run for less long.
     NameClaimed,
@@ -58,27 +58,27 @@
     Displaced,
 }
 
-/// What is to be done.
+/// What the driver is to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// A datagram.
+    /// Send a datagram.
     Send {
-        /// Where to.
+        /// The receiver's address.
         to: SocketAddr,
-        /// What.
+        /// The packet.
         packet: Packet,
     },
-    /// A connection to a member's address, and a question there; [`super::Machine::checked`] takes what comes of it.
+    /// Connect to a member's address, and ping there; [`super::Machine::check_completed`] takes the result.
     Check {
-        /// Comes back with the verdict.
+        /// Comes back with the result.
         seq: u32,
-        /// Where.
+        /// The member's address.
         address: SocketAddr,
     },
-    /// A full exchange over a connection: what [`super::Machine::exchange`] gives goes there, what comes back to
-    /// [`super::Machine::exchanged`].
+    /// Exchange full states over a connection: [`super::Machine::full_state`] gives what is sent, and
+    /// [`super::Machine::receive_full_state`] takes what comes back.
     Exchange {
-        /// Where.
+        /// The member's address.
         address: SocketAddr,
     },
     /// Something changed.
--- a/membership/src/machine/leaving.rs
+++ b/membership/src/machine/leaving.rs
@@ -1,4 +1,4 @@
-//! A process that goes says so until enough have heard it.
+//! How a process leaves: it announces that until enough members have received it.
 
 use super::{Effect, Machine};
 use crate::name::Name;
@@ -6,48 +6,52 @@
 use crate::Micros;
 use std::collections::BTreeSet;
 
-/// Members that a leaving process wants to have told.
+/// Members that must have received the announcement.
 const MIN_NOTIFIED: usize = 3;
-/// How often it says so, and for how long at the most.
+/// How often it is sent.
 const LEAVE_INTERVAL: Micros = 100_000;
+/// How long it is sent at the most.
 const MAX_LEAVE_TIME: Micros = 2_000_000;
 
 #[derive(Clone, Debug)]
 pub(super) struct Leaving {
     pub(super) notified: BTreeSet<Name>,
-    pub(super) next: Micros,
+    pub(super) next_at: Micros,
     pub(super) until: Micros,
 }
 
 impl Machine {
-    /// This process goes. It says so until enough have heard it; [`Machine::is_gone`] tells when.
-    pub fn leave(&mut self, now: Micros, out: &mut Vec<Effect>) {
+    /// This process leaves. It announces that until enough members have received it; [`Machine::has_left`] tells when.
+    pub fn leave(&mut self, now: Micros, effects: &mut Vec<Effect>) {
         self.table.leave();
-        self.leaving = Some(Leaving { notified: BTreeSet::new(), next: now, until: now + MAX_LEAVE_TIME });
-        self.announce_leave(now, out);
+        let until = now + MAX_LEAVE_TIME;
+        self.leaving = Some(Leaving { notified: BTreeSet::new(), next_at: now, until });
+        self.announce_leave(now, effects);
     }
 
     /// Whether a leaving process need not stay any longer.
-    pub fn is_gone(&self, now: Micros) -> bool {
-        let least = self.table.others().count().min(MIN_NOTIFIED);
-        self.displaced || self.leaving.as_ref().is_some_and(|l| l.notified.len() >= least || now >= l.until)
+    pub fn has_left(&self, now: Micros) -> bool {
+        let wanted = self.table.others().count().min(MIN_NOTIFIED);
+        let is_done = |leaving: &Leaving| leaving.notified.len() >= wanted || now >= leaving.until;
+        self.is_displaced || self.leaving.as_ref().is_some_and(is_done)
     }
 
-    pub(super) fn announce_leave(&mut self, now: Micros, out: &mut Vec<Effect>) {
-        let due = self.leaving.as_ref().is_some_and(|l| now >= l.next);
-        if !due || self.is_gone(now) {
-            if let Some(leaving) = self.leaving.as_mut().filter(|_| due) {
-                leaving.next = Micros::MAX;
-            }
+    pub(super) fn announce_leave(&mut self, now: Micros, effects: &mut Vec<Effect>) {
+        let is_due = self.leaving.as_ref().is_some_and(|leaving| now >= leaving.next_at);
+        if !is_due {
             return;
         }
-        for name in self.sample(MIN_NOTIFIED, None) {
-            let Some(to) = self.table.get(&name).map(|m| m.record.address) else { continue };
-            let seq = self.next_seq();
-            self.send(Some(&name), to, Kind::Ping { seq, to: name.clone() }, out);
-        }
+        let has_left = self.has_left(now);
         if let Some(leaving) = &mut self.leaving {
-            leaving.next = now + LEAVE_INTERVAL;
+            leaving.next_at = if has_left { Micros::MAX } else { now + LEAVE_INTERVAL };
+        }
+        if has_left {
+            return;
+        }
+        for name in self.sample(MIN_NOTIFIED) {
+            let Some(to) = self.table.get(&name).map(|member| member.record.address) else { continue };
+            let seq = self.next_seq();
+            self.send(Some(&name), to, Kind::Ping { seq, to: name.clone() }, effects);
         }
     }
 }
--- a/membership/src/machine/mod.rs
+++ b/membership/src/machine/mod.rs
@@ -1,4 +1,4 @@
-//! The protocol: when a member is probed, suspected, taken for gone and found again.
+//! The protocol: when a member is probed, suspected, declared dead and found again.
 
 mod config;
 mod contacts;
@@ -30,6 +30,7 @@
 use std::net::SocketAddr;
 use suspicion::Suspicion;
 
+/// When each regular action is next due.
 #[derive(Clone, Debug)]
 struct Timers {
     probe: Micros,
@@ -42,14 +43,17 @@
 /// What this process alone knows of a member.
 #[derive(Clone, Debug, Default)]
 struct Peer {
-    heard: Option<Micros>,
+    /// When it was last received directly.
+    received_at: Option<Micros>,
+    /// When its state last changed.
     since: Micros,
     digest: Option<u32>,
     reach: Reach,
     via: Option<Name>,
-    vouched: Micros,
-    /// A probe of it ended in nothing and it has not been heard since.
-    silent: bool,
+    /// When this process last vouched for it.
+    vouched_at: Micros,
+    /// A probe of it failed and it has not been received since.
+    is_silent: bool,
     suspicion: Option<Suspicion>,
 }
 
@@ -61,93 +65,99 @@
     peers: BTreeMap<Name, Peer>,
     random: Pcg32,
     started: Micros,
+    /// When it was to be ticked next.
     due: Micros,
     timers: Timers,
+    /// The other members in the order in which they are probed.
     ring: Vec<Name>,
-    ring_at: usize,
-    seq: u32,
+    ring_position: usize,
+    last_seq: u32,
     probes: BTreeMap<u32, Probe>,
     relays: BTreeMap<u32, Relay>,
+    /// When suspicions end, the earliest first.
     deadlines: BTreeSet<(Micros, Name)>,
     queue: Queue,
     health: Health,
     cut_off: Option<CutOff>,
     contacts: Vec<SocketAddr>,
-    join_tries: u32,
-    unmet_tries: u32,
+    join_attempts: u32,
+    unmet_attempts: u32,
     leaving: Option<Leaving>,
-    displaced: bool,
+    is_displaced: bool,
     rejected: BTreeMap<Rejection, u64>,
     /// Counts the changes of the view.
     version: u64,
 }
 
 impl Machine {
-    /// A process that starts at `now`, reached at `at`. `seed` gives all that is drawn, its life among it, and is new
-    /// with each start. It asks the `contacts` for who else there is.
+    /// A process that starts at `now`, which others reach at `address`. All that is random comes from `seed`, its
+    /// incarnation among it, which is new with each start. It asks the `contacts` for other members.
     pub fn new(
         name: Name,
-        at: SocketAddr,
+        address: SocketAddr,
         contacts: Vec<SocketAddr>,
         config: Config,
         seed: u64,
         now: Micros,
     ) -> Machine {
         let mut random = Pcg32::seed_from_u64(seed);
-        let life = random.next_u64();
-        let card = MemberRecord { name, address: at, stamp: Stamp::first(life), uptime_ms: 0, cut_off: None };
-        let contacts = contacts.into_iter().filter(|contact| *contact != at).collect();
+        let stamp = Stamp::first(random.next_u64());
+        let record = MemberRecord { name, address, stamp, uptime_ms: 0, cut_off: None };
         let mut machine = Machine {
-            table: MemberTable::new(card),
+            table: MemberTable::new(record),
             peers: BTreeMap::new(),
             random,
             started: now,
             due: now,
             timers: Timers { probe: now, gossip: now, sync: now, reconnect: now, join: now },
             ring: Vec::new(),
-            ring_at: 0,
-            seq: 0,
+            ring_position: 0,
+            last_seq: 0,
             probes: BTreeMap::new(),
             relays: BTreeMap::new(),
             deadlines: BTreeSet::new(),
             queue: Queue::default(),
             health: Health::new(now, !config.is_plain_swim),
             cut_off: None,
-            contacts,
-            join_tries: 0,
-            unmet_tries: 0,
+            contacts: contacts.into_iter().filter(|contact| *contact != address).collect(),
+            join_attempts: 0,
+            unmet_attempts: 0,
             leaving: None,
-            displaced: false,
+            is_displaced: false,
             rejected: BTreeMap::new(),
             version: 0,
             config,
         };
-        // Processes that start together do not probe together.
-        machine.timers.probe = now + machine.below(machine.config.probe_interval);
-        machine.timers.sync =
-            now + machine.config.sync_interval + machine.below(machine.config.sync_interval);
-        machine.timers.reconnect = now + machine.below(machine.config.reconnect_interval);
+        machine.spread_timers(now);
         machine
     }
 
-    /// What is known.
+    /// Processes that start together must not probe together.
+    fn spread_timers(&mut self, now: Micros) {
+        let Config { probe_interval, sync_interval, reconnect_interval, .. } = self.config;
+        self.timers.probe = now + self.random_below(probe_interval);
+        self.timers.sync = now + sync_interval + self.random_below(sync_interval);
+        self.timers.reconnect = now + self.random_below(reconnect_interval);
+    }
+
+    /// What is known of members.
     pub fn table(&self) -> &MemberTable {
         &self.table
     }
 
-    /// How this process finds itself cut off.
+    /// How this process finds itself cut off; `None`: it does not.
     pub fn cut_off(&self) -> Option<CutOff> {
         self.cut_off
     }
 
-    /// Counts what came and was not taken.
+    /// Counts what was received and rejected.
     pub fn rejected(&self) -> &BTreeMap<Rejection, u64> {
         &self.rejected
     }
 
-    /// Whether the process may take part in what is settled in common.
+    /// Whether the process may take part in agreements.
     pub fn participates(&self) -> bool {
-        self.cut_off.is_none() && !self.displaced && self.leaving.is_none()
+        self.cut_off.is_none() && !self.is_displaced && self.leaving.is_none()
     }
 
     /// When [`Machine::tick`] is wanted next.
@@ -155,10 +165,10 @@
         let Timers { probe, gossip, sync, reconnect, join } = self.timers;
         let gossip = if self.queue.is_empty() { Micros::MAX } else { gossip };
         let join = if self.wants_contact() { join } else { Micros::MAX };
-        let probes = self.probes.values().map(|p| p.due).min().unwrap_or(Micros::MAX);
-        let relays = self.relays.values().map(|r| r.due).min().unwrap_or(Micros::MAX);
+        let probes = self.probes.values().map(|probe| probe.due).min().unwrap_or(Micros::MAX);
+        let relays = self.relays.values().map(|relay| relay.due).min().unwrap_or(Micros::MAX);
         let deadline = self.deadlines.first().map_or(Micros::MAX, |(at, _)| *at);
-        let leave = self.leaving.as_ref().map_or(Micros::MAX, |l| l.next);
+        let leave = self.leaving.as_ref().map_or(Micros::MAX, |leaving| leaving.next_at);
         [probe, gossip, sync, reconnect, join, probes, relays, deadline, leave]
             .into_iter()
             .min()
@@ -166,46 +176,60 @@
     }
 
     /// Does what is due.
-    pub fn tick(&mut self, now: Micros, out: &mut Vec<Effect>) {
-        if self.displaced {
+    pub fn tick(&mut self, now: Micros, effects: &mut Vec<Effect>) {
+        if self.is_displaced {
             return;
         }
         self.after_pause(now);
-        self.probes_due(now, out);
-        self.relays_due(now, out);
-        self.suspicions_due(now, out);
+        self.handle_due_probes(now, effects);
+        self.handle_due_relays(now, effects);
+        self.handle_due_suspicions(now, effects);
+        self.run_timers(now, effects);
+        self.announce_leave(now, effects);
+        self.assess_connectivity(now, effects);
+        self.schedule(now);
+    }
+
+    fn run_timers(&mut self, now: Micros, effects: &mut Vec<Effect>) {
         if now >= self.timers.probe {
             self.timers.probe = now + self.config.probe_interval * self.health.stretch();
-            self.start_probe(now, out);
+            self.start_probe(now, effects);
         }
         if now >= self.timers.gossip && !self.queue.is_empty() {
             self.timers.gossip = now + self.config.gossip_interval;
-            self.gossip(out);
+            self.gossip(effects);
         }
         if now >= self.timers.sync {
-            let every = self.sync_every();
-            self.timers.sync = now + every / 2 + self.below(every);
-            self.sync(now, out);
+            let interval = self.sync_interval();
+            self.timers.sync = now + interval / 2 + self.random_below(interval);
+            self.sync(now, effects);
         }
         if now >= self.timers.reconnect {
             self.timers.reconnect = now + self.config.reconnect_interval;
-            self.reconnect(now, out);
+            self.reconnect(now, effects);
         }
         if self.wants_contact() && now >= self.timers.join {
-            self.join(now, out);
+            self.join(now, effects);
         }
-        self.announce_leave(now, out);
-        self.assess_connectivity(now, out);
-        // What was due before it was known to be is not late.
+    }
+
+    /// Notes when it is to be ticked next: what was due before it was known to be is not late.
+    fn schedule(&mut self, now: Micros) {
         self.due = self.next_wake().max(now);
     }
 
     fn next_seq(&mut self) -> u32 {
-        self.seq = self.seq.wrapping_add(1);
-        self.seq
+        self.last_seq = self.last_seq.wrapping_add(1);
+        self.last_seq
+    }
+
+    /// A random number below `bound`, which counts as 32 bits at the most; 0 where that is 0.
+    fn random_below(&mut self, bound: u64) -> u64 {
+        (u64::from(self.random.next_u32()) * bound.min(u64::from(u32::MAX))) >> u32::BITS
     }
 
-    fn below(&mut self, bound: u64) -> u64 {
-        (u64::from(self.random.next_u32()) * bound.min(u64::from(u32::MAX))) >> 32
+    /// A random place in a list of so many; 0 where it is empty.
+    fn random_index(&mut self, len: usize) -> usize {
+        usize::try_from(self.random_below(len as u64)).unwrap_or(0)
     }
 }
--- a/membership/src/machine/receive.rs
+++ b/membership/src/machine/receive.rs
@@ -1,17 +1,18 @@
-//! What comes from others: datagrams, answers, whole views and what a member's machine said.
+//! What comes from others: datagrams, answers, full states and the reports of members' machines.
 
+use super::gossip::Forwarding;
 use super::{CheckResult, Effect, Machine};
+use crate::name::Name;
 use crate::packet::{Kind, MemberRecord, Packet, Rejection, Update};
-use crate::probe::Relay;
-use crate::probe::Stage;
+use crate::probe::{Relay, Stage};
 use crate::table::{Cause, State};
 use crate::Micros;
 use std::net::SocketAddr;
 
 impl Machine {
-    /// A datagram came from an address.
-    pub fn receive(&mut self, now: Micros, source: SocketAddr, packet: Packet, out: &mut Vec<Effect>) {
-        if self.displaced {
+    /// Takes a datagram that came from an address.
+    pub fn receive(&mut self, now: Micros, source: SocketAddr, packet: Packet, effects: &mut Vec<Effect>) {
+        if self.is_displaced {
             return;
         }
         self.after_pause(now);
@@ -19,164 +20,220 @@
         if source.ip() != from.address.ip() {
             return self.reject(Rejection::SenderMismatch);
         }
-        if !self.meet_sender(now, &from, out) {
+        if !self.meet_sender(now, &from, effects) {
             return;
         }
         if let Some(peer) = self.peers.get_mut(&from.name) {
             peer.digest = Some(digest);
         }
-        self.apply_updates(now, &updates, true, out);
+        self.apply_updates(now, &updates, Forwarding::Gossip, effects);
+        self.handle_kind(now, &from, kind, effects);
+        self.assess_connectivity(now, effects);
+        self.schedule(now);
+    }
+
+    fn handle_kind(&mut self, now: Micros, from: &MemberRecord, kind: Kind, effects: &mut Vec<Effect>) {
         match kind {
             Kind::Gossip => {}
             Kind::Ping { seq, to } if to == self.table.me().name => {
-                self.send(Some(&from.name), from.address, Kind::Ack { seq }, out);
+                self.send(Some(&from.name), from.address, Kind::Ack { seq }, effects);
             }
-            // Meant for the last owner of this address.
+            // It was meant for the last owner of this address.
             Kind::Ping { .. } => self.reject(Rejection::Unsolicited),
-            Kind::Ack { seq } => self.handle_ack(now, seq, &from, out),
+            Kind::Ack { seq } => self.handle_ack(now, seq, from, effects),
             Kind::PingRequest { seq, name, address } => {
-                let due = now + self.config.ack_timeout * self.health.stretch();
-                let own = self.next_seq();
-                let (origin, origin_at) = (from.name, from.address);
-                let relay = Relay { origin, origin_at, origin_seq: seq, name, address, due, checking: false };
-                self.send(
-                    Some(&relay.name.clone()),
-                    address,
-                    Kind::Ping { seq: own, to: relay.name.clone() },
-                    out,
-                );
-                self.relays.insert(own, relay);
+                self.relay_ping(now, from, seq, name, address, effects);
             }
             Kind::IndirectAck { seq, record } => {
-                let expected = self.probes.get(&seq).is_some_and(|p| p.name == record.name);
-                match self.probes.remove(&seq).filter(|_| expected) {
-                    Some(probe) => {
-                        self.apply_updates(now, &[alive(record)], true, out);
-                        self.probe_succeeded(now, &probe, Some(&from.name));
-                    }
-                    None => self.reject(Rejection::Unsolicited),
-                }
+                self.handle_indirect_ack(now, seq, &from.name, record, effects);
+            }
+            Kind::IndirectNack { seq, is_refused } => {
+                self.handle_indirect_nack(seq, &from.name, is_refused);
             }
-            Kind::IndirectNack { seq, is_refused } => match self.probes.get_mut(&seq) {
-                Some(probe) if probe.helpers.contains(&from.name) => {
-                    if is_refused {
-                        probe.refused.insert(from.name.clone());
-                    }
-                    probe.nacks.insert(from.name);
-                }
-                _ => self.reject(Rejection::Unsolicited),
-            },
         }
-        self.assess_connectivity(now, out);
-        // What was due before it was known to be is not late.
-        self.due = self.next_wake().max(now);
     }
 
-    /// What a member's machine said.
-    pub fn check_completed(&mut self, now: Micros, seq: u32, verdict: CheckResult, out: &mut Vec<Effect>) {
-        if let Some(relay) = self.relays.remove(&seq) {
-            let (to, seq) = (relay.origin_at, relay.origin_seq);
-            let kind = match verdict {
-                CheckResult::Answered(card) if card.name == relay.name => {
-                    Kind::IndirectAck { seq, record: card }
+    /// Pings a member for another one.
+    fn relay_ping(
+        &mut self,
+        now: Micros,
+        from: &MemberRecord,
+        origin_seq: u32,
+        name: Name,
+        address: SocketAddr,
+        effects: &mut Vec<Effect>,
+    ) {
+        let due = now + self.config.ack_timeout * self.health.stretch();
+        let seq = self.next_seq();
+        self.send(Some(&name), address, Kind::Ping { seq, to: name.clone() }, effects);
+        let relay = Relay {
+            origin: from.name.clone(),
+            origin_address: from.address,
+            origin_seq,
+            name,
+            address,
+            due,
+            is_checking: false,
+        };
+        self.relays.insert(seq, relay);
+    }
+
+    fn handle_indirect_ack(
+        &mut self,
+        now: Micros,
+        seq: u32,
+        helper: &Name,
+        record: MemberRecord,
+        effects: &mut Vec<Effect>,
+    ) {
+        let is_expected = self.probes.get(&seq).is_some_and(|probe| probe.name == record.name);
+        match self.probes.remove(&seq).filter(|_| is_expected) {
+            Some(probe) => {
+                self.apply_updates(now, &[alive(record)], Forwarding::Gossip, effects);
+                self.probe_succeeded(now, &probe, Some(helper));
+            }
+            None => self.reject(Rejection::Unsolicited),
+        }
+    }
+
+    fn handle_indirect_nack(&mut self, seq: u32, helper: &Name, is_refused: bool) {
+        match self.probes.get_mut(&seq) {
+            Some(probe) if probe.helpers.contains(helper) => {
+                if is_refused {
+                    probe.refusals.insert(helper.clone());
                 }
-                CheckResult::Refused => Kind::IndirectNack { seq, is_refused: true },
-                _ => Kind::IndirectNack { seq, is_refused: false },
-            };
-            return self.send(Some(&relay.origin), to, kind, out);
-        }
-        if let CheckResult::Answered(card) = &verdict {
-            if let Some(probe) = self.probes.remove(&seq).filter(|probe| probe.name == card.name) {
-                self.apply_updates(now, &[alive(card.clone())], true, out);
-                self.health.heard_from_other(now);
-                self.probe_succeeded(now, &probe, None);
+                probe.nacks.insert(helper.clone());
             }
-            return;
+            _ => self.reject(Rejection::Unsolicited),
         }
-        let Some(probe) = self.probes.get_mut(&seq) else { return };
-        probe.checked = match verdict {
+    }
+
+    /// Takes the report of a member's machine, which [`Effect::Check`] has asked for.
+    pub fn check_completed(&mut self, now: Micros, seq: u32, result: CheckResult, effects: &mut Vec<Effect>) {
+        if let Some(relay) = self.relays.remove(&seq) {
+            return self.answer_relay(&relay, result, effects);
+        }
+        let cause = match result {
+            CheckResult::Answered(record) => return self.handle_check_answer(now, seq, record, effects),
             CheckResult::Refused => Some(Cause::Refused),
             CheckResult::Stalled => Some(Cause::Stalled),
-            CheckResult::Answered(_) | CheckResult::Unreachable => None,
+            CheckResult::Unreachable => None,
         };
+        if let Some(probe) = self.probes.get_mut(&seq) {
+            probe.check = cause;
+        }
     }
 
-    /// The other side of a full exchange, from an address.
+    /// Tells the member that asked for a probe what came of it.
+    fn answer_relay(&mut self, relay: &Relay, result: CheckResult, effects: &mut Vec<Effect>) {
+        let seq = relay.origin_seq;
+        let kind = match result {
+            CheckResult::Answered(record) if record.name == relay.name => Kind::IndirectAck { seq, record },
+            CheckResult::Refused => Kind::IndirectNack { seq, is_refused: true },
+            _ => Kind::IndirectNack { seq, is_refused: false },
+        };
+        self.send(Some(&relay.origin), relay.origin_address, kind, effects);
+    }
+
+    /// A member answered over a connection.
+    fn handle_check_answer(
+        &mut self,
+        now: Micros,
+        seq: u32,
+        record: MemberRecord,
+        effects: &mut Vec<Effect>,
+    ) {
+        if let Some(probe) = self.probes.remove(&seq).filter(|probe| probe.name == record.name) {
+            self.apply_updates(now, &[alive(record)], Forwarding::Gossip, effects);
+            self.health.received(now);
+            self.probe_succeeded(now, &probe, None);
+        }
+    }
+
+    /// Takes the other side of a full exchange, which came from an address.
     pub fn receive_full_state(
         &mut self,
         now: Micros,
         source: SocketAddr,
-        packet: Packet,
-        out: &mut Vec<Effect>,
+        packet: &Packet,
+        effects: &mut Vec<Effect>,
     ) {
-        if self.displaced {
+        if self.is_displaced {
             return;
         }
         if source.ip() != packet.from.address.ip() {
             return self.reject(Rejection::SenderMismatch);
         }
-        if !self.meet_sender(now, &packet.from, out) {
+        if !self.meet_sender(now, &packet.from, effects) {
             return;
         }
         self.health.answered();
-        self.join_tries = 0;
-        // What came whole is not sent on word by word: the others' exchanges bring it.
-        self.apply_updates(now, &packet.updates, false, out);
+        self.join_attempts = 0;
+        self.apply_updates(now, &packet.updates, Forwarding::Keep, effects);
         if let Some(peer) = self.peers.get_mut(&packet.from.name) {
             peer.digest = Some(packet.digest);
         }
-        self.assess_connectivity(now, out);
+        self.assess_connectivity(now, effects);
     }
 
-    /// Takes what a speaker's card says of it; whether it may be listened to.
-    pub(super) fn meet_sender(&mut self, now: Micros, from: &MemberRecord, out: &mut Vec<Effect>) -> bool {
+    /// Takes what a sender announces of itself. Returns whether anything else that it sends is taken.
+    fn meet_sender(&mut self, now: Micros, from: &MemberRecord, effects: &mut Vec<Effect>) -> bool {
         let me = self.table.me();
         if from.name == me.name {
             if from.stamp.incarnation != me.stamp.incarnation {
-                self.apply_updates(now, &[alive(from.clone())], true, out);
+                self.apply_updates(now, &[alive(from.clone())], Forwarding::Gossip, effects);
                 // It learns from the answer whose the name is.
-                let (to, kind) = (from.address, Kind::Gossip);
-                self.send(None, to, kind, out);
+                self.send(None, from.address, Kind::Gossip, effects);
             }
             return false;
         }
-        let known = self.table.get(&from.name).map(|known| known.record.stamp);
-        if known.is_some_and(|known| known.incarnation != from.stamp.incarnation && known > from.stamp) {
+        if self.is_earlier_incarnation(from) {
             self.reject(Rejection::EarlierIncarnation);
-            // A process that has just started does not know yet what came before it, and must hear of it from whoever
-            // takes that to run still: as long as it does not, nothing that it says is taken.
+            // A process that has just started does not know yet what came before it, and must hear of that from a member
+            // that takes the earlier process to run still: as long as it does not, nothing that it sends is taken.
             let updates = self.table.update(&from.name).into_iter().collect();
-            out.push(Effect::Send {
-                to: from.address,
-                packet: Packet { updates, ..self.packet(Kind::Gossip) },
-            });
+            let packet = Packet { updates, ..self.packet(Kind::Gossip) };
+            effects.push(Effect::Send { to: from.address, packet });
             return false;
         }
-        self.apply_updates(now, &[alive(from.clone())], true, out);
-        let Some(member) = self.table.get(&from.name) else { return false };
-        if member.record.stamp.incarnation != from.stamp.incarnation {
-            return false;
+        self.apply_updates(now, &[alive(from.clone())], Forwarding::Gossip, effects);
+        let member = self.table.get(&from.name);
+        let is_current =
+            member.is_some_and(|member| member.record.stamp.incarnation == from.stamp.incarnation);
+        if is_current {
+            self.note_received(now, &from.name);
         }
-        let (suspect, stamp) = (member.state == State::Suspect, member.record.stamp);
-        self.health.heard_from_other(now);
-        let interval = self.config.probe_interval;
-        if self.peers.get_mut(&from.name).is_some_and(|peer| std::mem::take(&mut peer.silent)) {
-            self.health.ignored(now, self.config.probe_interval);
+        is_current
+    }
+
+    /// Whether a sender is a process that another with its name has superseded.
+    fn is_earlier_incarnation(&self, from: &MemberRecord) -> bool {
+        let known = self.table.get(&from.name).map(|known| known.record.stamp);
+        known.is_some_and(|known| known.incarnation != from.stamp.incarnation && known > from.stamp)
+    }
+
+    /// A member was received directly.
+    fn note_received(&mut self, now: Micros, name: &Name) {
+        let Some(member) = self.table.get(name) else { return };
+        let (is_suspect, stamp) = (member.state == State::Suspect, member.record.stamp);
+        let probe_interval = self.config.probe_interval;
+        self.health.received(now);
+        if self.peers.get_mut(name).is_some_and(|peer| std::mem::take(&mut peer.is_silent)) {
+            self.health.ignored(now, probe_interval);
         }
-        let Some(peer) = self.peers.get_mut(&from.name) else { return true };
-        peer.heard = Some(now);
+        let Some(peer) = self.peers.get_mut(name) else { return };
+        peer.received_at = Some(now);
         peer.reach.from_it = Some(true);
-        if suspect && !self.config.is_plain_swim {
-            self.restart_suspicion(now, &from.name);
-            let peer = self.peers.get(&from.name);
-            if peer.is_some_and(|peer| now.saturating_sub(peer.vouched) >= interval) {
-                self.vouch(now, &from.name, stamp);
+        let vouched_at = peer.vouched_at;
+        if is_suspect && !self.config.is_plain_swim {
+            self.restart_suspicion(now, name);
+            if now.saturating_sub(vouched_at) >= probe_interval {
+                self.vouch(now, name, stamp);
             }
         }
-        true
     }
 
-    pub(super) fn handle_ack(&mut self, now: Micros, seq: u32, from: &MemberRecord, out: &mut Vec<Effect>) {
+    fn handle_ack(&mut self, now: Micros, seq: u32, from: &MemberRecord, effects: &mut Vec<Effect>) {
         if let Some(leaving) = &mut self.leaving {
             leaving.notified.insert(from.name.clone());
         }
@@ -184,15 +241,14 @@
             if let Some(probe) = self.probes.remove(&seq) {
                 let digest = self.peers.get(&probe.name).and_then(|peer| peer.digest);
                 if probe.stage == Stage::Compare && digest != Some(self.table.digest()) {
-                    out.push(Effect::Exchange { address: from.address });
+                    effects.push(Effect::Exchange { address: from.address });
                 }
                 return self.probe_succeeded(now, &probe, None);
             }
         }
         match self.relays.remove(&seq) {
             Some(relay) if relay.name == from.name => {
-                let kind = Kind::IndirectAck { seq: relay.origin_seq, record: from.clone() };
-                self.send(Some(&relay.origin), relay.origin_at, kind, out);
+                self.answer_relay(&relay, CheckResult::Answered(from.clone()), effects);
             }
             _ if self.leaving.is_some() => {}
             _ => self.reject(Rejection::Unsolicited),
@@ -204,6 +260,6 @@
     }
 }
 
-fn alive(card: MemberRecord) -> Update {
-    Update { record: card, state: State::Alive, by: None }
+fn alive(record: MemberRecord) -> Update {
+    Update { record, state: State::Alive, by: None }
 }
--- a/membership/src/machine/self_check.rs
+++ b/membership/src/machine/self_check.rs
@@ -5,34 +5,37 @@
 use crate::Micros;
 
 impl Machine {
-    /// A process that was stopped or starved looks at its own watch first: what did not come meanwhile came to nobody.
+    /// A process that was stopped or starved looks at its own clock first: what was not received meanwhile was received by
+    /// nobody.
     pub(super) fn after_pause(&mut self, now: Micros) {
         let late = now.saturating_sub(self.due);
-        if self.config.is_plain_swim || late < self.config.probe_interval / 2 {
+        let probe_interval = self.config.probe_interval;
+        if self.config.is_plain_swim || late < probe_interval / 2 {
             return;
         }
         self.due = now;
         self.health.paused(now);
         self.probes.clear();
         self.relays.clear();
-        let all = std::mem::take(&mut self.deadlines);
-        for (_, name) in all {
-            if let Some(suspicion) = self.peers.get_mut(&name).and_then(|peer| peer.suspicion.as_mut()) {
+        for (_, name) in std::mem::take(&mut self.deadlines) {
+            let suspicion = self.peers.get_mut(&name).and_then(|peer| peer.suspicion.as_mut());
+            if let Some(suspicion) = suspicion {
                 suspicion.since += late;
-                suspicion.deadline = suspicion.deadline.max(now) + self.config.probe_interval;
+                suspicion.deadline = suspicion.deadline.max(now) + probe_interval;
                 self.deadlines.insert((suspicion.deadline, name));
             }
         }
     }
 
-    pub(super) fn assess_connectivity(&mut self, now: Micros, out: &mut Vec<Effect>) {
+    /// Finds out whether the process is cut off, and announces where that has changed.
+    pub(super) fn assess_connectivity(&mut self, now: Micros, effects: &mut Vec<Effect>) {
         let cut_off = self.health.cut_off(now, self.config.probe_interval);
         if cut_off != self.cut_off && self.leaving.is_none() {
             self.cut_off = cut_off;
             self.version += 1;
-            self.table.announce(self.uptime_ms(now), |card| card.cut_off = cut_off);
+            self.table.announce(self.uptime_ms(now), |record| record.cut_off = cut_off);
             self.announce_self();
-            out.push(Effect::Changed(Change::CutOff(cut_off)));
+            effects.push(Effect::Changed(Change::CutOff(cut_off)));
         }
     }
 
--- a/membership/src/packet.rs
+++ b/membership/src/packet.rs
@@ -1,4 +1,5 @@
-//! What members say to each other. How it becomes bytes is up to the driver.
+//! What members send to each other. How it is encoded is up to the driver, which encodes by position: neither the order of
+//! fields nor that of variants may change.
 
 use crate::name::{Name, Stamp};
 use crate::table::{State, SuspicionReport};
@@ -6,109 +7,112 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Who speaks: also an update on the speaker, carried by every packet.
+/// Encoded size of an update beside its names, at the most: incarnation 10 bytes, generation and sequence 5 each, uptime 5,
+/// address 22, state, flags and lengths.
+const MAX_UPDATE_BYTES_BESIDE_NAMES: usize = 52;
+
+/// A member as it announces itself; carried by each of its packets.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct MemberRecord {
     /// Its name.
     pub name: Name,
     /// Where others reach it, over UDP and TCP.
     pub address: SocketAddr,
-    /// Its life, and how much it has said of itself.
+    /// Orders its announcements.
     pub stamp: Stamp,
     /// How long it had run when it took this stamp, in milliseconds: of two processes with one name the older stays.
     pub uptime_ms: u32,
-    /// Whether it finds itself cut off.
+    /// How it finds itself cut off; `None`: it does not.
     pub cut_off: Option<CutOff>,
 }
 
-/// What is said of a member.
+/// An update on a member.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Update {
-    /// Of whom, as it last spoke.
+    /// The member, as it last announced itself.
     pub record: MemberRecord,
     /// Whether it runs.
     pub state: State,
-    /// By whose word, where that is not its own.
+    /// Who says so, where that is not the member itself.
     pub by: Option<SuspicionReport>,
 }
 
 impl Update {
-    /// Bytes that it takes in a packet at the most: what bounds the updates that a packet carries.
-    pub fn bytes(&self) -> usize {
-        let by = self.by.as_ref().map_or(0, |word| word.by.as_str().len() + 2);
-        // Life 10, generation and incarnation 5 each, uptime 5, address 22, state, flags and lengths.
-        self.record.name.as_str().len() + by + 52
+    /// Maximum encoded size: what limits the updates that a packet carries.
+    pub fn max_bytes(&self) -> usize {
+        let by = self.by.as_ref().map_or(0, |report| report.by.as_str().len() + 2);
+        self.record.name.as_str().len() + by + MAX_UPDATE_BYTES_BESIDE_NAMES
     }
 }
 
 /// The kinds of packets.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Kind {
-    /// Are you there?
+    /// A probe.
     Ping {
         /// Comes back with the answer.
         seq: u32,
-        /// Whom it is meant for: one that took over an address must not answer for its last owner.
+        /// The member that is probed: another that took over its address must not answer for it.
         to: Name,
     },
-    /// I am.
+    /// The answer to `Ping`.
     Ack {
-        /// The ping's.
+        /// That of the ping.
         seq: u32,
     },
-    /// Ask another whether it is there, and tell me.
+    /// The request to probe another member (SWIM's ping-req).
     PingRequest {
         /// Comes back with the answer.
         seq: u32,
-        /// Whom.
+        /// The member to probe.
         name: Name,
-        /// Where.
+        /// Its address.
         address: SocketAddr,
     },
-    /// The one you asked for has answered me.
+    /// The answer to `PingRequest` where the member has answered.
     IndirectAck {
-        /// The request's.
+        /// That of the request.
         seq: u32,
-        /// It, as it answered.
+        /// The member, as it announced itself with its answer.
         record: MemberRecord,
     },
-    /// I am there, and the one you asked for has not answered me.
+    /// The answer to `PingRequest` where the member has not answered.
     IndirectNack {
-        /// The request's.
+        /// That of the request.
         seq: u32,
-        /// Its machine says that nothing listens there.
+        /// The member's machine reports that nothing listens there.
         is_refused: bool,
     },
-    /// Nothing but the updates.
+    /// Nothing but updates.
     Gossip,
 }
 
 /// One datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Packet {
-    /// Who speaks.
+    /// The sender.
     pub from: MemberRecord,
-    /// Digest of its view.
+    /// The digest of the sender's view.
     pub digest: u32,
-    /// What for.
+    /// What the packet is for.
     pub kind: Kind,
-    /// What it says of others, and of whom it speaks to.
+    /// Updates on others, and on the receiver.
     pub updates: Vec<Update>,
 }
 
-/// Why something that came was not taken.
+/// Why something that was received is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rejection {
-    /// It claims a name whose address is not where it came from.
+    /// It did not come from the address of its sender.
     #[serde(rename = "not-its-sender")]
     SenderMismatch,
-    /// It came from a life of its sender that is over.
+    /// It is of an earlier incarnation of its sender.
     #[serde(rename = "earlier-life")]
     EarlierIncarnation,
-    /// It says what no member can have said: a count near its top, a life of its own that it does not have.
+    /// No member can have announced it: a count near its maximum, or an incarnation of the receiver that it does not have.
     Implausible,
-    /// It names one more member than are kept.
+    /// It names one member more than are stored.
     TooMany,
     /// It answers nothing that was asked.
     #[serde(rename = "unasked")]
--- a/membership/src/probe.rs
+++ b/membership/src/probe.rs
@@ -1,4 +1,4 @@
-//! What is out: own probes, and those made for others.
+//! Probes that are under way: a process's own, and those that it makes for others.
 
 use crate::name::{Name, Stamp};
 use crate::table::Cause;
@@ -9,45 +9,45 @@
 /// How far a probe has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Stage {
-    /// The member itself was asked.
+    /// The member itself was pinged.
     Direct,
-    /// Others were asked to ask it, and its machine whether anything listens.
+    /// Others were asked to ping it, and its machine whether anything listens.
     Indirect,
-    /// A member that is gone was asked, in case it is back: no answer says nothing.
+    /// A member that is gone was pinged, in case it is back: no answer says nothing.
     Reconnect,
-    /// A member was asked for its digest: where it differs, a full exchange follows.
+    /// A member was pinged for its digest: where that differs, a full exchange follows.
     Compare,
 }
 
-/// An own probe.
+/// A process's own probe.
 #[derive(Clone, Debug)]
 pub(crate) struct Probe {
     pub(crate) name: Name,
     pub(crate) stamp: Stamp,
-    pub(crate) sent: Micros,
+    pub(crate) sent_at: Micros,
     pub(crate) due: Micros,
     pub(crate) stage: Stage,
-    /// All who can be asked to ask it are, not a few: what is believed after this is not taken back lightly.
-    pub(crate) last_call: bool,
-    /// Who was asked to ask.
+    /// It is made through as many helpers as there are: what is believed after it is not taken back lightly.
+    pub(crate) is_final: bool,
+    /// The members that were asked to ping.
     pub(crate) helpers: Vec<Name>,
-    /// Who said that it got no answer either.
+    /// Those of them that got no answer either.
     pub(crate) nacks: BTreeSet<Name>,
-    /// Who was told that nothing listens there.
-    pub(crate) refused: BTreeSet<Name>,
-    /// What its machine said.
-    pub(crate) checked: Option<Cause>,
+    /// Those of them that were told that nothing listens there.
+    pub(crate) refusals: BTreeSet<Name>,
+    /// What the member's machine reported.
+    pub(crate) check: Option<Cause>,
 }
 
-/// A probe for another.
+/// A probe for another member.
 #[derive(Clone, Debug)]
 pub(crate) struct Relay {
     pub(crate) origin: Name,
-    pub(crate) origin_at: SocketAddr,
+    pub(crate) origin_address: SocketAddr,
     pub(crate) origin_seq: u32,
     pub(crate) name: Name,
     pub(crate) address: SocketAddr,
     pub(crate) due: Micros,
-    /// Its machine has been asked.
-    pub(crate) checking: bool,
+    /// The member's machine has been asked.
+    pub(crate) is_checking: bool,
 }
--- a/membership/src/table.rs
+++ b/membership/src/table.rs
@@ -1,5 +1,5 @@
-//! What is known of each member, and how two words on one are brought together. No time takes part, so that the rules
-//! can be checked over every order in which words may come.
+//! What is known of each member, and how two updates on one are merged. No time takes part, so that the rules can be checked
+//! over every order in which updates may come.
 
 use crate::name::{Name, Stamp};
 use crate::packet::{MemberRecord, Rejection, Update};
@@ -8,46 +8,46 @@
 use std::collections::BTreeMap;
 use std::hash::{Hash, Hasher};
 
-/// Members that are kept at the most, those that are gone among them.
+/// Maximum number of members that are stored, those that are gone among them.
 const MAX_MEMBERS: usize = 4_096;
-/// Words on one suspicion that are kept: more shorten it no further.
+/// Maximum number of reports that are stored on one suspicion: more shorten it no further.
 const MAX_SUSPICION_REPORTS: usize = 8;
-/// Lives of its own name that a process has claimed over and remembers.
+/// Maximum number of processes with its own name that a process has superseded and remembers.
 const MAX_SUPERSEDED: usize = 8;
 
-/// Whether a member's process runs, by anyone's word. Later ones go before earlier ones where the stamp is the same.
+/// Whether a member's process runs, by any member's word. Later ones go before earlier ones where the stamp is the same.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum State {
     /// It runs.
     Alive,
-    /// Somebody hears it while others suspect it; kept of nobody, only said.
+    /// Some member receives it while others suspect it; never stored, only announced.
     #[serde(rename = "heard")]
     Vouched,
-    /// Somebody has not heard it for too long.
+    /// Some member has not received it for too long.
     Suspect,
-    /// It has not been heard by anybody for too long, or its machine says that it does not run.
+    /// No member has received it for too long, or its machine reports that it does not run.
     Dead,
-    /// It said that it goes.
+    /// It announced that it leaves.
     Left,
 }
 
-/// What a word of suspicion rests on.
+/// What a suspicion rests on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Cause {
-    /// Nothing came back, directly or through others.
+    /// It did not answer, directly or through others.
     Silent,
-    /// Its machine takes connections for it and it does not answer: it is stopped or busy.
+    /// Its machine accepts connections for it and it does not answer: it is stopped or busy.
     Stalled,
-    /// Its machine says that nothing listens there.
+    /// Its machine reports that nothing listens there.
     Refused,
 }
 
-/// Who suspects a member, and why.
+/// A member's suspicion of another.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct SuspicionReport {
-    /// Who.
+    /// The member that suspects.
     pub by: Name,
     /// Why.
     pub cause: Cause,
@@ -56,15 +56,15 @@
 /// A member, as it is known.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Member {
-    /// As it last spoke of itself.
+    /// As it last announced itself.
     pub record: MemberRecord,
     /// Whether it runs.
     pub state: State,
-    /// Who suspects this stamp of it.
+    /// Who suspects it, with this stamp.
     pub suspicions: Vec<SuspicionReport>,
 }
 
-/// What a word has changed.
+/// What an update has changed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MergeResult {
     /// Nothing: it was known, or older than what is.
@@ -73,21 +73,20 @@
     New,
     /// A member's process is another than before.
     Restarted,
-    /// Another state, or newer word from the member itself.
+    /// A member's state, or its own announcement.
     Changed {
-        /// What it was.
+        /// The state before.
         from: State,
     },
-    /// One more suspects it.
+    /// One member more suspects it.
     Confirmed,
-    /// Somebody hears a suspect.
+    /// Some member receives a suspect.
     Vouched,
     /// It was about this process, which runs: the own stamp is one further.
     Refuted,
-    /// This name was another process's: the own stamp is above that now. `living`: that one claimed the name anew
-    /// after this process did, so it runs.
+    /// This name was another process's: the own stamp supersedes that now.
     Claimed {
-        /// Whether the other one runs.
+        /// The other process claimed the name anew after this one did, so it runs.
         is_running: bool,
     },
     /// Another process with this name runs, and has run for longer.
@@ -96,23 +95,29 @@
     Rejected(Rejection),
 }
 
+/// A process with the own name whose stamp was superseded.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+struct Superseded {
+    incarnation: u64,
+    generation: u32,
+}
+
 /// All that is known of members, this process among them.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct MemberTable {
     me: Name,
     members: BTreeMap<Name, Member>,
-    /// Lives of this name that were claimed over, with the generation they had.
-    superseded: Vec<(u64, u32)>,
-    leaving: bool,
+    superseded: Vec<Superseded>,
+    is_leaving: bool,
     digest: u32,
 }
 
-/// What a member adds to the digest: those that are gone add nothing.
-fn part(member: &Member) -> u32 {
+/// What a member adds to the digest: those that are gone add nothing, and suspicions are no difference of views.
+#[expect(clippy::cast_possible_truncation, reason = "both halves of the hash are folded into one")]
+fn digest_of(member: &Member) -> u32 {
     if matches!(member.state, State::Dead | State::Left) {
         return 0;
     }
-    // One member's suspicions are no difference of views.
     let mut hasher = SipHasher13::new();
     (&member.record.name, member.record.stamp, member.record.cut_off).hash(&mut hasher);
     let hash = hasher.finish();
@@ -120,13 +125,13 @@
 }
 
 impl MemberTable {
-    /// Knows only this process.
+    /// The table of a process that knows only itself.
     pub fn new(me: MemberRecord) -> MemberTable {
         let name = me.name.clone();
         let member = Member { record: me, state: State::Alive, suspicions: Vec::new() };
-        let digest = part(&member);
+        let digest = digest_of(&member);
         let members = BTreeMap::from([(name.clone(), member)]);
-        MemberTable { me: name, members, superseded: Vec::new(), leaving: false, digest }
+        MemberTable { me: name, members, superseded: Vec::new(), is_leaving: false, digest }
     }
 
     /// This process.
@@ -134,7 +139,7 @@
         &self.members[&self.me].record
     }
 
-    /// A member.
+    /// A member, by its name.
     pub fn get(&self, name: &Name) -> Option<&Member> {
         self.members.get(name)
     }
@@ -144,158 +149,177 @@
         self.members.values()
     }
 
-    /// The others that are taken to run.
+    /// The other members that are taken to run.
     pub fn others(&self) -> impl Iterator<Item = &Member> {
-        self.iter().filter(|m| m.record.name != self.me && matches!(m.state, State::Alive | State::Suspect))
+        let runs = |member: &&Member| matches!(member.state, State::Alive | State::Suspect);
+        self.iter().filter(|member| member.record.name != self.me).filter(runs)
     }
 
-    /// The same for two processes that take the same members in the same lives to run.
+    /// The same for two processes that take the same members, in the same incarnations, to run.
     pub fn digest(&self) -> u32 {
         self.digest
     }
 
-    /// What can be said of a member.
+    /// The update that announces a member.
     pub fn update(&self, name: &Name) -> Option<Update> {
         let Member { record, state, suspicions } = self.members.get(name)?;
-        let by = suspicions.last().filter(|_| *state == State::Suspect);
-        Some(Update { record: record.clone(), state: *state, by: by.cloned() })
+        let by = suspicions.last().filter(|_| *state == State::Suspect).cloned();
+        Some(Update { record: record.clone(), state: *state, by })
     }
 
-    /// Says something new of this process itself.
+    /// Announces something new of this process itself.
     pub fn announce(&mut self, uptime_ms: u32, change: impl FnOnce(&mut MemberRecord)) {
         let stamp = self.me().stamp;
         self.restamp(stamp.after(stamp), uptime_ms, change);
     }
 
-    /// This process goes: from here on it refutes nothing.
+    /// This process leaves: from here on it refutes nothing.
     pub fn leave(&mut self) {
-        self.leaving = true;
+        self.is_leaving = true;
         self.change(&self.me.clone(), |me| me.state = State::Left);
     }
 
-    /// Forgets a member that is gone.
+    /// Removes a member that is gone.
     pub fn remove(&mut self, name: &Name) {
-        if self.members.get(name).is_some_and(|m| matches!(m.state, State::Dead | State::Left)) {
+        let is_gone = |member: &Member| matches!(member.state, State::Dead | State::Left);
+        if self.members.get(name).is_some_and(is_gone) {
             self.members.remove(name);
         }
     }
 
-    /// Takes a word in. `uptime_ms` is this process's own.
+    /// Merges an update. `uptime_ms` is this process's own.
     pub fn merge(&mut self, update: &Update, uptime_ms: u32) -> MergeResult {
-        let Update { record, state, by } = update;
-        let known = self.members.get(&record.name);
-        if !record.stamp.is_plausible(known.map(|known| known.record.stamp)) {
+        let known = self.members.get(&update.record.name);
+        let known_stamp = known.map(|known| known.record.stamp);
+        if !update.record.stamp.is_plausible(known_stamp) {
             return MergeResult::Rejected(Rejection::Implausible);
         }
-        if record.name == self.me {
+        if update.record.name == self.me {
             return self.merge_own(update, uptime_ms);
         }
-        let word = by.clone();
-        let Some(known) = known else {
-            // Whoever was never met and is gone is nobody's loss; a vouch without a member says nothing.
-            return match state {
-                State::Vouched | State::Dead | State::Left => MergeResult::Stale,
-                _ if self.members.len() >= MAX_MEMBERS => MergeResult::Rejected(Rejection::TooMany),
-                _ => {
-                    let words = word.into_iter().collect();
-                    let member = Member { record: record.clone(), state: *state, suspicions: words };
-                    self.digest ^= part(&member);
-                    self.members.insert(record.name.clone(), member);
-                    MergeResult::New
-                }
-            };
-        };
-        let (stamp, from) = (known.record.stamp, known.state);
+        match known {
+            Some(known) => {
+                let (stamp, state) = (known.record.stamp, known.state);
+                self.merge_known(update, stamp, state)
+            }
+            None => self.merge_unknown(update),
+        }
+    }
+
+    /// Merges an update on a member that is not known. One that was never met and is gone is of no interest; a vouch
+    /// without a member says nothing.
+    fn merge_unknown(&mut self, update: &Update) -> MergeResult {
+        match update.state {
+            State::Vouched | State::Dead | State::Left => MergeResult::Stale,
+            _ if self.members.len() >= MAX_MEMBERS => MergeResult::Rejected(Rejection::TooMany),
+            _ => {
+                let member = Member {
+                    record: update.record.clone(),
+                    state: update.state,
+                    suspicions: update.by.clone().into_iter().collect(),
+                };
+                self.digest ^= digest_of(&member);
+                self.members.insert(update.record.name.clone(), member);
+                MergeResult::New
+            }
+        }
+    }
+
+    /// Merges an update on a member that is known, with this stamp and state.
+    fn merge_known(&mut self, update: &Update, stamp: Stamp, from: State) -> MergeResult {
+        let Update { record, state, by } = update;
         if *state == State::Vouched {
-            let vouched = record.stamp == stamp && from == State::Suspect;
-            return if vouched { MergeResult::Vouched } else { MergeResult::Stale };
+            let is_vouch = record.stamp == stamp && from == State::Suspect;
+            return if is_vouch { MergeResult::Vouched } else { MergeResult::Stale };
         }
         if record.stamp == stamp && *state == State::Suspect && from == State::Suspect {
-            return self.confirm(&record.name, word);
+            return self.confirm(&record.name, by.clone());
         }
         if (record.stamp, *state) <= (stamp, from) {
             return MergeResult::Stale;
         }
-        let restarted = record.stamp.incarnation != stamp.incarnation;
-        let said = record.stamp > stamp;
+        let is_announced = record.stamp > stamp;
         self.change(&record.name, |member| {
-            // What others say of a stamp does not change what the member said with it.
-            if said {
+            // What others say of a stamp does not change what the member announced with it.
+            if is_announced {
                 member.record = record.clone();
             }
             member.state = *state;
-            member.suspicions = word.into_iter().collect();
+            member.suspicions = by.clone().into_iter().collect();
         });
-        if restarted {
-            MergeResult::Restarted
-        } else {
+        if record.stamp.incarnation == stamp.incarnation {
             MergeResult::Changed { from }
+        } else {
+            MergeResult::Restarted
         }
     }
 
-    fn confirm(&mut self, name: &Name, word: Option<SuspicionReport>) -> MergeResult {
-        let (Some(word), Some(member)) = (word, self.members.get_mut(name)) else {
-            return MergeResult::Stale;
-        };
-        let full = member.suspicions.len() >= MAX_SUSPICION_REPORTS;
-        match member.suspicions.iter_mut().find(|known| known.by == word.by) {
-            Some(known) if known.cause >= word.cause => return MergeResult::Stale,
-            Some(known) => known.cause = word.cause,
-            None if full => return MergeResult::Stale,
-            None => member.suspicions.push(word),
+    /// One member more suspects a suspect.
+    fn confirm(&mut self, name: &Name, report: Option<SuspicionReport>) -> MergeResult {
+        let member = self.members.get_mut(name);
+        let (Some(report), Some(member)) = (report, member) else { return MergeResult::Stale };
+        let is_full = member.suspicions.len() >= MAX_SUSPICION_REPORTS;
+        match member.suspicions.iter_mut().find(|known| known.by == report.by) {
+            Some(known) if known.cause >= report.cause => return MergeResult::Stale,
+            Some(known) => known.cause = report.cause,
+            None if is_full => return MergeResult::Stale,
+            None => member.suspicions.push(report),
         }
         MergeResult::Confirmed
     }
 
-    /// What is said of this very name.
+    /// Merges an update on this process's own name.
     fn merge_own(&mut self, update: &Update, uptime_ms: u32) -> MergeResult {
-        let (mine, said) = (self.me().stamp, update.record.stamp);
-        if self.leaving || update.state == State::Vouched {
+        let (own, said) = (self.me().stamp, update.record.stamp);
+        if self.is_leaving || update.state == State::Vouched {
             return MergeResult::Stale;
         }
-        if said.incarnation == mine.incarnation {
-            let news = said > mine || said == mine && update.state != State::Alive;
-            if news {
-                self.restamp(mine.after(said), uptime_ms, |_| ());
-                return MergeResult::Refuted;
+        if said.incarnation == own.incarnation {
+            let is_news = said > own || said == own && update.state != State::Alive;
+            if !is_news {
+                return MergeResult::Stale;
             }
-            return MergeResult::Stale;
+            self.restamp(own.after(said), uptime_ms, |_| ());
+            return MergeResult::Refuted;
         }
-        if said.generation < mine.generation {
+        if said.generation < own.generation {
             return MergeResult::Stale;
         }
+        self.claim_name(update, uptime_ms)
+    }
+
+    /// Supersedes another process with this process's own name, unless that one is to stay.
+    fn claim_name(&mut self, update: &Update, uptime_ms: u32) -> MergeResult {
+        let (own, said) = (self.me().stamp, update.record.stamp);
+        let before = self.superseded.iter().find(|other| other.incarnation == said.incarnation);
         // Only a process that runs claims its name above a claim over it.
-        let claimed = self
-            .superseded
-            .iter()
-            .find(|(life, _)| *life == said.incarnation)
-            .map(|&(_, generation)| generation);
-        let living = claimed.is_some_and(|claimed| said.generation > claimed)
-            && !matches!(update.state, State::Dead | State::Left);
-        if living && update.record.uptime_ms > uptime_ms {
+        let has_claimed_anew = before.is_some_and(|before| said.generation > before.generation);
+        let is_running = has_claimed_anew && !matches!(update.state, State::Dead | State::Left);
+        if is_running && update.record.uptime_ms > uptime_ms {
             return MergeResult::Displaced;
         }
-        self.superseded.retain(|(life, _)| *life != said.incarnation);
+        self.superseded.retain(|other| other.incarnation != said.incarnation);
         if self.superseded.len() >= MAX_SUPERSEDED {
             self.superseded.remove(0);
         }
-        self.superseded.push((said.incarnation, said.generation));
-        self.restamp(mine.over(said), uptime_ms, |_| ());
-        MergeResult::Claimed { is_running: living }
+        self.superseded.push(Superseded { incarnation: said.incarnation, generation: said.generation });
+        self.restamp(own.superseding(said), uptime_ms, |_| ());
+        MergeResult::Claimed { is_running }
     }
 
     fn restamp(&mut self, stamp: Stamp, uptime_ms: u32, change: impl FnOnce(&mut MemberRecord)) {
         self.change(&self.me.clone(), |me| {
-            (me.record.stamp, me.record.uptime_ms) = (stamp, uptime_ms);
+            me.record.stamp = stamp;
+            me.record.uptime_ms = uptime_ms;
             change(&mut me.record);
         });
     }
 
     fn change(&mut self, name: &Name, change: impl FnOnce(&mut Member)) {
         if let Some(member) = self.members.get_mut(name) {
-            self.digest ^= part(member);
+            self.digest ^= digest_of(member);
             change(member);
-            self.digest ^= part(member);
+            self.digest ^= digest_of(member);
         }
     }
 }
--- a/membership/src/view.rs
+++ b/membership/src/view.rs
@@ -1,4 +1,4 @@
-//! What others are shown.
+//! What operators see. The names of the keys in JSON are those of the side port.
 
 use crate::name::Name;
 use crate::packet::Rejection;
@@ -8,16 +8,18 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Which directions between this process and a member work, by this process's own ears; `None`: not known.
+const MICROS_PER_MILLI: Micros = 1_000;
+
+/// Which directions between this process and a member work, by what this process receives itself; `None`: not known.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Reach {
-    /// What this process sends reaches it.
+    /// What this process sends reaches the member.
     pub to_it: Option<bool>,
-    /// What it sends reaches this process.
+    /// What the member sends reaches this process.
     pub from_it: Option<bool>,
 }
 
-/// A member, as it is shown.
+/// A member.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberView {
     /// Its name.
@@ -29,52 +31,52 @@
     pub state: State,
     /// How many processes have had its name, this one included.
     pub generation: u32,
-    /// Its process, in hexadecimal digits.
+    /// Identifies its process, in hexadecimal digits.
     #[serde(rename = "life")]
     pub incarnation: String,
-    /// How much it has said of itself in this life.
+    /// How much the process has announced of itself.
     #[serde(rename = "incarnation")]
     pub sequence: u32,
-    /// It finds itself cut off.
+    /// How it finds itself cut off; `None`: it does not.
     pub cut_off: Option<CutOff>,
-    /// Since when it has been in its state, in milliseconds before now.
+    /// How long it has been in its state, in milliseconds.
     pub for_ms: u64,
-    /// When it was last heard directly, in milliseconds before now.
+    /// How long ago it was last received directly, in milliseconds; `None`: never.
     pub heard_ms: Option<u64>,
-    /// Which ways work.
+    /// Which directions work.
     pub reach: Reach,
-    /// Whom an answer last came through, where the direct way failed.
+    /// The member through which it last answered, where the direct path failed.
     pub via: Option<String>,
-    /// Who suspects it, or whose words it died of.
+    /// Who suspects it, or by whose suspicion it was declared dead.
     #[serde(rename = "words")]
     pub suspicions: Vec<SuspicionView>,
 }
 
-/// A word on a suspicion, as it is shown.
+/// A member's suspicion of another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SuspicionView {
-    /// Who.
+    /// The member that suspects.
     pub by: String,
     /// Why.
     pub cause: crate::Cause,
 }
 
 impl From<&SuspicionReport> for SuspicionView {
-    fn from(SuspicionReport { by, cause }: &SuspicionReport) -> SuspicionView {
-        SuspicionView { by: by.to_string(), cause: *cause }
+    fn from(report: &SuspicionReport) -> SuspicionView {
+        SuspicionView { by: report.by.to_string(), cause: report.cause }
     }
 }
 
-/// All that a process knows.
+/// All that a process knows of the membership.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MembershipView {
     /// Its name.
     pub me: String,
-    /// Counts its changes.
+    /// Counts the changes of the view.
     pub version: u64,
-    /// The same for two processes that take the same members in the same lives to run.
+    /// The same for two processes that take the same members, in the same incarnations, to run.
     pub digest: String,
-    /// How this process finds itself cut off from all others.
+    /// How this process finds itself cut off; `None`: it does not.
     pub cut_off: Option<CutOff>,
     /// Another process has its name and has run for longer: this one is no member.
     pub displaced: bool,
@@ -82,23 +84,24 @@
     pub health: u32,
     /// By name, this process among them.
     pub members: Vec<MemberView>,
-    /// What came and was not taken, by reason.
+    /// What was received and rejected, by reason.
     pub rejected: BTreeMap<Rejection, u64>,
 }
 
+/// How long ago a moment was, in milliseconds.
 pub(crate) fn ms_ago(now: Micros, at: Micros) -> u64 {
-    now.saturating_sub(at) / 1_000
+    now.saturating_sub(at) / MICROS_PER_MILLI
 }
 
 impl MembershipView {
     /// The names of those that are taken to run.
     pub fn running(&self) -> impl Iterator<Item = &str> {
-        let runs = |m: &&MemberView| matches!(m.state, State::Alive | State::Suspect);
-        self.members.iter().filter(runs).map(|m| m.name.as_str())
+        let runs = |member: &&MemberView| matches!(member.state, State::Alive | State::Suspect);
+        self.members.iter().filter(runs).map(|member| member.name.as_str())
     }
 
-    /// A member.
+    /// A member, by its name.
     pub fn member(&self, name: &Name) -> Option<&MemberView> {
-        self.members.iter().find(|m| m.name == name.as_str())
+        self.members.iter().find(|member| member.name == name.as_str())
     }
 }
--- a/membership/tests/claims.rs
+++ b/membership/tests/claims.rs
@@ -28,8 +28,8 @@
         let (mut one, mut before, mut after) =
             (machine(1, 9, &[]), machine(2, old, &[1]), machine(2, new, &[1]));
         let mut out = Vec::new();
-        one.receive_full_state(0, at(2), before.full_state(), &mut out);
-        before.receive_full_state(0, at(1), one.full_state(), &mut out);
+        one.receive_full_state(0, at(2), &before.full_state(), &mut out);
+        before.receive_full_state(0, at(1), &one.full_state(), &mut out);
         out.clear();
         let mut now = 0;
         // All news is old by the time of the restart; then the address is probed, and its machine asked, before the new
--- a/membership/tests/contacts.rs
+++ b/membership/tests/contacts.rs
@@ -14,7 +14,7 @@
 fn a_contact_that_others_came_to_first_still_asks_the_other_contact() {
     let (mut contact, other) = (started(1, &[1, 2]), started(3, &[1, 2]));
     let packet = other.full_state();
-    contact.receive_full_state(1_000, SocketAddr::from(([10, 0, 0, 3], 9)), packet, &mut Vec::new());
+    contact.receive_full_state(1_000, SocketAddr::from(([10, 0, 0, 3], 9)), &packet, &mut Vec::new());
     assert_eq!(contact.table().others().count(), 1);
     let mut now = 2_000;
     let asked = std::iter::from_fn(|| {
--- a/membership/tests/model.rs
+++ b/membership/tests/model.rs
@@ -64,7 +64,8 @@
 }
 
 fn card(member: usize, life: u64) -> MemberRecord {
-    let at = SocketAddr::from(([127, 0, 0, member as u8 + 1], 7_000));
+    let last = u8::try_from(member + 1).expect("few members");
+    let at = SocketAddr::from(([127, 0, 0, last], 7_000));
     MemberRecord { name: name(member), address: at, stamp: Stamp::first(life), uptime_ms: 0, cut_off: None }
 }
 
--- a/peers/src/codec.rs
+++ b/peers/src/codec.rs
@@ -1,30 +1,37 @@
-//! The form of packets on the wire: a mark, the form's version, the cluster's name, the packet, a checksum of all that.
+//! The format of packets on the wire: magic, the format version, the cluster's name, the packet, and a checksum of all that.
 
 use flaxhead_membership::{Name, Packet};
 use serde::{Deserialize, Serialize};
 
-/// The first bytes of everything.
-const MAGIC: [u8; 2] = *b"fx";
-/// The same of what a service says.
-const SERVICE_MAGIC: [u8; 2] = *b"fr";
-/// This form.
+/// The format version of membership packets.
 pub const VERSION: u8 = 1;
-/// The form of what services say: since the second they are told apart by channels.
+/// The format version of service frames: since the second they are told apart by channels.
 pub const SERVICE_VERSION: u8 = 2;
-/// Longest datagram: it passes any network without being cut in two.
+/// Maximum size of a datagram: it passes any network without being fragmented.
 pub const MAX_DATAGRAM_BYTES: usize = 1_400;
-/// Longest frame of a connection: all members that are kept, with their longest names.
+/// Maximum size of a frame on a connection: all members that are stored, with their longest names.
 pub const MAX_FRAME_BYTES: usize = 1 << 20;
+/// Size of the checksum.
 const CHECKSUM_BYTES: usize = 4;
 
-/// Which of several services it is.
+/// What bytes begin with.
+#[derive(Clone, Copy)]
+struct Preamble {
+    magic: [u8; 2],
+    version: u8,
+}
+
+const MEMBERSHIP: Preamble = Preamble { magic: *b"fx", version: VERSION };
+const SERVICE: Preamble = Preamble { magic: *b"fr", version: SERVICE_VERSION };
+
+/// Identifies a service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Channel(pub u8);
 
 impl Channel {
-    /// Turns of hosts that are taken out for work.
+    /// Maintenance of hosts.
     pub const MAINTENANCE: Channel = Channel(1);
-    /// Shares of what the hosts can carry.
+    /// Quotas of connection capacity.
     pub const QUOTA: Channel = Channel(2);
 }
 
@@ -32,86 +39,106 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize, thiserror::Error)]
 #[serde(rename_all = "kebab-case")]
 pub enum DecodeError {
-    /// It ends too early.
+    /// They end too early.
     #[error("it is cut off")]
     #[serde(rename = "cut")]
     Truncated,
-    /// It is longer than anything that is sent.
+    /// They are longer than anything that is sent.
     #[error("it is too long")]
     #[serde(rename = "huge")]
     TooLong,
-    /// It is something else altogether.
+    /// They are of another protocol.
     #[error("it is nothing of ours")]
     Foreign,
-    /// It is of a version that is not spoken here.
+    /// They are of a version that is not understood.
     #[error("it is of another version")]
     Version,
-    /// It is of another cluster.
+    /// They are of another cluster.
     #[error("it is of another cluster")]
     Cluster,
-    /// It was changed on the way.
+    /// They were changed on the way.
     #[error("its checksum is wrong")]
     Checksum,
-    /// It is whole and makes no sense.
+    /// They are intact and cannot be decoded.
     #[error("it makes no sense")]
     Malformed,
 }
 
-/// A packet as bytes.
+/// A service's message in the name of a member.
+#[derive(Debug, PartialEq, Eq)]
+pub struct ServiceFrame<'a> {
+    /// The member that sends it.
+    pub from: Name,
+    /// The service.
+    pub channel: Channel,
+    /// The message.
+    pub body: &'a [u8],
+}
+
+/// Encodes a membership packet.
+///
+/// # Errors
+///
+/// Where the cluster's name is too long.
 pub fn encode(cluster: &str, packet: &Packet) -> Result<Vec<u8>, DecodeError> {
-    put((MAGIC, VERSION), cluster, packet)
+    put(MEMBERSHIP, cluster, packet)
 }
 
-/// What the service on a channel says in the name of a member, as bytes.
-pub fn encode_service_frame(
-    cluster: &str,
-    from: &Name,
-    channel: Channel,
-    body: &[u8],
-) -> Result<Vec<u8>, DecodeError> {
-    put((SERVICE_MAGIC, SERVICE_VERSION), cluster, &(from, channel, body))
+/// Encodes a service's message.
+///
+/// # Errors
+///
+/// Where the cluster's name is too long.
+pub fn encode_service_frame(cluster: &str, frame: &ServiceFrame<'_>) -> Result<Vec<u8>, DecodeError> {
+    put(SERVICE, cluster, &(&frame.from, frame.channel, frame.body))
 }
 
-/// Whether these bytes are a service's.
+/// Whether these bytes are a service's message.
 pub fn is_service_frame(bytes: &[u8]) -> bool {
-    bytes.starts_with(&SERVICE_MAGIC)
+    bytes.starts_with(&SERVICE.magic)
 }
 
-fn put((mark, version): ([u8; 2], u8), cluster: &str, what: &impl Serialize) -> Result<Vec<u8>, DecodeError> {
+fn put(preamble: Preamble, cluster: &str, body: &impl Serialize) -> Result<Vec<u8>, DecodeError> {
     let mut bytes = Vec::with_capacity(256);
-    bytes.extend_from_slice(&mark);
-    bytes.push(version);
+    bytes.extend_from_slice(&preamble.magic);
+    bytes.push(preamble.version);
     bytes.push(u8::try_from(cluster.len()).map_err(|_| DecodeError::TooLong)?);
     bytes.extend_from_slice(cluster.as_bytes());
-    let mut bytes = postcard::to_extend(what, bytes).map_err(|_| DecodeError::Malformed)?;
+    let mut bytes = postcard::to_extend(body, bytes).map_err(|_| DecodeError::Malformed)?;
     bytes.extend_from_slice(&crc32fast::hash(&bytes).to_be_bytes());
     Ok(bytes)
 }
 
-/// Bytes as a packet.
+/// Decodes a membership packet.
+///
+/// # Errors
+///
+/// Why the bytes are none.
 pub fn decode(cluster: &str, bytes: &[u8]) -> Result<Packet, DecodeError> {
-    take((MAGIC, VERSION), cluster, bytes)
+    take(MEMBERSHIP, cluster, bytes)
 }
 
-/// Bytes as what a service says: in whose name, on which channel, what.
-pub fn decode_service_frame<'a>(
-    cluster: &str,
-    bytes: &'a [u8],
-) -> Result<(Name, Channel, &'a [u8]), DecodeError> {
-    take((SERVICE_MAGIC, SERVICE_VERSION), cluster, bytes)
+/// Decodes a service's message.
+///
+/// # Errors
+///
+/// Why the bytes are none.
+pub fn decode_service_frame<'a>(cluster: &str, bytes: &'a [u8]) -> Result<ServiceFrame<'a>, DecodeError> {
+    let (from, channel, body) = take(SERVICE, cluster, bytes)?;
+    Ok(ServiceFrame { from, channel, body })
 }
 
 fn take<'a, T: Deserialize<'a>>(
-    (wanted, spoken): ([u8; 2], u8),
+    preamble: Preamble,
     cluster: &str,
     bytes: &'a [u8],
 ) -> Result<T, DecodeError> {
-    let (mark, rest) = bytes.split_at_checked(wanted.len()).ok_or(DecodeError::Truncated)?;
-    if mark != wanted {
+    let (magic, rest) = bytes.split_at_checked(preamble.magic.len()).ok_or(DecodeError::Truncated)?;
+    if magic != preamble.magic {
         return Err(DecodeError::Foreign);
     }
     let (&version, rest) = rest.split_first().ok_or(DecodeError::Truncated)?;
-    if version != spoken {
+    if version != preamble.version {
         return Err(DecodeError::Version);
     }
     let (&length, rest) = rest.split_first().ok_or(DecodeError::Truncated)?;
@@ -119,14 +146,14 @@
     if name != cluster.as_bytes() {
         return Err(DecodeError::Cluster);
     }
-    let body = rest.len().checked_sub(CHECKSUM_BYTES).ok_or(DecodeError::Truncated)?;
-    let (body, checksum) = rest.split_at(body);
-    let sum = crc32fast::hash(&bytes[..bytes.len() - CHECKSUM_BYTES]);
-    if checksum != sum.to_be_bytes() {
+    let body_length = rest.len().checked_sub(CHECKSUM_BYTES).ok_or(DecodeError::Truncated)?;
+    let (body, checksum) = rest.split_at(body_length);
+    let expected = crc32fast::hash(&bytes[..bytes.len() - CHECKSUM_BYTES]);
+    if checksum != expected.to_be_bytes() {
         return Err(DecodeError::Checksum);
     }
     match postcard::take_from_bytes(body) {
-        Ok((packet, [])) => Ok(packet),
+        Ok((decoded, [])) => Ok(decoded),
         Ok(_) | Err(_) => Err(DecodeError::Malformed),
     }
 }
--- a/peers/src/lib.rs
+++ b/peers/src/lib.rs
@@ -1,14 +1,19 @@
-//! The driver of the membership: it owns the sockets and the timers, puts packets into bytes, and has
-//! [`flaxhead_membership::Machine`] decide everything. It runs on the thread that it is started on, beside the engine,
-//! and does a bounded piece of work before it lets others go on.
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
+//! The driver of the membership.
+//!
+//! It owns the sockets and the timers, encodes packets, and leaves every decision to [`flaxhead_membership::Machine`]. It
+//! runs on the thread that it is started on, beside the engine, and does a bounded piece of work before it lets others go
+//! on.
 
+mod change_log;
 pub mod codec;
-mod driver;
-mod lines;
+mod connections;
+mod datagrams;
+mod framing;
+mod peers;
 mod settings;
+mod stats;
 
 pub use codec::Channel;
-pub use driver::{ChannelService, Peers, PeersView};
+pub use peers::{ChannelService, Peers};
 pub use settings::Settings;
+pub use stats::{PeersView, WireStats};
--- a/peers/src/settings.rs
+++ b/peers/src/settings.rs
@@ -1,31 +1,31 @@
-//! What the operators say of the peers.
+//! What the operators configure of the peers.
 
 use flaxhead_membership::Config;
 use ipnet::IpNet;
 use std::net::{IpAddr, SocketAddr};
 
-/// What `[peers]` holds.
+/// What `[peers]` configures.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// Where this process listens, over UDP and TCP.
     pub listen: SocketAddr,
-    /// Where others reach it; the same as `listen` but behind a translation of addresses.
+    /// Where others reach it; the same as `listen` unless behind a translation of addresses.
     pub advertise: SocketAddr,
-    /// Whom it asks first for who else there is; its own address may be among them.
+    /// Whom it asks first for other members; its own address may be among them.
     pub contacts: Vec<SocketAddr>,
-    /// Only processes of one cluster talk to each other.
+    /// Only processes of one cluster exchange packets.
     pub cluster: String,
-    /// Networks from which datagrams and connections are taken.
+    /// Networks from which datagrams and connections are accepted.
     pub networks: Vec<IpNet>,
-    /// How the protocol is paced.
+    /// The time spans and limits of the protocol.
     pub config: Config,
 }
 
 impl Settings {
-    /// Most bytes of a cluster's name.
+    /// Maximum length of a cluster's name, in bytes.
     pub const MAX_CLUSTER_BYTES: usize = 32;
 
-    /// Whether something from this address is taken.
+    /// Whether packets from this address are accepted.
     pub fn is_allowed(&self, address: IpAddr) -> bool {
         let address = address.to_canonical();
         self.networks.iter().any(|network| network.contains(&address))
--- a/peers/tests/datagrams.rs
+++ b/peers/tests/datagrams.rs
@@ -42,7 +42,7 @@
 fn machine() -> Machine {
     let mut machine = Machine::new(name("n1"), at(1), vec![at(2)], Config::default(), 5, 0);
     let others = [3, 4].map(|place| Update { by: None, ..said(place, State::Alive) });
-    machine.receive_full_state(0, at(2), packet(Kind::Gossip, others.to_vec()), &mut Vec::new());
+    machine.receive_full_state(0, at(2), &packet(Kind::Gossip, others.to_vec()), &mut Vec::new());
     assert_eq!(machine.table().others().count(), 3);
     machine
 }
@@ -77,7 +77,7 @@
                 let place = below(bytes.len());
                 bytes[place] ^= 1 << below(8);
             }),
-            2 => bytes.extend((0..=below(40)).map(|n| n as u8)),
+            2 => bytes.extend(0..=u8::try_from(below(40)).expect("less than forty")),
             _ => {
                 let (a, b) = (below(bytes.len()), below(bytes.len()));
                 bytes.swap(a, b);
@@ -166,8 +166,8 @@
         let mut out = Vec::new();
         let word = |m: &Machine| Update { record: m.table().me().clone(), state: State::Alive, by: None };
         let (one, other) = (word(&older), word(&younger));
-        younger.receive_full_state(now, at(2), packet(Kind::Gossip, vec![one]), &mut out);
-        older.receive_full_state(now, at(2), packet(Kind::Gossip, vec![other]), &mut out);
+        younger.receive_full_state(now, at(2), &packet(Kind::Gossip, vec![one]), &mut out);
+        older.receive_full_state(now, at(2), &packet(Kind::Gossip, vec![other]), &mut out);
         now += 1_000;
         for effect in out {
             use flaxhead_membership::{Change, Effect};
@@ -214,7 +214,7 @@
 
     #[test]
     fn what_is_written_is_read_again_and_within_its_bound(words in prop::collection::vec(any_update(), 0..6)) {
-        let bound: usize = words.iter().map(Update::bytes).sum();
+        let bound: usize = words.iter().map(Update::max_bytes).sum();
         let packet = packet(Kind::Gossip, words);
         let bytes = encode("palermo", &packet).expect("encoded");
         prop_assert_eq!(decode("palermo", &bytes), Ok(packet.clone()));
--- a/peers/tests/wire_format.rs
+++ b/peers/tests/wire_format.rs
@@ -5,7 +5,7 @@
     Cause, CutOff, Kind, MemberRecord, Name, Packet, Rejection, Stamp, State, SuspicionReport, Update,
 };
 use flaxhead_peers::codec::{
-    decode, decode_service_frame, encode, encode_service_frame, Channel, DecodeError,
+    decode, decode_service_frame, encode, encode_service_frame, Channel, DecodeError, ServiceFrame,
 };
 use std::net::SocketAddr;
 
@@ -67,13 +67,16 @@
     }
 }
 
+fn frame(channel: Channel) -> ServiceFrame<'static> {
+    ServiceFrame { from: name("n2"), channel, body: b"body" }
+}
+
 #[test]
 fn a_service_frame_keeps_its_bytes_on_each_channel() {
     let frames = [Channel::MAINTENANCE, Channel::QUOTA]
-        .map(|channel| encode_service_frame("c", &name("n2"), channel, b"body").expect("it fits"));
+        .map(|channel| encode_service_frame("c", &frame(channel)).expect("it fits"));
     assert_eq!(frames.each_ref().map(|frame| hex(frame)), EXPECTED_FRAMES);
-    let decoded = decode_service_frame("c", &frames[0]);
-    assert_eq!(decoded, Ok((name("n2"), Channel::MAINTENANCE, b"body".as_slice())));
+    assert_eq!(decode_service_frame("c", &frames[0]), Ok(frame(Channel::MAINTENANCE)));
 }
 
 /// `/members.json` names these as its keys and values.
--- a/proxy/src/features/capture/mod.rs
+++ b/proxy/src/features/capture/mod.rs
@@ -1,8 +1,8 @@
 //! Capture: what the decision module was fed and what it chose, in a ring of files held in memory, for a replay.
 //!
 //! A file begins with the seed (eight bytes, big-endian) and goes on in frames: a length of three bytes, then
-//! that many bytes in postcard's encoding. The first frame is a [`Version`], the second an [`Opening`], the others
-//! are [`Record`]s. A frame of length 0 ends a file that was written out whole.
+//! that many bytes in postcard's encoding. The first frame is a `Version`, the second an `Opening`, the others
+//! are `Record`s (`form.rs`). A frame of length 0 ends a file that was written out whole.
 
 mod dumps;
 mod form;
--- a/proxy/src/features/work.rs
+++ b/proxy/src/features/work.rs
@@ -69,14 +69,7 @@
     if load_margin != rules.limits.load_margin {
         load_margin *= 10;
     }
-    rules.limits = Limits {
-        max_total: max_total,
-        max_per_zone: max_per_zone,
-        max_per_pod: max_per_pod,
-        calls_per_host: calls_per_host,
-        load_margin: load_margin,
-        max_duration: max_duration,
-    };
+    rules.limits = Limits { max_total, max_per_zone, max_per_pod, calls_per_host, load_margin, max_duration };
     Ok(Settings { voters, config, scheduler: rules })
 }
 
@@ -138,7 +131,7 @@
 }
 
 impl<S> Gated<S> {
-    /// Opens with the watched value. Where a list was known, discovery is asked a part of [`ASKED_WITHIN`] later that
+    /// Opens with the watched value. Where a list was known, discovery is asked a part of `ASKED_WITHIN` later that
     /// the seed gives: the gates of all may open at once.
     pub fn new(source: S, open: watch::Receiver<bool>, known: Option<List>, seed: u64) -> Gated<S> {
         // Seeds of proxies that were started together may differ in few bits.
--- a/quota/benches/admission.rs
+++ b/quota/benches/admission.rs
@@ -2,6 +2,8 @@
 //! tenants wait for them.
 //!
 //! `cargo bench -p flaxhead-quota`
+#![expect(clippy::cast_possible_truncation, reason = "the counts of a test are small")]
+#![expect(missing_docs, reason = "criterion makes a public function without docs")]
 
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
 use flaxhead_quota::admission::{
--- a/quota/benches/shares.rs
+++ b/quota/benches/shares.rs
@@ -1,6 +1,11 @@
 //! Shares at fleets of several sizes, in virtual time: how fast they follow a change, how much of what the hosts carry is
 //! used, how fast an owner is back, what is sent, and how long all caps take to be whole after all were restarted; beside
 //! a fixed split and beside nothing that is shared.
+#![expect(
+    clippy::cast_possible_truncation,
+    clippy::cast_sign_loss,
+    reason = "the counts of a run are small and never negative"
+)]
 
 #[path = "../tests/fleet/mod.rs"]
 mod fleet;
--- a/quota/src/capacity/tests.rs
+++ b/quota/src/capacity/tests.rs
@@ -1,4 +1,5 @@
 //! Unit tests of `capacity`.
+#![expect(clippy::cast_possible_truncation, reason = "the counts of a test are small")]
 
 use super::*;
 use crate::registry::QuotaConfig;
--- a/quota/src/lib.rs
+++ b/quota/src/lib.rs
@@ -8,7 +8,6 @@
 //! by whoever holds the lease ([`QuotaLedger`]), for a time that the receiver counts from its request ([`LocalQuota`]). At
 //! every moment the sum of what all processes may use is at most the cap. What is guaranteed and what is not stands in
 //! `docs/design/shares.md`.
-#![forbid(unsafe_code)]
 
 pub mod admission;
 mod allowance;
--- a/quota/tests/admission.rs
+++ b/quota/tests/admission.rs
@@ -1,4 +1,5 @@
 //! What must hold at the gate whatever comes, from drawn events. All is reckoned from what goes in and comes out.
+#![expect(clippy::cast_possible_truncation, reason = "the counts of a test are small")]
 
 use flaxhead_quota::admission::{
     AdmissionConfig, AdmissionController, AdmissionDecision, AdmissionRequest, Class, QueuedCall,
@@ -157,29 +158,44 @@
         Ok(())
     }
 
+    fn ask(&mut self, tenant: usize, class: usize) -> Result<(), TestCaseError> {
+        self.asked += 1;
+        let asked = AdmissionRequest { tenant: Some(tenant), class, deadline: self.now + 1_000 };
+        let tenant = tenant.min(TENANTS - 1);
+        match self.gate.request(self.now, asked) {
+            AdmissionDecision::Decided(Verdict::Admitted) => {
+                prop_assert!(!self.waits(tenant), "past a line");
+                self.entered(tenant)?;
+                self.answered += 1;
+            }
+            AdmissionDecision::Decided(Verdict::Rejected { retry_after: after }) => {
+                prop_assert!(!self.has_room(tenant) && after <= 400);
+                self.answered += 1;
+            }
+            AdmissionDecision::Queued(key) => {
+                let kept = if class == 0 { 100 } else { 500 };
+                self.waiting.insert(key, (tenant, self.now + 1_000 - kept));
+            }
+        }
+        Ok(())
+    }
+
+    fn pass_time(&mut self, span: u64) -> Result<(), TestCaseError> {
+        let mut verdicts = Verdicts::new();
+        let end = self.now + span;
+        while let Some(due) = self.gate.next_due().filter(|due| *due <= end) {
+            self.now = due;
+            self.gate.tick(due, &mut verdicts);
+            self.heard(std::mem::take(&mut verdicts))?;
+        }
+        self.now = end;
+        Ok(())
+    }
+
     fn feed(&mut self, event: Event) -> Result<(), TestCaseError> {
         let mut verdicts = Verdicts::new();
         match event {
-            Event::Ask { tenant, class } => {
-                self.asked += 1;
-                let asked = AdmissionRequest { tenant: Some(tenant), class, deadline: self.now + 1_000 };
-                let tenant = tenant.min(TENANTS - 1);
-                match self.gate.request(self.now, asked) {
-                    AdmissionDecision::Decided(Verdict::Admitted) => {
-                        prop_assert!(!self.waits(tenant), "past a line");
-                        self.entered(tenant)?;
-                        self.answered += 1;
-                    }
-                    AdmissionDecision::Decided(Verdict::Rejected { retry_after: after }) => {
-                        prop_assert!(!self.has_room(tenant) && after <= 400);
-                        self.answered += 1;
-                    }
-                    AdmissionDecision::Queued(key) => {
-                        let kept = if class == 0 { 100 } else { 500 };
-                        self.waiting.insert(key, (tenant, self.now + 1_000 - kept));
-                    }
-                }
-            }
+            Event::Ask { tenant, class } => self.ask(tenant, class)?,
             Event::End(which) if !self.out.is_empty() => {
                 let tenant = self.out.swap_remove(which % self.out.len());
                 self.gate.release(self.now, Some(tenant), &mut verdicts);
@@ -203,15 +219,7 @@
                 self.behind = Default::default();
                 self.gate.set_allowance(self.now, self.allowance.clone(), to_come, &mut verdicts);
             }
-            Event::Time(span) => {
-                let end = self.now + span;
-                while let Some(due) = self.gate.next_due().filter(|due| *due <= end) {
-                    self.now = due;
-                    self.gate.tick(due, &mut verdicts);
-                    self.heard(std::mem::take(&mut verdicts))?;
-                }
-                self.now = end;
-            }
+            Event::Time(span) => self.pass_time(span)?,
             Event::End(_) | Event::Copy(_) | Event::Leave(_) => {}
         }
         self.heard(verdicts)?;
--- a/quota/tests/disks.rs
+++ b/quota/tests/disks.rs
@@ -1,5 +1,6 @@
 //! Fleets in virtual time whose processes go by disks: all are killed and started again, with what was there, without it,
 //! or with what was there before. At every step the sum of all that may be used is held against each cap.
+#![expect(clippy::cast_possible_truncation, reason = "the counts of a test are small")]
 
 mod fleet;
 
--- a/quota/tests/faults.rs
+++ b/quota/tests/faults.rs
@@ -1,4 +1,5 @@
 //! Fleets in virtual time with a fault every few seconds, judged at every step against the caps.
+#![expect(clippy::cast_possible_truncation, reason = "the counts of a test are small")]
 
 mod fleet;
 
--- a/quota/tests/fleet/mod.rs
+++ b/quota/tests/fleet/mod.rs
@@ -1,7 +1,14 @@
 //! A fleet of processes in virtual time: messages that take time, are lost and come twice, processes that crash and forget,
 //! freeze and are cut off, clocks that run apart, calls that come and go. One seed gives one run. At every step of a
 //! process the sum of what all may use or have in hand is held against each cap.
-#![allow(dead_code)]
+#![allow(dead_code, reason = "the bench uses other parts than the tests")]
+#![expect(
+    clippy::cast_possible_truncation,
+    clippy::cast_sign_loss,
+    clippy::needless_pass_by_value,
+    clippy::too_many_lines,
+    reason = "the counts and times of a simulation are small, and its parts are read in one piece"
+)]
 
 mod play;
 mod sites;
--- a/quota/tests/ledger.rs
+++ b/quota/tests/ledger.rs
@@ -1,4 +1,5 @@
 //! The holder's ledger and the processes' grants, word by word.
+#![expect(clippy::cast_possible_truncation, reason = "the counts of a test are small")]
 
 use flaxhead_quota::{
     Ballot, HostCapacity, LocalQuota, Micros, Name, Process, QuotaConfig, QuotaGrant, QuotaLedger,
--- a/quota/tests/model/world.rs
+++ b/quota/tests/model/world.rs
@@ -1,4 +1,5 @@
 //! The processes, what is on the way between them, and what goes wrong; a step at a time.
+#![expect(clippy::cast_possible_truncation, reason = "the counts of a test are small")]
 
 use flaxhead_lease::{Ballot, NoCommand, Presence, RecoveryState, Voters};
 use flaxhead_quota::{
--- a/snapshot/src/lib.rs
+++ b/snapshot/src/lib.rs
@@ -1,9 +1,8 @@
 //! What a client proxy stores on disk over a restart. It may be outdated, so it is validated by its age, its owner and its
 //! format before any of it is used; whatever does not pass counts as lost, as if there were no disk.
 //!
-//! [`snapshot`], [`format`] and [`validation`] decide without I/O or a clock; [`disk`] reads and writes, on a thread of its
+//! [`snapshot`], [`mod@format`] and [`validation`] decide without I/O or a clock; [`disk`] reads and writes, on a thread of its
 //! own.
-#![forbid(unsafe_code)]
 
 pub mod disk;
 pub mod format;
--- a/snapshot/tests/validation.rs
+++ b/snapshot/tests/validation.rs
@@ -28,7 +28,7 @@
 
 #[test]
 fn age_is_told_by_whichever_clock_says_more() {
-    let week = 7 * 24 * HOUR as i64;
+    let week = 7 * 24 * HOUR.cast_signed();
     let old = |age_ms| Err(Rejection::TooOld { age_ms, max_ms: 60_000 });
     let ahead = |by_ms| Err(Rejection::FromTheFuture { by_ms });
     for (what, now, expected) in [
@@ -36,8 +36,8 @@
         ("a second later", later(1_000, 1_000, 9), Ok(1_000)),
         ("at the bound", later(60_000, 60_000, 9), Ok(60_000)),
         ("over it", later(60_001, 60_001, 9), old(60_001)),
-        ("last week's, put back", later(week, week, 9), old(week as u64)),
-        ("the same on another start of the machine", later(week, -5, 8), old(week as u64)),
+        ("last week's, put back", later(week, week, 9), old(week.cast_unsigned())),
+        ("the same on another start of the machine", later(week, -5, 8), old(week.cast_unsigned())),
         ("the clock went back by an hour, and the uptime tells it", later(0, 3_600_000, 9), old(HOUR)),
         ("it went back further", later(-5_000, 1_000, 9), ahead(5_000)),
         ("it was set by less than is told from a step", later(-900, 1_000, 9), Ok(1_000)),
@@ -48,7 +48,7 @@
         (
             "the clock went forward by a week: it cannot be told from age",
             later(week, 10, 9),
-            old(week as u64),
+            old(week.cast_unsigned()),
         ),
     ] {
         let judged = validate(kept(0), &mine(), now, BOUNDS).map(|found| found.age_ms());
