--- a/discovery/src/error.rs
+++ b/discovery/src/error.rs
@@ -7,28 +7,28 @@
 /// Why a watch ended.
 #[derive(Debug, thiserror::Error)]
 pub enum WatchError {
-    /// No connection.
+    /// The connection cannot be opened.
     #[error("no connection: {0}; check that discovery runs at the configuration's address")]
     Connect(#[from] io::Error),
-    /// Not up, or not answered, in time.
+    /// There was no connection, or no response, in time.
     #[error("no answer within {0:?}; discovery is down or cut off, and the list in hand goes on")]
     Unanswered(Duration),
-    /// The connection broke, or brought what is no HTTP.
+    /// The connection broke, or what came is not HTTP.
     #[error("the watch broke: {0}; it is opened again")]
     Broken(#[from] hyper::Error),
-    /// An address that no request can name.
+    /// The address cannot be named in a request.
     #[error("the request cannot be made: {0}; check the configuration's discovery")]
     Request(#[from] hyper::http::Error),
-    /// An answer other than 200.
+    /// The response has a status other than 200.
     #[error("discovery answered {0}; it is asked again later")]
     Status(StatusCode),
-    /// Nothing more came on a watch.
+    /// Nothing came on the watch for this time.
     #[error("the watch fell silent for {0:?}; it is opened again")]
     Silent(Duration),
     /// The other side ended the watch.
     #[error("the watch ended; it is opened again")]
     Ended,
-    /// What came is no list.
+    /// What came is not a list.
     #[error("a list cannot be read: {0}; the list in hand stays")]
     List(#[from] ListError),
 }
@@ -45,7 +45,7 @@
     /// A line ends within a string, or an empty one comes within an object: a piece is missing.
     #[error("it breaks off")]
     Torn,
-    /// No JSON, or no list.
+    /// It is not JSON, or not a list.
     #[error("{0}")]
     Unreadable(#[from] serde_json::Error),
 }
--- a/discovery/src/objects/tests.rs
+++ b/discovery/src/json_stream/tests.rs
@@ -1,11 +1,11 @@
-//! Unit tests of `objects`.
+//! Unit tests of `json_stream`.
 
 use super::*;
 
 fn taken(pieces: &[&str]) -> (Vec<u64>, Result<(), ListError>) {
-    let (mut objects, mut versions) = (Objects::default(), Vec::new());
+    let (mut stream, mut versions) = (JsonStream::default(), Vec::new());
     let all =
-        pieces.iter().try_for_each(|piece| objects.take(piece.as_bytes(), |list| versions.push(list.seq)));
+        pieces.iter().try_for_each(|piece| stream.feed(piece.as_bytes(), |list| versions.push(list.seq)));
     (versions, all)
 }
 
@@ -30,6 +30,6 @@
         let (versions, read) = taken(&[&good, bad, "\n"]);
         assert!(read.is_err() && versions == [1], "{bad:?}: {versions:?}");
     }
-    let endless = format!("{{\"seq\":[{}", "1,".repeat(MOST));
+    let endless = format!("{{\"seq\":[{}", "1,".repeat(MAX_LIST_BYTES));
     assert!(matches!(taken(&[&endless]).1, Err(ListError::TooLong(_))));
 }
--- a/discovery/src/watch.rs
+++ b/discovery/src/watch.rs
@@ -1,51 +1,53 @@
-//! The watch itself.
+//! The watch: one poll after the other, each followed for as long as lists come.
 
-use crate::asks::{Answered, Asks};
 use crate::error::WatchError;
-use crate::objects::Objects;
-use crate::pace::Pace;
-use flaxhead_engine::List;
+use crate::json_stream::JsonStream;
+use crate::poll_backoff::PollBackoff;
+use crate::polls::{PollResult, Polls};
+use flaxhead_engine::EndpointList;
 use http_body_util::BodyExt;
 use std::convert::Infallible;
 use std::net::SocketAddr;
 use tokio::time::{sleep, timeout};
 
-/// Watches the list from version `since` on and passes on what comes, on one connection after the other, for as long as
-/// the pace has a next one. It returns why the last one ended.
+/// Watches the list from version `since` on and passes what comes to the handler, on one connection after the other, for as
+/// long as the backoff has a next one. Returns why the last one ended.
 pub(crate) async fn watch(
     discovery: SocketAddr,
-    mut pace: Pace,
+    mut backoff: PollBackoff,
     mut since: Option<u64>,
-    news: &mut dyn FnMut(List),
+    handler: &mut dyn FnMut(EndpointList),
 ) -> WatchError {
-    let mut asks = Asks::new(discovery);
+    let mut polls = Polls::new(discovery);
     loop {
-        let Err(error) = follow(&mut asks, &mut pace, &mut since, news).await;
-        let Some(pause) = pace.after(&error) else { return error };
-        if pace.is_news() {
+        let Err(error) = follow(&mut polls, &mut backoff, &mut since, handler).await;
+        let Some(delay) = backoff.next_delay(&error) else { return error };
+        if backoff.should_log() {
             tracing::info!("discovery: {error}");
         }
-        sleep(pause).await;
+        sleep(delay).await;
     }
 }
 
 /// Watches on the connection that is answered first; `since` follows the lists that came.
 async fn follow(
-    asks: &mut Asks,
-    pace: &mut Pace,
+    polls: &mut Polls,
+    backoff: &mut PollBackoff,
     since: &mut Option<u64>,
-    news: &mut dyn FnMut(List),
+    handler: &mut dyn FnMut(EndpointList),
 ) -> Result<Infallible, WatchError> {
-    let (answer, silence) = (pace.answer(), pace.silence());
-    let Answered { mut body, _connection } = asks.once_more(*since, answer).await?;
-    let mut objects = Objects::default();
+    let response_timeout = backoff.response_timeout();
+    let silence_timeout = backoff.silence_timeout();
+    let PollResult { mut body, _connection } = polls.poll(*since, response_timeout).await?;
+    let mut stream = JsonStream::default();
     loop {
-        let frame = timeout(silence, body.frame()).await.map_err(|_| WatchError::Silent(silence))?;
+        let frame = timeout(silence_timeout, body.frame()).await;
+        let frame = frame.map_err(|_| WatchError::Silent(silence_timeout))?;
         let Ok(data) = frame.ok_or(WatchError::Ended)??.into_data() else { continue };
-        objects.take(&data, |list| {
+        stream.feed(&data, |list| {
             *since = Some(list.seq);
-            news(list);
+            handler(list);
         })?;
-        pace.heard();
+        backoff.record_success();
     }
 }
--- a/engine/src/call.rs
+++ b/engine/src/call.rs
@@ -1,7 +1,8 @@
-//! A call, from its request until it is answered and none of its attempts is out.
+//! A call, from its request until it has its response and none of its attempts is in flight.
 
+use crate::clock::micros;
 use crate::task::Task;
-use crate::transport::{Meter, Transport};
+use crate::transport::{Transport, WriteMeter};
 use flaxhead_policy::{CallId, ClassId, Event, Load, Micros, Outcome, ServerId, TenantId};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -10,107 +11,112 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// What the decision module is told of a request.
+/// What the decision module is given of a request.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask {
-    /// Its class.
+pub struct CallSpec {
+    /// Its class, which has its deadline, its priority weight and its idempotency.
     pub class: ClassId,
-    /// Whose it is.
+    /// The tenant that makes the call, where it names one.
     pub tenant: Option<TenantId>,
-    /// Until when the client is to have its answer.
+    /// Until when the client is to have its response.
     pub deadline: Instant,
-    /// The client has tried before.
+    /// Whether the client says that it has tried before.
     pub resent: bool,
-    /// Most attempts that may reach a host, whatever the module's own limit; [`Ask::UNBOUNDED`]: that alone counts.
-    pub attempts_most: u32,
+    /// Most attempts that may reach a host, whatever the module's own limit; [`CallSpec::UNBOUNDED`]: that alone counts.
+    pub max_attempts: u32,
 }
 
-impl Ask {
-    /// No limit beside the module's.
+impl CallSpec {
+    /// No limit on attempts beside the module's.
     pub const UNBOUNDED: u32 = u32::MAX;
 }
 
-/// The one final answer of a call.
+/// The one final response of a call.
 #[derive(Debug)]
 pub enum Reply<A> {
-    /// A host's answer.
+    /// A host's response.
     Served(A),
-    /// Turned away; the client may come again after this time.
-    Refused(Duration),
+    /// Rejected before it can have run; the client may retry after this time.
+    Rejected(Duration),
     /// Failed; it may have run.
     Failed,
 }
 
 /// What hosts may have seen of a call.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Trace {
-    /// Attempts of which a byte may have left.
+pub struct AttemptTrace {
+    /// Attempts of which at least one byte may have been sent.
     pub attempts: u32,
-    /// One of them may have run, or still may.
+    /// Whether one of them may have run, or may still run.
     pub may_run: bool,
 }
 
 /// A call's end.
 #[derive(Debug)]
-pub struct Final<A> {
-    /// Its answer.
+pub struct FinalResponse<A> {
+    /// The response for the client.
     pub reply: Reply<A>,
-    /// What hosts may have seen of it.
-    pub trace: Trace,
+    /// What hosts may have seen of the call.
+    pub trace: AttemptTrace,
 }
 
-/// Bounds what goes out again beyond what the module decides, across all that send with it. It is told the time in
-/// microseconds and must not wait.
-pub trait Retries {
-    /// A further attempt of a call, of which hosts may have seen one, is about to go out; `false`: it may not, and the
-    /// call ends.
-    fn again(&mut self, now: Micros) -> bool;
+/// Limits retries beyond what the module decides, across all calls that share it. It must not block.
+pub trait RetryLimiter {
+    /// Whether a further attempt may go out for a call of which hosts may have seen one; `false` ends the call. `now` is
+    /// the engine's clock.
+    fn try_acquire(&mut self, now: Micros) -> bool;
 }
 
-/// What a call holds for as long as it is in hand: until it is over and none of its attempts is out, also where its
-/// client has gone before. It is dropped then. It must not wait, nor call the engine.
-pub trait Ticket {
-    /// An attempt is about to go out beside one that is out; `false`: it may not, and the call goes on without it.
-    fn another(&mut self) -> bool;
+/// What a call holds until it has its response and none of its attempts is in flight, also where its client has gone
+/// before. It is dropped then. It must not block, nor call the engine.
+pub trait CallPermit {
+    /// Whether one more attempt may go out beside one that is in flight; `false`: the call goes on without it.
+    fn acquire_extra(&mut self) -> bool;
 
-    /// One of several attempts that were out has ended.
-    fn fewer(&mut self);
+    /// One of several attempts that were in flight has ended.
+    fn release_extra(&mut self);
 
-    /// An attempt that may be at its host was given up, so that the host may go on for a moment: told before the attempt
-    /// counts as ended.
-    fn cut(&mut self);
+    /// An attempt that may have reached its host was given up, so the host may work on for a moment. Called before the
+    /// attempt counts as ended.
+    fn attempt_abandoned(&mut self);
 }
 
-/// A call in hand.
+/// A call in flight.
 pub(crate) struct Call<T: Transport> {
-    pub request: Rc<T::Request>,
-    pub class: ClassId,
+    pub(crate) request: Rc<T::Request>,
+    pub(crate) class: ClassId,
     /// It must never run twice.
-    pub once: bool,
-    pub deadline: Instant,
-    /// `None`: it is over.
-    pub reply: Option<oneshot::Sender<Final<T::Answer>>>,
-    /// `None`: that attempt has ended.
-    pub attempts: Vec<Option<Attempt>>,
-    /// Of the attempts that have ended.
-    pub trace: Trace,
-    pub attempts_most: u32,
-    pub ticket: Option<Box<dyn Ticket>>,
+    pub(crate) single_shot: bool,
+    pub(crate) deadline: Instant,
+    /// `None` once the call has its response, or its client has gone.
+    pub(crate) reply: Option<oneshot::Sender<FinalResponse<T::Answer>>>,
+    /// By attempt number; `None` once that attempt has ended.
+    pub(crate) attempts: Vec<Option<Attempt>>,
+    /// What hosts may have seen of the attempts that have ended.
+    pub(crate) ended_trace: AttemptTrace,
+    pub(crate) max_attempts: u32,
+    pub(crate) permit: Option<Box<dyn CallPermit>>,
 }
 
-/// An attempt that is out.
+/// An attempt in flight.
 pub(crate) struct Attempt {
-    pub server: ServerId,
-    pub address: SocketAddr,
-    pub sent: Instant,
-    pub meter: Meter,
-    /// Calls it off when dropped.
-    pub _task: Task,
+    pub(crate) server: ServerId,
+    pub(crate) address: SocketAddr,
+    pub(crate) sent: Instant,
+    pub(crate) meter: WriteMeter,
+    /// Cancels the attempt when dropped.
+    pub(crate) _task: Task,
+}
+
+impl Attempt {
+    fn may_have_been_seen(&self) -> bool {
+        self.meter.bytes_written() > 0
+    }
 }
 
-impl Trace {
-    fn note(&mut self, out: &Attempt, outcome: Outcome) {
-        let seen = out.meter.get() > 0;
+impl AttemptTrace {
+    fn record(&mut self, attempt: &Attempt, outcome: Outcome) {
+        let seen = attempt.may_have_been_seen();
         self.attempts += u32::from(seen);
         self.may_run |= seen && !outcome.never_ran();
     }
@@ -118,69 +124,89 @@
 
 impl<T: Transport> Call<T> {
     /// Whether its client still waits.
-    pub fn waits(&self) -> bool {
+    pub(crate) fn is_pending(&self) -> bool {
         self.reply.is_some()
     }
 
     /// What hosts may have seen of it so far.
-    pub fn trace(&self) -> Trace {
-        let out = self.attempts.iter().flatten().filter(|out| out.meter.get() > 0).count() as u32;
-        Trace { attempts: self.trace.attempts + out, may_run: self.trace.may_run || out > 0 }
+    pub(crate) fn trace(&self) -> AttemptTrace {
+        let seen = self.in_flight().filter(|attempt| attempt.may_have_been_seen());
+        let seen = u32::try_from(seen.count()).unwrap_or(u32::MAX);
+        AttemptTrace {
+            attempts: self.ended_trace.attempts.saturating_add(seen),
+            may_run: self.ended_trace.may_run || seen > 0,
+        }
     }
 
-    /// Takes an attempt off those that are out.
-    pub fn take(&mut self, attempt: u32, outcome: Outcome) -> Option<Attempt> {
-        let out = self.attempts.get_mut(attempt as usize)?.take()?;
-        self.trace.note(&out, outcome);
-        if out.meter.get() > 0 && matches!(outcome, Outcome::CalledOff | Outcome::TimedOut) {
-            self.ticket.iter_mut().for_each(|ticket| ticket.cut());
-        }
-        self.give_back(1);
-        Some(out)
+    fn in_flight(&self) -> impl Iterator<Item = &Attempt> {
+        self.attempts.iter().flatten()
     }
 
-    /// Attempts that are out.
-    fn out(&self) -> usize {
-        self.attempts.iter().flatten().count()
+    /// The number of the next attempt.
+    pub(crate) fn next_attempt(&self) -> u32 {
+        u32::try_from(self.attempts.len()).unwrap_or(u32::MAX)
     }
 
-    /// Whether one more attempt may go out now, by the call's ticket.
-    pub fn may_add(&mut self) -> bool {
-        let beside = self.ticket.is_some() && self.out() > 0;
-        !beside || self.ticket.as_mut().is_none_or(|ticket| ticket.another())
+    /// Removes an attempt from those in flight, as it has ended so.
+    pub(crate) fn take_attempt(&mut self, attempt: u32, outcome: Outcome) -> Option<Attempt> {
+        let ended = self.attempts.get_mut(attempt as usize)?.take()?;
+        self.ended_trace.record(&ended, outcome);
+        let abandoned = matches!(outcome, Outcome::CalledOff | Outcome::TimedOut);
+        if let Some(permit) = self.permit.as_mut().filter(|_| abandoned && ended.may_have_been_seen()) {
+            permit.attempt_abandoned();
+        }
+        self.release_extra_permits(1);
+        Some(ended)
+    }
+
+    /// Whether one more attempt may go out now, by the call's permit.
+    pub(crate) fn may_add_attempt(&mut self) -> bool {
+        let is_extra = self.in_flight().next().is_some();
+        match &mut self.permit {
+            Some(permit) if is_extra => permit.acquire_extra(),
+            _ => true,
+        }
     }
 
-    /// Tells the ticket that so many attempts have ended; the last of a call is not one of several.
-    fn give_back(&mut self, ended: usize) {
-        if self.ticket.is_some() {
-            let left = self.out();
-            let several = if left == 0 { ended.saturating_sub(1) } else { ended };
-            self.ticket.iter_mut().for_each(|ticket| (0..several).for_each(|_| ticket.fewer()));
+    /// Releases the permits of attempts that have ended. The call's last attempt uses the call's own permit.
+    fn release_extra_permits(&mut self, ended: usize) {
+        let is_last = self.in_flight().next().is_none();
+        let extra = if is_last { ended.saturating_sub(1) } else { ended };
+        if let Some(permit) = &mut self.permit {
+            (0..extra).for_each(|_| permit.release_extra());
         }
     }
 
-    /// Ends the attempts that are unwanted and of which nothing is written yet. Unlike one that is called off,
-    /// such an attempt surely never ran.
-    pub fn withdraw(
+    /// Ends the attempts that are unwanted and of which nothing is written yet. Unlike one that is cancelled, such an
+    /// attempt surely never ran.
+    pub(crate) fn withdraw(
         &mut self,
         id: CallId,
         events: &mut VecDeque<Event>,
-        unwanted: impl Fn(&Attempt) -> bool,
+        is_unwanted: impl Fn(&Attempt) -> bool,
     ) {
-        let (closed, mut ended_now) = (!self.waits(), 0);
-        for (attempt, out) in (0..).zip(&mut self.attempts) {
-            if let Some(out) = out.take_if(|out| out.meter.get() == 0 && unwanted(out)) {
-                out.meter.withdraw();
-                ended_now += 1;
-                events.push_back(ended(id, attempt, Outcome::NotSent, out.sent.elapsed(), closed));
+        let closed = !self.is_pending();
+        let mut ended = 0;
+        for (attempt, slot) in (0..).zip(&mut self.attempts) {
+            if let Some(unsent) =
+                slot.take_if(|attempt| !attempt.may_have_been_seen() && is_unwanted(attempt))
+            {
+                unsent.meter.withdraw();
+                ended += 1;
+                events.push_back(outcome_event(id, attempt, Outcome::NotSent, unsent.sent.elapsed(), closed));
             }
         }
-        self.give_back(ended_now);
+        self.release_extra_permits(ended);
     }
 }
 
-/// The outcome of an attempt that the engine itself has ended.
-pub(crate) fn ended(call: CallId, attempt: u32, outcome: Outcome, elapsed: Duration, closed: bool) -> Event {
-    let (elapsed, load) = (elapsed.as_micros() as Micros, Load::default());
-    Event::Outcome { call, attempt, outcome, elapsed, closed, load }
+/// The module's event for an attempt that the engine itself has ended.
+pub(crate) fn outcome_event(
+    call: CallId,
+    attempt: u32,
+    outcome: Outcome,
+    elapsed: Duration,
+    closed: bool,
+) -> Event {
+    Event::Outcome { call, attempt, outcome, elapsed: micros(elapsed), closed, load: Load::default() }
 }
--- a/engine/src/clock.rs
+++ b/engine/src/clock.rs
@@ -4,38 +4,43 @@
 use std::time::{Duration, SystemTime};
 use tokio::time::Instant;
 
-/// Counts from Unix time at the start, so that start times of hosts can be told in it, and never goes back,
+/// A duration in the decision module's unit.
+pub(crate) fn micros(duration: Duration) -> Micros {
+    Micros::try_from(duration.as_micros()).unwrap_or(Micros::MAX)
+}
+
+/// Counts from Unix time at its start, so that the start times of hosts can be expressed in it, and never goes back,
 /// whatever is done to the system's clock.
 #[derive(Clone, Copy, Debug)]
-pub struct Clock {
+pub(crate) struct Clock {
     start: Instant,
     origin: Micros,
 }
 
 impl Clock {
     /// Starts now.
-    pub fn new() -> Clock {
+    pub(crate) fn new() -> Clock {
         let unix = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
-        Clock { start: Instant::now(), origin: unix.as_micros() as Micros }
+        Clock { start: Instant::now(), origin: micros(unix) }
     }
 
-    /// What it showed, or will show, at an instant.
-    pub fn at(&self, instant: Instant) -> Micros {
-        self.origin + instant.saturating_duration_since(self.start).as_micros() as Micros
+    /// What the clock shows at an instant.
+    pub(crate) fn at(&self, instant: Instant) -> Micros {
+        self.origin + micros(instant.saturating_duration_since(self.start))
     }
 
-    /// What it shows now.
-    pub fn now(&self) -> Micros {
+    /// What the clock shows now.
+    pub(crate) fn now(&self) -> Micros {
         self.at(Instant::now())
     }
 
-    /// When it shows this.
-    pub fn instant(&self, at: Micros) -> Instant {
+    /// The instant at which the clock shows this time.
+    pub(crate) fn instant(&self, at: Micros) -> Instant {
         self.start + Duration::from_micros(at.saturating_sub(self.origin))
     }
 
-    /// Since its start.
-    pub fn elapsed(&self) -> Duration {
+    /// The time since the clock's start.
+    pub(crate) fn elapsed(&self) -> Duration {
         self.start.elapsed()
     }
 }
--- a/engine/src/engine/mod.rs
+++ b/engine/src/engine/mod.rs
@@ -1,22 +1,22 @@
-//! Drives the decision module: turns what happens to calls, attempts and hosts into its events, in one order and on
-//! one clock, and carries out its actions. It decides nothing itself.
+//! Drives the decision module: turns what happens to calls, attempts and hosts into its events, in one order and on one
+//! clock, and executes its actions. It decides nothing itself.
 
 mod attempts;
 mod calls;
-mod members;
-mod seat;
-mod waiting;
+mod endpoints;
+mod pending_call;
 
-pub(crate) use seat::Seat;
-pub use waiting::Waiting;
+pub use pending_call::PendingCall;
 
-use crate::call::{Call, Reply, Retries};
+use crate::call::{Call, Reply, RetryLimiter};
 use crate::clock::Clock;
-use crate::list::List;
-use crate::observe::{Note, Observer, View};
-use crate::source::Source;
+use crate::endpoint_list::EndpointList;
+use crate::endpoint_state::EndpointState;
+use crate::event::{EngineEvent, Observer};
+use crate::list_source::ListSource;
 use crate::task::Task;
 use crate::transport::Transport;
+use crate::view::EngineView;
 use flaxhead_policy::{Action, Balancer, CallId, Event, ListKind, Micros, Outcome, ServerId, Settings};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -25,25 +25,23 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, sleep_until, Instant};
 
-/// How often the transport looks through what is idle.
-const SWEEP: Duration = Duration::from_secs(1);
-/// How many sweeps pass between two lines of figures in the log.
-const SWEEPS_A_LINE: u32 = 10;
-/// Where the list is pushed the module never asks for it: a watch that ended is opened again after this.
-const PUSH_RETRY: Duration = Duration::from_secs(1);
+/// How often the transport closes what was idle for too long.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
+/// Sweeps between two lines of statistics in the log.
+const SWEEPS_PER_LOG_LINE: u32 = 10;
 
-/// What an engine is told at its start.
+/// What an engine is started with.
 #[derive(Clone, Debug)]
-pub struct Setup {
+pub struct EngineConfig {
     /// For random numbers; new with each start.
     pub seed: u64,
-    /// What the decision module is told.
+    /// The decision module's settings.
     pub settings: Settings,
-    /// The hosts as this proxy last had them; maybe old.
-    pub known: Option<List>,
+    /// The endpoint list as this proxy last had it; it may be outdated.
+    pub known: Option<EndpointList>,
 }
 
-/// Figures for the log.
+/// Statistics for the log, which shows them by these names.
 #[derive(Debug, Default)]
 struct Counts {
     requests: u64,
@@ -55,24 +53,26 @@
     clock: Clock,
     settings: Settings,
     balancer: Balancer,
+    /// What the module is to be given next.
     events: VecDeque<Event>,
     calls: BTreeMap<CallId, Call<T>>,
-    next_call: u64,
-    hosts: HashMap<ServerId, Seat>,
+    last_call: u64,
+    hosts: HashMap<ServerId, EndpointState>,
     names: HashMap<String, ServerId>,
-    /// Hosts that are left alone, each from a moment on, whatever the list says.
-    spared: HashMap<String, Instant>,
-    seq: Option<u64>,
-    listed: bool,
-    source: Rc<dyn Source>,
+    /// Hosts that are excluded, each from a moment on, whatever the list says.
+    excluded: HashMap<String, Instant>,
+    /// The version of the list in hand.
+    list_seq: Option<u64>,
+    has_list: bool,
+    source: Rc<dyn ListSource>,
     watch: Option<Task>,
     transport: T,
     counts: Counts,
     observers: Vec<Box<dyn Observer<T>>>,
-    retries: Option<Box<dyn Retries>>,
+    retries: Option<Box<dyn RetryLimiter>>,
 }
 
-/// An engine, shared by the tasks of one thread. No method waits, and none is called from within another.
+/// An engine, shared by the tasks of one thread. No method blocks, and none is called from within another.
 pub struct Engine<T: Transport>(Rc<RefCell<Inner<T>>>);
 
 impl<T: Transport> Clone for Engine<T> {
@@ -82,29 +82,29 @@
 }
 
 impl<T: Transport> Engine<T> {
-    /// Starts the module; `retries` bounds what goes out again beside it. Called inside a [`tokio::task::LocalSet`].
+    /// Starts the decision module; `retries` limits retries beside it. Called inside a [`tokio::task::LocalSet`].
     pub fn start(
-        setup: Setup,
+        config: EngineConfig,
         transport: T,
-        source: Rc<dyn Source>,
+        source: Rc<dyn ListSource>,
         observers: Vec<Box<dyn Observer<T>>>,
-        retries: Option<Box<dyn Retries>>,
+        retries: Option<Box<dyn RetryLimiter>>,
     ) -> Engine<T> {
-        let Setup { seed, settings, known } = setup;
-        let pushed = !settings.ask;
+        let EngineConfig { seed, settings, known } = config;
+        let list_is_pushed = !settings.ask;
         let inner = Inner {
             clock: Clock::new(),
             balancer: Balancer::new(seed, settings.clone()),
             settings,
             events: VecDeque::new(),
             calls: BTreeMap::new(),
-            next_call: 0,
+            last_call: 0,
             hosts: HashMap::new(),
             names: HashMap::new(),
-            spared: HashMap::new(),
-            // Set before the start: the module subscribes at once, from the version of the list it gets next.
-            seq: known.as_ref().map(|known| known.seq),
-            listed: false,
+            excluded: HashMap::new(),
+            // Set before the start: the module subscribes at once, from the version of the list that it is given next.
+            list_seq: known.as_ref().map(|known| known.seq),
+            has_list: false,
             source,
             watch: None,
             transport,
@@ -115,42 +115,55 @@
         let engine = Engine(Rc::new(RefCell::new(inner)));
         engine.run([Event::Start]);
         match known {
-            Some(known) => engine.members(known, true),
+            Some(known) => engine.apply_list(&known, true),
             None => engine.run([Event::Members { kind: ListKind::Cached, entries: Vec::new() }]),
         }
-        if pushed {
+        if list_is_pushed {
             engine.0.borrow_mut().subscribe(&engine);
         }
-        let sweeper = engine.clone();
+        engine.spawn_sweeper();
+        engine
+    }
+
+    fn spawn_sweeper(&self) {
+        let engine = self.clone();
         spawn_local(async move {
             for sweep in 1_u32.. {
-                sleep(SWEEP).await;
-                sweeper.0.borrow_mut().transport.sweep();
-                if sweep % SWEEPS_A_LINE == 0 {
-                    sweeper.log_counts();
+                sleep(SWEEP_INTERVAL).await;
+                engine.0.borrow_mut().transport.sweep();
+                if sweep % SWEEPS_PER_LOG_LINE == 0 {
+                    engine.log_counts();
                 }
             }
         });
-        engine
     }
 
-    /// Whether a list of hosts is in hand.
+    /// Whether the engine has an endpoint list.
     pub fn is_ready(&self) -> bool {
-        self.0.borrow().listed
+        self.0.borrow().has_list
     }
 
-    /// Writes the figures so far to the log.
+    /// Writes the statistics so far to the log.
     pub fn log_counts(&self) {
         let inner = self.0.borrow();
-        let (calls, figures) = (inner.calls.len(), inner.transport.figures());
-        tracing::info!("{calls} calls, {figures:?}, {:?}", inner.counts);
+        let calls = inner.calls.len();
+        let stats = inner.transport.stats();
+        tracing::info!("{calls} calls, {stats:?}, {:?}", inner.counts);
     }
 
     /// Looks at the engine as it is now.
-    pub fn view<R>(&self, look: impl FnOnce(&View<'_, T>) -> R) -> R {
+    pub fn view<R>(&self, look: impl FnOnce(&EngineView<'_, T>) -> R) -> R {
         let inner = self.0.borrow();
         let Inner { clock, settings, balancer, names, hosts, calls, .. } = &*inner;
-        look(&View { now: clock.now(), uptime: clock.elapsed(), settings, balancer, names, hosts, calls })
+        look(&EngineView {
+            now: clock.now(),
+            uptime: clock.elapsed(),
+            settings,
+            balancer,
+            names,
+            hosts,
+            calls,
+        })
     }
 
     /// Feeds events to the module, and those that its actions lead to at once.
@@ -163,17 +176,17 @@
                 *inner.counts.outcomes.entry(outcome).or_default() += 1;
             }
             let now = inner.clock.now();
-            inner.note_at(now, || Note::Fed(&event));
+            inner.notify_at(now, || EngineEvent::PolicyInput(&event));
             inner.balancer.handle(now, event, &mut actions);
             for action in actions.drain(..) {
-                inner.note(|| Note::Did(&action));
-                inner.carry_out(self, action);
+                inner.notify(|| EngineEvent::PolicyAction(&action));
+                inner.execute(self, action);
             }
-            inner.note(|| Note::Stepped);
+            inner.notify(|| EngineEvent::PolicyStepped);
         }
     }
 
-    fn wake(&self, at: Instant) {
+    fn wake_at(&self, at: Instant) {
         let engine = self.clone();
         spawn_local(async move {
             sleep_until(at).await;
@@ -183,17 +196,17 @@
 }
 
 impl<T: Transport> Inner<T> {
-    /// Tells the observers, where there are any.
-    fn note<'n>(&mut self, note: impl FnOnce() -> Note<'n, T>)
+    /// Notifies the observers, where there are any.
+    fn notify<'n>(&mut self, event: impl FnOnce() -> EngineEvent<'n, T>)
     where
         T: 'n,
     {
         if !self.observers.is_empty() {
-            self.note_at(self.clock.now(), note);
+            self.notify_at(self.clock.now(), event);
         }
     }
 
-    fn note_at<'n>(&mut self, now: Micros, note: impl FnOnce() -> Note<'n, T>)
+    fn notify_at<'n>(&mut self, now: Micros, event: impl FnOnce() -> EngineEvent<'n, T>)
     where
         T: 'n,
     {
@@ -201,22 +214,22 @@
         if observers.is_empty() {
             return;
         }
-        let view = View { now, uptime: clock.elapsed(), settings, balancer, names, hosts, calls };
-        let note = note();
-        observers.iter_mut().for_each(|observer| observer.observe(&note, &view));
+        let view = EngineView { now, uptime: clock.elapsed(), settings, balancer, names, hosts, calls };
+        let event = event();
+        observers.iter_mut().for_each(|observer| observer.observe(&event, &view));
     }
 
-    fn carry_out(&mut self, engine: &Engine<T>, action: Action) {
+    fn execute(&mut self, engine: &Engine<T>, action: Action) {
         match action {
             Action::Send { call, server, until, begin_by } => {
-                self.send(engine, call, server, (until, begin_by));
+                self.send(engine, call, server, attempts::SendWindow { until, begin_by });
             }
             Action::Refuse { call, retry_after } => {
-                self.answer(call, Reply::Refused(Duration::from_micros(retry_after)));
+                self.answer(call, Reply::Rejected(Duration::from_micros(retry_after)));
             }
             Action::Fail { call } => self.answer(call, Reply::Failed),
             Action::Cancel { call, attempt } => self.cancel(call, attempt),
-            Action::Wake { after } => engine.wake(Instant::now() + Duration::from_micros(after)),
+            Action::Wake { after } => engine.wake_at(Instant::now() + Duration::from_micros(after)),
             Action::Subscribe => self.subscribe(engine),
             Action::Log { text } => tracing::info!("{text}"),
             // The module asks for none where the settings allow none, and this program has none to offer.
--- a/engine/src/lib.rs
+++ b/engine/src/lib.rs
@@ -1,26 +1,29 @@
-//! The life of a call without a protocol. A front gives the [`Engine`] calls with a payload of its own, a
-//! [`Transport`] carries attempts to hosts, a [`Source`] brings the list of hosts, and [`Observer`]s watch through
-//! one stream of [`Note`]s. What is done with a call the decision module says; the engine turns what happens into
-//! its events, in one order and on one clock, and carries out its actions.
+//! The life of a call, independent of any protocol.
 //!
-//! An engine lives on one thread, inside a [`tokio::task::LocalSet`]. It names no protocol and no feature.
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
+//! A front passes calls with a payload of its own to the [`Engine`], a [`Transport`] carries their attempts to hosts, a
+//! [`ListSource`] delivers the endpoint list, and [`Observer`]s follow a stream of [`EngineEvent`]s. The decision module
+//! (`flaxhead_policy`) says what is done with a call: the engine turns whatever happens into the module's events, in one
+//! order and on one clock, and executes its actions.
+//!
+//! An engine lives on one thread, inside a [`tokio::task::LocalSet`]. It knows no protocol and no feature.
 
 mod call;
 mod clock;
+mod endpoint_list;
+mod endpoint_state;
 mod engine;
-mod leave;
-mod list;
-mod observe;
-mod source;
+mod event;
+mod list_source;
+mod send_cutoff;
 mod task;
 mod transport;
+mod view;
 
-pub use call::{Ask, Final, Reply, Retries, Ticket, Trace};
-pub use engine::{Engine, Setup, Waiting};
-pub use list::{Health, Host, List};
-pub use observe::{HostView, Note, Observer, OpenCall, View};
-pub use source::{BoxError, News, Source, Watching};
+pub use call::{AttemptTrace, CallPermit, CallSpec, FinalResponse, Reply, RetryLimiter};
+pub use endpoint_list::{Endpoint, EndpointList, Health};
+pub use engine::{Engine, EngineConfig, PendingCall};
+pub use event::{EngineEvent, Observer};
+pub use list_source::{BoxError, ListHandler, ListSource, WatchFuture};
 pub use task::{spawn, Task};
-pub use transport::{End, Meter, Target, Transport};
+pub use transport::{AttemptResult, AttemptTarget, Transport, WriteMeter};
+pub use view::{EngineView, HostView, OpenCall};
--- a/engine/src/transport.rs
+++ b/engine/src/transport.rs
@@ -1,6 +1,6 @@
 //! What carries attempts to hosts.
 
-use crate::leave::Leave;
+use crate::send_cutoff::SendCutoff;
 use flaxhead_policy::{Load, Outcome, ServerId};
 use std::cell::Cell;
 use std::fmt::Debug;
@@ -10,133 +10,136 @@
 use std::rc::Rc;
 use tokio::time::{timeout_at, Instant};
 
-/// What was written for one attempt, and whether anything more may be: none written means that no host can have seen
-/// it. Whoever writes counts up before a byte leaves for good, never after, and writes nothing once it is withdrawn:
-/// the task of an attempt that was called off may end only after others that write for it have had their turn.
+/// What was written for one attempt, and whether anything more may be: with nothing written no host can have seen it.
+/// Whoever writes counts before a byte leaves for good, never after, and writes nothing once the attempt is withdrawn:
+/// the task of a cancelled attempt may end only after other tasks that write for it have had their turn.
 #[derive(Clone, Debug, Default)]
-pub struct Meter {
-    written: Rc<Cell<Written>>,
-    leave: Leave,
+pub struct WriteMeter {
+    state: Rc<Cell<WriteState>>,
+    cutoff: SendCutoff,
     begin_by: Option<Instant>,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Written {
+struct WriteState {
     bytes: usize,
     withdrawn: bool,
 }
 
-impl Meter {
-    /// Bytes that were written.
-    pub fn get(&self) -> usize {
-        self.written.get().bytes
+impl WriteMeter {
+    /// For an attempt at a host with this cutoff, which must not begin from `begin_by` on.
+    pub(crate) fn new(cutoff: SendCutoff, begin_by: Option<Instant>) -> WriteMeter {
+        WriteMeter { state: Rc::default(), cutoff, begin_by }
     }
 
-    /// Sets the bytes that were written.
-    pub fn set(&self, bytes: usize) {
-        self.written.set(Written { bytes, ..self.written.get() });
+    /// The number of bytes that were written.
+    pub fn bytes_written(&self) -> usize {
+        self.state.get().bytes
     }
 
-    /// For an attempt at a host that is left alone from a moment on, and that is not begun from `begin_by` on.
-    pub(crate) fn until(leave: Leave, begin_by: Option<Instant>) -> Meter {
-        Meter { written: Rc::default(), leave, begin_by }
+    /// Sets the number of bytes that were written.
+    pub fn set_bytes_written(&self, bytes: usize) {
+        self.state.set(WriteState { bytes, ..self.state.get() });
     }
 
-    /// Whether nothing more may be written. What has begun goes on: it is what is new that comes too late.
+    /// Whether nothing more may be written. An attempt that has begun goes on: only a new one can come too late.
     pub fn is_withdrawn(&self) -> bool {
-        let Written { bytes, withdrawn } = self.written.get();
-        let late = || self.leave.is_over() || self.begin_by.is_some_and(|by| Instant::now() >= by);
-        withdrawn || bytes == 0 && late()
+        let WriteState { bytes, withdrawn } = self.state.get();
+        withdrawn || bytes == 0 && self.is_too_late_to_begin()
     }
 
-    /// Takes the attempt back: nothing is written for it from now on.
+    fn is_too_late_to_begin(&self) -> bool {
+        self.cutoff.has_passed() || self.begin_by.is_some_and(|by| Instant::now() >= by)
+    }
+
+    /// Withdraws the attempt: nothing is written for it from now on.
     pub(crate) fn withdraw(&self) {
-        self.written.set(Written { withdrawn: true, ..self.written.get() });
+        self.state.set(WriteState { withdrawn: true, ..self.state.get() });
     }
 }
 
-/// Where an attempt goes, and on what terms.
+/// Where an attempt goes, and under which conditions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Target {
+pub struct AttemptTarget {
     /// The host's number.
     pub server: ServerId,
-    /// Where it listens.
+    /// The address where it listens.
     pub address: SocketAddr,
-    /// The request must not run twice.
-    pub once: bool,
+    /// Whether the request must not run twice.
+    pub single_shot: bool,
     /// When the attempt is given up.
     pub until: Instant,
 }
 
-/// An attempt to its end, or until it is given up; not past `begin_by` where none of it is written by then.
-pub(crate) async fn in_time<A>(
-    sending: impl Future<Output = End<A>>,
-    meter: &Meter,
+/// Runs an attempt to its end or its deadline `until`; with nothing written yet, not past `begin_by`.
+pub(crate) async fn run_until<A>(
+    sending: impl Future<Output = AttemptResult<A>>,
+    meter: &WriteMeter,
     until: Instant,
     begin_by: Option<Instant>,
-) -> End<A> {
+) -> AttemptResult<A> {
     let mut sending = pin!(sending);
     if let Some(by) = begin_by.filter(|by| *by < until) {
         match timeout_at(by, sending.as_mut()).await {
-            Ok(end) => return end,
-            Err(_) if meter.get() == 0 => return End::without_answer(Outcome::NotSent),
+            Ok(result) => return result,
+            Err(_) if meter.bytes_written() == 0 => return AttemptResult::without_answer(Outcome::NotSent),
             Err(_) => {}
         }
     }
     // It is over then whatever happens.
-    let late = |_| match meter.get() {
-        0 => End::without_answer(Outcome::NoConnection),
-        _ => End::without_answer(Outcome::TimedOut),
+    let timed_out = |_| match meter.bytes_written() {
+        0 => AttemptResult::without_answer(Outcome::NoConnection),
+        _ => AttemptResult::without_answer(Outcome::TimedOut),
     };
-    timeout_at(until, sending).await.unwrap_or_else(late)
+    timeout_at(until, sending).await.unwrap_or_else(timed_out)
 }
 
 /// How an attempt ended.
 #[derive(Debug)]
-pub struct End<A> {
-    /// How.
+pub struct AttemptResult<A> {
+    /// How it ended.
     pub outcome: Outcome,
-    /// The host's report on its load.
+    /// The host's load report.
     pub load: Load,
-    /// The answer to pass on. With one the call is over, also where the outcome is a failure: the host's word is
+    /// The response to forward. With one the call is over, also where the outcome is a failure: the host's response is
     /// final then.
     pub answer: Option<A>,
 }
 
-impl<A> End<A> {
-    /// An end without an answer.
-    pub fn without_answer(outcome: Outcome) -> End<A> {
-        End { outcome, load: Load::default(), answer: None }
+impl<A> AttemptResult<A> {
+    /// An end without a response to forward.
+    pub fn without_answer(outcome: Outcome) -> AttemptResult<A> {
+        AttemptResult { outcome, load: Load::default(), answer: None }
     }
 }
 
-/// Connects, sends, reports outcomes. It decides nothing: which host, when, and for how long the engine says.
+/// Connects, sends, reports outcomes. It decides nothing: the engine says to which host, when, and for how long.
 pub trait Transport: 'static {
-    /// What a front gives for a call: sent once for each attempt.
+    /// What a front passes for a call; it is sent once for each attempt.
     type Request: 'static;
-    /// What a host answers.
+    /// A host's response.
     type Answer: 'static;
 
-    /// Something new may be sent to a host at this address from now on; `None`: nothing may, and what is idle
-    /// there closes. `restarted`: what is idle there leads to a process that has gone.
-    fn host(&self, server: ServerId, dial: Option<SocketAddr>, restarted: bool);
+    /// Something new may be sent to a host at this address from now on; `None`: nothing may, and idle connections to it
+    /// are closed. `restarted`: idle connections lead to a process that has gone.
+    fn set_endpoint(&self, server: ServerId, address: Option<SocketAddr>, restarted: bool);
 
     /// A host is no longer listed.
-    fn forget(&self, server: ServerId);
+    fn remove_endpoint(&self, server: ServerId);
 
-    /// One attempt, from its connection to its outcome. What it goes out on is chosen in this call where something
-    /// is at hand, not when the future is first polled. Dropping the future calls the attempt off. The engine drops
-    /// it at the target's `until`.
+    /// One attempt, from its connection to its outcome. An idle connection, where there is one, is chosen in this call,
+    /// not when the future is first polled. Dropping the future cancels the attempt. The engine drops it at the target's
+    /// `until`.
     fn send(
         &self,
-        target: Target,
+        target: AttemptTarget,
         request: &Rc<Self::Request>,
-        meter: &Meter,
-    ) -> impl Future<Output = End<Self::Answer>> + use<Self> + 'static;
+        meter: &WriteMeter,
+    ) -> impl Future<Output = AttemptResult<Self::Answer>> + use<Self> + 'static;
 
-    /// Called once a second.
+    /// Called once a second, to close connections that were idle for too long.
     fn sweep(&self) {}
 
-    /// Figures for the log.
-    fn figures(&self) -> impl Debug;
+    /// Statistics for the log.
+    fn stats(&self) -> impl Debug;
 }
--- a/engine/tests/calls.rs
+++ b/engine/tests/calls.rs
@@ -1,8 +1,9 @@
 //! The life of calls on a transport that does as it is told, on paused time.
 
 use flaxhead_engine::{
-    Ask, BoxError, End, Engine, Final, Health, Host, List, Meter, News, Note, Observer, Reply, Retries,
-    Setup, Source, Target, Ticket, Trace, Transport, View, Watching,
+    AttemptResult, AttemptTarget, AttemptTrace, BoxError, CallPermit, CallSpec, Endpoint, EndpointList,
+    Engine, EngineConfig, EngineEvent, EngineView, FinalResponse, Health, ListHandler, ListSource, Observer,
+    Reply, RetryLimiter, Transport, WatchFuture, WriteMeter,
 };
 use flaxhead_policy::{Class, ClassId, Limits, Micros, Outcome, Repeat, Scope, ServerId, Settings};
 use std::cell::{Cell, RefCell};
@@ -31,7 +32,7 @@
 #[derive(Default)]
 struct Script {
     acts: VecDeque<Act>,
-    sent: Vec<Target>,
+    sent: Vec<AttemptTarget>,
     seats: Vec<(ServerId, Option<SocketAddr>)>,
 }
 
@@ -42,20 +43,20 @@
     type Request = &'static str;
     type Answer = &'static str;
 
-    fn host(&self, server: ServerId, dial: Option<SocketAddr>, _: bool) {
+    fn set_endpoint(&self, server: ServerId, dial: Option<SocketAddr>, _: bool) {
         self.0.borrow_mut().seats.push((server, dial));
     }
 
-    fn forget(&self, server: ServerId) {
+    fn remove_endpoint(&self, server: ServerId) {
         self.0.borrow_mut().seats.push((server, None));
     }
 
     fn send(
         &self,
-        target: Target,
+        target: AttemptTarget,
         request: &Rc<&'static str>,
-        meter: &Meter,
-    ) -> impl Future<Output = End<&'static str>> + use<> + 'static {
+        meter: &WriteMeter,
+    ) -> impl Future<Output = AttemptResult<&'static str>> + use<> + 'static {
         let mut script = self.0.borrow_mut();
         script.sent.push(target);
         let (act, request, meter) = (script.acts.pop_front().unwrap_or(Act::Stall), **request, meter.clone());
@@ -65,27 +66,30 @@
                 if meter.is_withdrawn() {
                     return std::future::pending().await;
                 }
-                meter.set(1);
-                return End { answer: Some(request), ..End::without_answer(Outcome::Served) };
+                meter.set_bytes_written(1);
+                return AttemptResult {
+                    answer: Some(request),
+                    ..AttemptResult::without_answer(Outcome::Served)
+                };
             }
             if !matches!(act, Act::Wait) {
-                meter.set(1);
+                meter.set_bytes_written(1);
             }
             let Act::End(outcome, after) = act else { return std::future::pending().await };
             sleep(Duration::from_millis(after)).await;
             let answer = (outcome == Outcome::Served).then_some(request);
-            End { answer, ..End::without_answer(outcome) }
+            AttemptResult { answer, ..AttemptResult::without_answer(outcome) }
         }
     }
 
-    fn figures(&self) -> impl std::fmt::Debug {}
+    fn stats(&self) -> impl std::fmt::Debug {}
 }
 
 /// Lists that a test brings.
-struct Told(RefCell<Option<mpsc::UnboundedReceiver<List>>>);
+struct Told(RefCell<Option<mpsc::UnboundedReceiver<EndpointList>>>);
 
-impl Source for Told {
-    fn watch(&self, _: Option<u64>, mut news: News) -> Watching {
+impl ListSource for Told {
+    fn watch(&self, _: Option<u64>, mut news: ListHandler) -> WatchFuture {
         let lists = self.0.borrow_mut().take();
         Box::pin(async move {
             let Some(mut lists) = lists else { return std::future::pending::<BoxError>().await };
@@ -97,10 +101,10 @@
     }
 }
 
-fn list(hosts: &[(&str, Health)]) -> List {
-    let host = |(n, &(name, health)): (usize, &(&str, Health))| Host {
+fn list(hosts: &[(&str, Health)]) -> EndpointList {
+    let host = |(n, &(name, health)): (usize, &(&str, Health))| Endpoint {
         host: name.to_owned(),
-        dial: SocketAddr::from(([127, 0, 0, 1], 9_000 + n as u16)),
+        dial: SocketAddr::from(([127, 0, 0, 1], 9_000 + u16::try_from(n).expect("few hosts"))),
         site: "a".to_owned(),
         block: 0,
         health,
@@ -108,13 +112,13 @@
         share: 1.0,
         born_ms: 0,
     };
-    List { seq: 1, whole: true, hosts: hosts.iter().enumerate().map(host).collect() }
+    EndpointList { seq: 1, whole: true, hosts: hosts.iter().enumerate().map(host).collect() }
 }
 
 struct Rig {
     engine: Engine<Scripted>,
     transport: Scripted,
-    lists: mpsc::UnboundedSender<List>,
+    lists: mpsc::UnboundedSender<EndpointList>,
 }
 
 impl Rig {
@@ -126,7 +130,7 @@
         repeat: Repeat,
         acts: &[Act],
         observers: Vec<Box<dyn Observer<Scripted>>>,
-        retries: Option<Box<dyn Retries>>,
+        retries: Option<Box<dyn RetryLimiter>>,
     ) -> Rig {
         let transport = Scripted::default();
         transport.0.borrow_mut().acts.extend(acts);
@@ -139,23 +143,30 @@
             max_attempts: 3,
             ..Settings::default().limits
         };
-        let setup = Setup { seed: 7, settings: Settings { classes, limits, ..Settings::default() }, known };
+        let setup =
+            EngineConfig { seed: 7, settings: Settings { classes, limits, ..Settings::default() }, known };
         let source = Rc::new(Told(RefCell::new(Some(told))));
         let engine = Engine::start(setup, transport.clone(), source, observers, retries);
         Rig { engine, transport, lists }
     }
 
-    fn ask(&self, attempts_most: u32) -> flaxhead_engine::Waiting<Scripted> {
+    fn ask(&self, attempts_most: u32) -> flaxhead_engine::PendingCall<Scripted> {
         self.ask_with(attempts_most, None)
     }
 
     fn ask_with(
         &self,
         attempts_most: u32,
-        ticket: Option<Box<dyn Ticket>>,
-    ) -> flaxhead_engine::Waiting<Scripted> {
+        ticket: Option<Box<dyn CallPermit>>,
+    ) -> flaxhead_engine::PendingCall<Scripted> {
         let deadline = Instant::now() + Duration::from_secs(2);
-        let ask = Ask { class: ClassId(0), tenant: None, deadline, resent: false, attempts_most };
+        let ask = CallSpec {
+            class: ClassId(0),
+            tenant: None,
+            deadline,
+            resent: false,
+            max_attempts: attempts_most,
+        };
         self.engine.request(ask, "pay", ticket)
     }
 
@@ -180,13 +191,13 @@
 fn a_call_goes_again_where_it_never_ran_and_its_end_says_what_hosts_saw() {
     run(async {
         let rig = Rig::new(Repeat::SingleShot, &[TURNED_AWAY, SERVED]);
-        let Final { reply, trace } = rig.ask(Ask::UNBOUNDED).end().await;
+        let FinalResponse { reply, trace } = rig.ask(CallSpec::UNBOUNDED).final_response().await;
         assert!(matches!(reply, Reply::Served("pay")), "{reply:?}");
-        assert_eq!(trace, Trace { attempts: 2, may_run: true });
+        assert_eq!(trace, AttemptTrace { attempts: 2, may_run: true });
         let rig = Rig::new(Repeat::SingleShot, &[Act::End(Outcome::Reset, 1), SERVED]);
-        let Final { reply, trace } = rig.ask(Ask::UNBOUNDED).end().await;
+        let FinalResponse { reply, trace } = rig.ask(CallSpec::UNBOUNDED).final_response().await;
         assert!(matches!(reply, Reply::Failed) && rig.sent() == 1, "{reply:?}");
-        assert_eq!(trace, Trace { attempts: 1, may_run: true });
+        assert_eq!(trace, AttemptTrace { attempts: 1, may_run: true });
     });
 }
 
@@ -198,10 +209,10 @@
         run(async {
             let rig = Rig::new(guarded, &[Act::End(Outcome::Reset, 500), Act::Late(late)]);
             let began = Instant::now();
-            let Final { reply, trace } = rig.ask(Ask::UNBOUNDED).end().await;
+            let FinalResponse { reply, trace } = rig.ask(CallSpec::UNBOUNDED).final_response().await;
             assert_eq!(rig.sent(), 2, "it was decided within the window");
             assert_eq!(matches!(reply, Reply::Served(_)), in_time, "{reply:?}");
-            assert_eq!(trace, Trace { attempts: 1 + u32::from(in_time), may_run: true });
+            assert_eq!(trace, AttemptTrace { attempts: 1 + u32::from(in_time), may_run: true });
             assert!(began.elapsed() <= Duration::from_millis(701), "{:?}", began.elapsed());
         });
     }
@@ -211,21 +222,21 @@
 fn the_attempts_that_a_caller_allows_are_not_passed() {
     run(async {
         let rig = Rig::new(Repeat::Free, &[TURNED_AWAY, TURNED_AWAY, SERVED]);
-        let Final { reply, trace } = rig.ask(1).end().await;
-        assert!(matches!(reply, Reply::Refused(_)), "{reply:?}: it never ran");
-        assert_eq!((trace, rig.sent()), (Trace { attempts: 1, may_run: false }, 1));
+        let FinalResponse { reply, trace } = rig.ask(1).final_response().await;
+        assert!(matches!(reply, Reply::Rejected(_)), "{reply:?}: it never ran");
+        assert_eq!((trace, rig.sent()), (AttemptTrace { attempts: 1, may_run: false }, 1));
         let rig = Rig::new(Repeat::Free, &[Act::End(Outcome::Error, 1), SERVED]);
-        let Final { reply, trace } = rig.ask(1).end().await;
+        let FinalResponse { reply, trace } = rig.ask(1).final_response().await;
         assert!(matches!(reply, Reply::Failed), "{reply:?}: it may have run");
-        assert_eq!((trace, rig.sent()), (Trace { attempts: 1, may_run: true }, 1));
+        assert_eq!((trace, rig.sent()), (AttemptTrace { attempts: 1, may_run: true }, 1));
     });
 }
 
 /// Retries of which there are so many.
 struct Few(u32);
 
-impl Retries for Few {
-    fn again(&mut self, _: Micros) -> bool {
+impl RetryLimiter for Few {
+    fn try_acquire(&mut self, _: Micros) -> bool {
         let allowed = self.0 > 0;
         self.0 = self.0.saturating_sub(1);
         allowed
@@ -238,8 +249,8 @@
         let acts = [TURNED_AWAY, TURNED_AWAY, SERVED];
         let rig = Rig::with(Repeat::Free, &acts, Vec::new(), Some(Box::new(Few(1))));
         let began = Instant::now();
-        let reply = rig.ask(Ask::UNBOUNDED).reply().await;
-        assert!(matches!(reply, Reply::Refused(_)) && rig.sent() == 2, "{reply:?}");
+        let reply = rig.ask(CallSpec::UNBOUNDED).reply().await;
+        assert!(matches!(reply, Reply::Rejected(_)) && rig.sent() == 2, "{reply:?}");
         assert!(began.elapsed() < Duration::from_millis(100), "{:?}", began.elapsed());
     });
 }
@@ -248,13 +259,17 @@
 fn a_drain_takes_back_what_is_not_written_and_the_transport_closes_what_is_idle() {
     run(async {
         let rig = Rig::new(Repeat::SingleShot, &[Act::Wait, SERVED]);
-        let mut waiting = rig.ask(Ask::UNBOUNDED);
+        let mut waiting = rig.ask(CallSpec::UNBOUNDED);
         let first = rig.transport.0.borrow().sent[0].server;
         let (gone, stays) = if first == rig.number("a") { ("a", "b") } else { ("b", "a") };
         rig.lists.send(list(&[(gone, Health::Terminating), (stays, Health::Ready)])).expect("watched");
-        let Final { reply, trace } = waiting.end().await;
+        let FinalResponse { reply, trace } = waiting.final_response().await;
         assert!(matches!(reply, Reply::Served("pay")), "{reply:?}");
-        assert_eq!(trace, Trace { attempts: 1, may_run: true }, "the one that was taken back was never seen");
+        assert_eq!(
+            trace,
+            AttemptTrace { attempts: 1, may_run: true },
+            "the one that was taken back was never seen"
+        );
         let script = rig.transport.0.borrow();
         assert_ne!(script.sent[1].server, first);
         assert!(script.seats.contains(&(first, None)));
@@ -283,12 +298,12 @@
 fn all_that_is_open_is_answered_by_what_may_have_run() {
     run(async {
         let rig = Rig::new(Repeat::SingleShot, &[Act::Stall, Act::Wait]);
-        let (mut stalled, mut unsent) = (rig.ask(Ask::UNBOUNDED), rig.ask(Ask::UNBOUNDED));
+        let (mut stalled, mut unsent) = (rig.ask(CallSpec::UNBOUNDED), rig.ask(CallSpec::UNBOUNDED));
         sleep(Duration::from_millis(5)).await;
         rig.engine.answer_all();
-        let (stalled, unsent) = (stalled.end().await, unsent.end().await);
+        let (stalled, unsent) = (stalled.final_response().await, unsent.final_response().await);
         assert!(matches!(stalled.reply, Reply::Failed) && stalled.trace.may_run, "{stalled:?}");
-        assert!(matches!(unsent.reply, Reply::Refused(_)) && !unsent.trace.may_run, "{unsent:?}");
+        assert!(matches!(unsent.reply, Reply::Rejected(_)) && !unsent.trace.may_run, "{unsent:?}");
     });
 }
 
@@ -296,10 +311,10 @@
 fn whoever_gives_a_call_up_learns_what_hosts_saw() {
     run(async {
         let rig = Rig::new(Repeat::Free, &[Act::Stall, Act::Wait]);
-        let (stalled, unsent) = (rig.ask(Ask::UNBOUNDED), rig.ask(Ask::UNBOUNDED));
+        let (stalled, unsent) = (rig.ask(CallSpec::UNBOUNDED), rig.ask(CallSpec::UNBOUNDED));
         sleep(Duration::from_millis(5)).await;
-        assert_eq!(stalled.abandon(), Trace { attempts: 1, may_run: true });
-        assert_eq!(unsent.abandon(), Trace::default());
+        assert_eq!(stalled.abandon(), AttemptTrace { attempts: 1, may_run: true });
+        assert_eq!(unsent.abandon(), AttemptTrace::default());
         rig.engine.view(|view| assert!(view.calls().all(|call| !call.waits)));
     });
 }
@@ -308,18 +323,22 @@
 struct Notes(Rc<RefCell<Vec<String>>>);
 
 impl Observer<Scripted> for Notes {
-    fn observe(&mut self, note: &Note<'_, Scripted>, view: &View<'_, Scripted>) {
+    fn observe(&mut self, note: &EngineEvent<'_, Scripted>, view: &EngineView<'_, Scripted>) {
         let line = match note {
-            Note::Asked { call, request, .. } => format!("asked {} {request}", call.0),
-            Note::Fed(event) => format!("{event:?}").split([' ', '{']).next().unwrap_or_default().to_owned(),
-            Note::Stepped => return,
-            Note::Did(action) => {
+            EngineEvent::CallReceived { call, request, .. } => format!("asked {} {request}", call.0),
+            EngineEvent::PolicyInput(event) => {
+                format!("{event:?}").split([' ', '{']).next().unwrap_or_default().to_owned()
+            }
+            EngineEvent::PolicyStepped => return,
+            EngineEvent::PolicyAction(action) => {
                 format!("{action:?}").split([' ', '{']).next().unwrap_or_default().to_owned()
             }
-            Note::Answered { call, .. } => format!("answered {}", call.0),
-            Note::Ended { outcome, .. } => format!("ended {outcome:?}"),
-            Note::Listed { list, .. } => format!("listed {}", list.hosts.len()),
-            Note::Switched { host, health, .. } => format!("{host} {health:?} of {}", view.hosts().count()),
+            EngineEvent::CallAnswered { call, .. } => format!("answered {}", call.0),
+            EngineEvent::AttemptEnded { outcome, .. } => format!("ended {outcome:?}"),
+            EngineEvent::ListReceived { list, .. } => format!("listed {}", list.hosts.len()),
+            EngineEvent::HealthChanged { host, health, .. } => {
+                format!("{host} {health:?} of {}", view.hosts().count())
+            }
         };
         self.0.borrow_mut().push(line);
     }
@@ -331,7 +350,7 @@
         let notes = Rc::new(RefCell::new(Vec::new()));
         let observers: Vec<Box<dyn Observer<Scripted>>> = vec![Box::new(Notes(notes.clone()))];
         let rig = Rig::with(Repeat::Free, &[SERVED], observers, None);
-        rig.ask(Ask::UNBOUNDED).reply().await;
+        rig.ask(CallSpec::UNBOUNDED).reply().await;
         rig.lists.send(list(&[("a", Health::Ready)])).expect("watched");
         sleep(Duration::from_millis(1)).await;
         let notes = notes.borrow();
@@ -356,32 +375,32 @@
 struct Held(Units);
 
 impl Units {
-    fn ticket(&self) -> Option<Box<dyn Ticket>> {
+    fn ticket(&self) -> Option<Box<dyn CallPermit>> {
         self.held.set(self.held.get() + 1);
         Some(Box::new(Held(self.clone())))
     }
 }
 
-impl Ticket for Held {
-    fn another(&mut self) -> bool {
+impl CallPermit for Held {
+    fn acquire_extra(&mut self) -> bool {
         let Units { held, copies, asked, .. } = &self.0;
         asked.set(asked.get() + 1);
         held.set(held.get() + i32::from(*copies));
         *copies
     }
 
-    fn fewer(&mut self) {
+    fn release_extra(&mut self) {
         self.0.held.set(self.0.held.get() - 1);
     }
 
-    fn cut(&mut self) {
+    fn attempt_abandoned(&mut self) {
         self.0.cut.set(self.0.cut.get() + 1);
     }
 }
 
 impl Drop for Held {
     fn drop(&mut self) {
-        self.fewer();
+        self.release_extra();
     }
 }
 
@@ -394,19 +413,22 @@
             acts.extend([TURNED_AWAY, SERVED, Act::Stall, SERVED]);
             let rig = Rig::with(Repeat::Free, &acts, Vec::new(), None);
             for _ in 0..30 {
-                rig.ask(Ask::UNBOUNDED).reply().await;
+                rig.ask(CallSpec::UNBOUNDED).reply().await;
             }
             let units = Units { copies, ..Units::default() };
-            let mut again = rig.ask_with(Ask::UNBOUNDED, units.ticket());
-            assert!(matches!(again.end().await.reply, Reply::Served(_)) && rig.sent() == 32);
+            let mut again = rig.ask_with(CallSpec::UNBOUNDED, units.ticket());
+            assert!(matches!(again.final_response().await.reply, Reply::Served(_)) && rig.sent() == 32);
             assert_eq!((units.asked.get(), units.held.get()), (0, 0), "a retry in sequence keeps its unit");
-            let mut late = rig.ask_with(Ask::UNBOUNDED, units.ticket());
+            let mut late = rig.ask_with(CallSpec::UNBOUNDED, units.ticket());
             while units.asked.get() == 0 {
                 sleep(Duration::from_millis(1)).await;
             }
             assert_eq!((units.held.get(), rig.sent()), if copies { (2, 34) } else { (1, 33) });
             if copies {
-                assert!(matches!(late.end().await.reply, Reply::Served(_)), "the copy's answer counts");
+                assert!(
+                    matches!(late.final_response().await.reply, Reply::Served(_)),
+                    "the copy's answer counts"
+                );
             }
             drop(late);
             sleep(Duration::from_millis(1)).await;
@@ -424,7 +446,7 @@
         let (runs, unsent) = (rig.ask_with(1, units.ticket()), rig.ask_with(1, units.ticket()));
         sleep(Duration::from_millis(5)).await;
         drop((runs, unsent));
-        let out = rig.engine.view(|view| view.calls().count()) as i32;
+        let out = rig.engine.view(|view| view.calls().count());
         assert_eq!((units.held.get(), out), (1, 1));
         sleep(Duration::from_millis(400)).await;
         assert_eq!(units.held.get(), 0);
--- a/limits/src/lib.rs
+++ b/limits/src/lib.rs
@@ -1,11 +1,9 @@
-//! Limits on repeats where several layers repeat: the application, its RPC library and the proxy. Two decisions, both
-//! without I/O or a clock: how many repeats all calls together may cost ([`Budget`]), and what a call that comes again
-//! may still do ([`Memory`]).
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
+//! Limits on retries where several layers retry: the application, its RPC library and the proxy. Two decisions, both
+//! without I/O or a clock: how many retries all calls together may cost ([`RetryBudget`]), and what a call that comes again
+//! may still do ([`IdempotencyCache`]).
 
-mod budget;
-mod memory;
+mod idempotency_cache;
+mod retry_budget;
 
-pub use budget::{Budget, BudgetSpec};
-pub use memory::{Allowed, Memory, MemorySpec, Refusal, Tries};
+pub use idempotency_cache::{Allowed, AttemptCount, IdempotencyCache, IdempotencyCacheConfig, Rejection};
+pub use retry_budget::{RetryBudget, RetryBudgetConfig};
--- a/proxy/src/config/mod.rs
+++ b/proxy/src/config/mod.rs
@@ -4,7 +4,7 @@
 
 pub use check::Unworkable;
 
-use flaxhead_engine::List;
+use flaxhead_engine::EndpointList;
 use flaxhead_policy::Settings;
 use flaxhead_settings::Unreadable;
 use serde::Deserialize;
@@ -69,7 +69,7 @@
     /// Most file descriptors that the process may hold.
     pub sockets: usize,
     /// The hosts as this proxy last had them; maybe old.
-    pub known: Option<List>,
+    pub known: Option<EndpointList>,
     /// What the decision module is told.
     pub settings: Settings,
     /// Names of the classes, in the order of the settings.
@@ -94,7 +94,7 @@
     #[serde(default)]
     limits: Limits,
     #[serde(default)]
-    known: Option<List>,
+    known: Option<EndpointList>,
     settings: Value,
 }
 
--- a/proxy/src/features/audit/trail.rs
+++ b/proxy/src/features/audit/trail.rs
@@ -5,7 +5,7 @@
 use super::file::{resume, Sink};
 use super::{Settings, FILE};
 use crate::http::Http;
-use flaxhead_engine::{Note, Observer, View};
+use flaxhead_engine::{EngineEvent, EngineView, Observer};
 use std::fs;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
@@ -88,8 +88,8 @@
 }
 
 impl Observer<Http> for Trail {
-    fn observe(&mut self, note: &Note<'_, Http>, _: &View<'_, Http>) {
-        if let Note::Switched { host, health, .. } = note {
+    fn observe(&mut self, note: &EngineEvent<'_, Http>, _: &EngineView<'_, Http>) {
+        if let EngineEvent::HealthChanged { host, health, .. } = note {
             self.note("health", Actor::Platform, &format!("{host} {health:?}"));
         }
     }
--- a/proxy/src/features/capture/form.rs
+++ b/proxy/src/features/capture/form.rs
@@ -1,6 +1,6 @@
 //! The form of captured files.
 
-use flaxhead_engine::Host;
+use flaxhead_engine::Endpoint;
 use flaxhead_policy::{Action, Balancer, CallId, Event, Micros, ServerId, Settings as Told};
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
@@ -88,7 +88,7 @@
         /// Whether it is all of the list.
         whole: bool,
         /// The hosts.
-        hosts: Vec<(ServerId, Cow<'a, Host>)>,
+        hosts: Vec<(ServerId, Cow<'a, Endpoint>)>,
     },
     /// A request.
     Asked {
--- a/proxy/src/features/capture/form/tests.rs
+++ b/proxy/src/features/capture/form/tests.rs
@@ -101,7 +101,7 @@
 #[test]
 fn every_recorded_item_keeps_its_bytes() {
     let dial = SocketAddr::from(([127, 0, 0, 1], 80));
-    let host = Host {
+    let host = Endpoint {
         host: "s-1".to_owned(),
         dial,
         site: "z".to_owned(),
--- a/proxy/src/features/capture/watch.rs
+++ b/proxy/src/features/capture/watch.rs
@@ -2,7 +2,7 @@
 
 use super::{Item, Recorder};
 use crate::http::{code, Http};
-use flaxhead_engine::{HostView, Note, Observer, View};
+use flaxhead_engine::{EngineEvent, EngineView, HostView, Observer};
 use std::borrow::Cow;
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -29,9 +29,9 @@
 }
 
 impl Observer<Http> for Watch {
-    fn observe(&mut self, note: &Note<'_, Http>, view: &View<'_, Http>) {
+    fn observe(&mut self, note: &EngineEvent<'_, Http>, view: &EngineView<'_, Http>) {
         let (mut ring, now) = (self.ring.borrow_mut(), view.now());
-        if matches!(note, Note::Switched { .. } | Note::Ended { .. }) {
+        if matches!(note, EngineEvent::HealthChanged { .. } | EngineEvent::AttemptEnded { .. }) {
             return;
         }
         if ring.is_due(now) {
@@ -46,24 +46,24 @@
             ring.open(now, view.settings(), view.balancer(), view.hosts().map(host).chain(calls));
         }
         match *note {
-            Note::Asked { call, request, .. } => {
+            EngineEvent::CallReceived { call, request, .. } => {
                 let word = |name| word(&request.headers, name);
                 let budget_ms = word("x-budget-ms").parse().unwrap_or(0);
                 let [class, caller, id] =
                     ["x-call-class", "x-caller", "x-call-id"].map(|name| word(name).into());
                 ring.put(now, Item::Asked { call, class, caller, id, budget_ms });
             }
-            Note::Listed { list, servers } => {
+            EngineEvent::ListReceived { list, servers } => {
                 let hosts = servers.iter().copied().zip(list.hosts.iter().map(Cow::Borrowed)).collect();
                 ring.put(now, Item::Line { seq: list.seq, whole: list.whole, hosts });
             }
-            Note::Fed(event) => ring.begin(now, event),
-            Note::Did(action) => ring.put(now, Item::Did(Cow::Borrowed(action))),
-            Note::Stepped => ring.end(),
-            Note::Answered { call, reply } => {
+            EngineEvent::PolicyInput(event) => ring.begin(now, event),
+            EngineEvent::PolicyAction(action) => ring.put(now, Item::Did(Cow::Borrowed(action))),
+            EngineEvent::PolicyStepped => ring.end(),
+            EngineEvent::CallAnswered { call, reply } => {
                 ring.put(now, Item::Answered { call, code: code(reply).as_u16() });
             }
-            Note::Switched { .. } | Note::Ended { .. } => {}
+            EngineEvent::HealthChanged { .. } | EngineEvent::AttemptEnded { .. } => {}
         }
     }
 }
--- a/proxy/src/features/hosts.rs
+++ b/proxy/src/features/hosts.rs
@@ -1,7 +1,7 @@
 //! What a proxy knows of the hosts, for features that settle something by it: from lists, and from attempts.
 
 use crate::http::{Engine, Http};
-use flaxhead_engine::{Health, Host, List, Note, Observer, View};
+use flaxhead_engine::{Endpoint, EndpointList, EngineEvent, EngineView, Health, Observer};
 use flaxhead_policy::{Outcome, ServerId};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -22,7 +22,7 @@
 /// A host, as it is known.
 pub struct Fact<'a> {
     /// What the list says.
-    pub host: &'a Host,
+    pub host: &'a Endpoint,
     /// Half of the calls to it fail, lately.
     pub failing: bool,
     /// How warm it is, in thousandths.
@@ -44,14 +44,14 @@
 struct Board {
     /// Zones that had a host that was ready, and when last.
     zones: BTreeMap<String, Instant>,
-    hosts: BTreeMap<String, (ServerId, Host)>,
+    hosts: BTreeMap<String, (ServerId, Endpoint)>,
     seen: HashMap<ServerId, Seen>,
     /// Attempts that ended, and those that were turned away as full.
     attempts: (u32, u32),
 }
 
 impl Board {
-    fn listed(&mut self, list: &List, servers: &[ServerId]) {
+    fn listed(&mut self, list: &EndpointList, servers: &[ServerId]) {
         if list.whole {
             self.hosts.clear();
         }
@@ -144,10 +144,10 @@
 }
 
 impl Observer<Http> for Known {
-    fn observe(&mut self, note: &Note<'_, Http>, _: &View<'_, Http>) {
+    fn observe(&mut self, note: &EngineEvent<'_, Http>, _: &EngineView<'_, Http>) {
         match note {
-            Note::Listed { list, servers } => self.0.borrow_mut().listed(list, servers),
-            Note::Ended { server, outcome } => self.0.borrow_mut().ended(*server, *outcome),
+            EngineEvent::ListReceived { list, servers } => self.0.borrow_mut().listed(list, servers),
+            EngineEvent::AttemptEnded { server, outcome } => self.0.borrow_mut().ended(*server, *outcome),
             _ => {}
         }
     }
--- a/proxy/src/features/hosts/tests.rs
+++ b/proxy/src/features/hosts/tests.rs
@@ -5,7 +5,7 @@
 #[test]
 fn a_zone_counts_as_lost_where_all_of_its_hosts_that_were_tried_failed_last() {
     let mut board = Board::default();
-    let hosts = (0..4_u32).map(|n| Host {
+    let hosts = (0..4_u32).map(|n| Endpoint {
         host: format!("h{n}"),
         dial: ([127, 0, 0, 1], 1).into(),
         site: if n < 2 { "a" } else { "b" }.to_owned(),
@@ -15,7 +15,7 @@
         share: 1.0,
         born_ms: 0,
     });
-    let list = List { seq: 1, whole: true, hosts: hosts.collect() };
+    let list = EndpointList { seq: 1, whole: true, hosts: hosts.collect() };
     let servers: Vec<ServerId> = (0..4).map(ServerId).collect();
     board.listed(&list, &servers);
     for server in [0, 1, 2] {
@@ -25,8 +25,8 @@
     board.ended(ServerId(1), Outcome::Served);
     assert!(board.lost().is_empty());
     // And one whose hosts have all left the list, though nothing failed there.
-    let gone = |host: Host| Host { health: Health::Terminating, ..host };
-    let hosts: Vec<Host> = list.hosts.into_iter().skip(2).map(gone).collect();
-    board.listed(&List { seq: 2, whole: false, hosts }, &servers[2..]);
+    let gone = |host: Endpoint| Endpoint { health: Health::Terminating, ..host };
+    let hosts: Vec<Endpoint> = list.hosts.into_iter().skip(2).map(gone).collect();
+    board.listed(&EndpointList { seq: 2, whole: false, hosts }, &servers[2..]);
     assert_eq!(board.lost().into_iter().collect::<Vec<_>>(), ["b"]);
 }
--- a/proxy/src/features/work.rs
+++ b/proxy/src/features/maintenance/mod.rs
@@ -6,7 +6,7 @@
 use super::peers::voters;
 use super::sections::{Problem, Section};
 use crate::http::Engine;
-use flaxhead_engine::{Health, List, News, Source, Watching};
+use flaxhead_engine::{EndpointList, Health, ListHandler, ListSource, WatchFuture};
 use flaxhead_lease::{Config, Micros};
 use flaxhead_maintenance::{DrainEvent, HostFact, HostFacts, HostUsage, Limits, SchedulerConfig};
 use flaxhead_maintenance_driver::{ExcludedUntilNotice, Hosts, Settings};
@@ -99,7 +99,7 @@
 
     fn usage(&self) -> HostUsage {
         let (in_hand, open) = self.engine.view(|view| {
-            let out = view.out_at();
+            let out = view.attempts_by_host();
             let open: u32 = out.values().sum();
             (out.into_iter().map(|(name, calls)| (name.to_owned(), calls)).collect(), open)
         });
@@ -111,7 +111,7 @@
     }
 
     fn exclude(&self, hosts: Vec<ExcludedUntilNotice>) {
-        self.engine.spare(hosts.into_iter().map(|excluded| (excluded.host, excluded.from)));
+        self.engine.exclude(hosts.into_iter().map(|excluded| (excluded.host, excluded.from)));
     }
 
     fn event(&self, step: &DrainEvent) {
@@ -126,14 +126,14 @@
 pub struct Gated<S> {
     source: Rc<S>,
     open: watch::Receiver<bool>,
-    known: Cell<Option<List>>,
+    known: Cell<Option<EndpointList>>,
     asks_after: Duration,
 }
 
 impl<S> Gated<S> {
     /// Opens with the watched value. Where a list was known, discovery is asked a part of `ASKED_WITHIN` later that
     /// the seed gives: the gates of all may open at once.
-    pub fn new(source: S, open: watch::Receiver<bool>, known: Option<List>, seed: u64) -> Gated<S> {
+    pub fn new(source: S, open: watch::Receiver<bool>, known: Option<EndpointList>, seed: u64) -> Gated<S> {
         // Seeds of proxies that were started together may differ in few bits.
         let mut drawn = DefaultHasher::new();
         seed.hash(&mut drawn);
@@ -142,8 +142,8 @@
     }
 }
 
-impl<S: Source + 'static> Source for Gated<S> {
-    fn watch(&self, since: Option<u64>, mut news: News) -> Watching {
+impl<S: ListSource + 'static> ListSource for Gated<S> {
+    fn watch(&self, since: Option<u64>, mut news: ListHandler) -> WatchFuture {
         let asks_after = self.asks_after;
         let (source, mut open, known) = (self.source.clone(), self.open.clone(), self.known.take());
         Box::pin(async move {
--- a/proxy/src/features/quota/queues.rs
+++ b/proxy/src/features/quota/queues.rs
@@ -1,7 +1,7 @@
 //! The admission queues of the tenants on the proxy's clock: a call that waits is woken with its verdict, and a call in
 //! flight has its permit for as long as the engine has its ticket.
 
-use flaxhead_engine::{Ask, Ticket};
+use flaxhead_engine::{CallPermit, CallSpec};
 use flaxhead_policy::Micros;
 use flaxhead_quota::admission::{
     AdmissionConfig, AdmissionController, AdmissionDecision, AdmissionRequest, QueueStats, QueuedCall,
@@ -23,7 +23,7 @@
 const CLOSING_TIME: Micros = 100_000;
 
 /// How a call comes out of admission: with its permit, or rejected, and may be retried after this time.
-pub type Admission = Result<Box<dyn Ticket>, Duration>;
+pub type Admission = Result<Box<dyn CallPermit>, Duration>;
 
 /// A permit that is about to be returned. Ordered by the time.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
@@ -127,7 +127,7 @@
     }
 
     /// Admits a call, at once or after it has waited. Dropped before that, the call leaves its queue.
-    pub async fn admit(&self, ask: &Ask) -> Admission {
+    pub async fn admit(&self, ask: &CallSpec) -> Admission {
         let request = AdmissionRequest {
             tenant: ask.tenant.map(|tenant| tenant.0),
             class: ask.class.0,
@@ -250,17 +250,17 @@
     }
 }
 
-impl Ticket for Permit {
-    fn another(&mut self) -> bool {
+impl CallPermit for Permit {
+    fn acquire_extra(&mut self) -> bool {
         let now = self.queues.now();
         self.queues.0.state.borrow_mut().controller.acquire_extra(now, Some(self.tenant))
     }
 
-    fn fewer(&mut self) {
+    fn release_extra(&mut self) {
         self.queues.release(self.tenant, self.closing_until.take());
     }
 
-    fn cut(&mut self) {
+    fn attempt_abandoned(&mut self) {
         self.closing_until = Some(self.queues.now() + CLOSING_TIME);
     }
 }
--- a/proxy/src/features/quota/queues/tests.rs
+++ b/proxy/src/features/quota/queues/tests.rs
@@ -8,9 +8,9 @@
 use tokio::task::{spawn_local, yield_now, LocalSet};
 use tokio::time::sleep;
 
-fn ask() -> Ask {
+fn ask() -> CallSpec {
     let deadline = Instant::now() + Duration::from_secs(4);
-    Ask { class: ClassId(0), tenant: None, deadline, resent: false, attempts_most: Ask::UNBOUNDED }
+    CallSpec { class: ClassId(0), tenant: None, deadline, resent: false, max_attempts: CallSpec::UNBOUNDED }
 }
 
 fn in_flight_and_queued(queues: &AdmissionQueues) -> (u32, u32) {
@@ -40,14 +40,14 @@
         let (waiting, began) = (queues.clone(), Instant::now());
         let second = spawn_local(async move { waiting.admit(&ask()).await.map(|_| began.elapsed()) });
         yield_now().await;
-        first.cut();
+        first.attempt_abandoned();
         drop(first);
         assert_eq!(in_flight_and_queued(&queues), (1, 1));
         let waited = second.await.expect("it ends").expect("its turn comes");
         assert!((100..110).contains(&waited.as_millis()), "{waited:?}");
         // One that was answered since then gives its unit back at once.
         let mut third = queues.admit(&ask()).await.expect("free");
-        third.cut();
+        third.attempt_abandoned();
         sleep(Duration::from_millis(200)).await;
         drop(third);
         assert_eq!(in_flight_and_queued(&queues), (0, 0));
--- a/proxy/src/features/state.rs
+++ b/proxy/src/features/snapshot/mod.rs
@@ -4,7 +4,7 @@
 use super::sections::{Problem, Section};
 use crate::config::Config;
 use crate::http::Http;
-use flaxhead_engine::{Health, Host, List, Note, Observer, View};
+use flaxhead_engine::{Endpoint, EndpointList, EngineEvent, EngineView, Health, Observer};
 use flaxhead_lease::Application;
 use flaxhead_maintenance_driver::{OpenedStore, StateStore};
 use flaxhead_snapshot::{
@@ -51,7 +51,7 @@
     /// Whose it is: hosts of another fleet's are not to be sent anything.
     discovery: SocketAddr,
     seq: u64,
-    hosts: Vec<Cow<'a, Host>>,
+    hosts: Vec<Cow<'a, Endpoint>>,
 }
 
 /// The proxy's memory, open.
@@ -137,7 +137,7 @@
 }
 
 /// The list that is kept, where it is of use.
-fn recall(found: &mut RecoveredState, config: &Config) -> Result<List, Rejection> {
+fn recall(found: &mut RecoveredState, config: &Config) -> Result<EndpointList, Rejection> {
     let part = found.take(LIST, LIST_FORM)?;
     let Kept { discovery, seq, hosts } =
         postcard::from_bytes(&part.bytes).map_err(|_| Rejection::UnreadablePart(LIST.to_owned()))?;
@@ -149,7 +149,7 @@
         Some(known) if known.seq >= seq => {
             unfit(format!("it is {seq}, and the configuration knows {}, which is no older", known.seq))
         }
-        _ => Ok(List { seq, whole: true, hosts: hosts.into_iter().map(Cow::into_owned).collect() }),
+        _ => Ok(EndpointList { seq, whole: true, hosts: hosts.into_iter().map(Cow::into_owned).collect() }),
     }
 }
 
@@ -157,13 +157,13 @@
 /// being kept again: it ages until discovery says something.
 pub struct Watch {
     memory: Memory,
-    hosts: BTreeMap<String, Host>,
+    hosts: BTreeMap<String, Endpoint>,
     /// The last one was not kept, and that is said.
     unfit: bool,
 }
 
 impl Watch {
-    fn listed(&mut self, list: &List) {
+    fn listed(&mut self, list: &EndpointList) {
         if list.whole {
             self.hosts.clear();
         }
@@ -191,8 +191,8 @@
 }
 
 impl Observer<Http> for Watch {
-    fn observe(&mut self, note: &Note<'_, Http>, _: &View<'_, Http>) {
-        if let Note::Listed { list, .. } = note {
+    fn observe(&mut self, note: &EngineEvent<'_, Http>, _: &EngineView<'_, Http>) {
+        if let EngineEvent::ListReceived { list, .. } = note {
             self.listed(list);
         }
     }
--- a/proxy/src/features/state/tests.rs
+++ b/proxy/src/features/snapshot/tests.rs
@@ -23,7 +23,7 @@
 #[test]
 fn the_list_keeps_its_bytes_on_disk() {
     let discovery = SocketAddr::from(([127, 0, 0, 1], 8_500));
-    let host = |health: Health| Host {
+    let host = |health: Health| Endpoint {
         host: "s-1".to_owned(),
         dial: SocketAddr::from(([127, 0, 0, 2], 80)),
         site: "z".to_owned(),
--- a/proxy/src/features/status.rs
+++ b/proxy/src/features/status/mod.rs
@@ -6,7 +6,7 @@
 use super::sections::{Problem, Section};
 use crate::http::{Engine, Http};
 use crate::maintenance_command::COMMIT_TIMEOUT;
-use flaxhead_engine::{Health, Note, Observer, View};
+use flaxhead_engine::{EngineEvent, EngineView, Health, Observer};
 use flaxhead_maintenance::Command;
 use flaxhead_maintenance_driver::MaintenanceService;
 use flaxhead_peers::Peers;
@@ -96,13 +96,15 @@
 pub struct Shared(Rc<RefCell<Board>>);
 
 impl Observer<Http> for Shared {
-    fn observe(&mut self, note: &Note<'_, Http>, _: &View<'_, Http>) {
+    fn observe(&mut self, note: &EngineEvent<'_, Http>, _: &EngineView<'_, Http>) {
         let mut board = self.0.borrow_mut();
         match *note {
             // The front has checked the class.
-            Note::Asked { class, .. } => board.asked(class),
-            Note::Ended { server, outcome } => board.ended(server, outcome),
-            Note::Switched { server, health: Health::Gone, .. } => drop(board.errors.remove(&server)),
+            EngineEvent::CallReceived { class, .. } => board.asked(class),
+            EngineEvent::AttemptEnded { server, outcome } => board.ended(server, outcome),
+            EngineEvent::HealthChanged { server, health: Health::Gone, .. } => {
+                drop(board.errors.remove(&server))
+            }
             _ => {}
         }
     }
--- a/proxy/src/http/exchange.rs
+++ b/proxy/src/http/exchange.rs
@@ -1,6 +1,6 @@
 //! Connections to hosts, and one exchange on one of them.
 
-use flaxhead_engine::{spawn, BoxError, Meter, Task};
+use flaxhead_engine::{spawn, BoxError, Task, WriteMeter};
 use flaxhead_policy::{Load, Outcome};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Bytes;
@@ -40,7 +40,7 @@
 pub struct Connection {
     sender: SendRequest<Full<Bytes>>,
     /// Where the bytes of the attempt that has the connection now are counted.
-    meter: Rc<RefCell<Meter>>,
+    meter: Rc<RefCell<WriteMeter>>,
     _task: Task,
     _slot: Rc<()>,
 }
@@ -49,7 +49,7 @@
     /// Opens a connection; `slot` is held for as long as it is open.
     pub async fn open(address: SocketAddr, limit: Duration, slot: Rc<()>) -> Result<Connection, BoxError> {
         let stream = timeout(limit, dial(address)).await??;
-        let meter = Rc::new(RefCell::new(Meter::default()));
+        let meter = Rc::new(RefCell::new(WriteMeter::default()));
         let io = Metered { io: TokioIo::new(stream), meter: meter.clone() };
         let (sender, connection) = http1::Builder::new().max_buf_size(HEAD_MOST).handshake(io).await?;
         Ok(Connection { sender, meter, _task: spawn(connection), _slot: slot })
@@ -86,12 +86,12 @@
 pub async fn exchange(
     mut connection: Connection,
     request: Request<Full<Bytes>>,
-    meter: &Meter,
+    meter: &WriteMeter,
 ) -> Option<Done> {
     connection.meter.replace(meter.clone());
     let response = match connection.sender.send_request(request).await {
         Ok(response) => response,
-        Err(_) if meter.get() == 0 => return None,
+        Err(_) if meter.bytes_written() == 0 => return None,
         Err(error) => return Some(Done::without_answer(broken(&error))),
     };
     let (head, body) = response.into_parts();
@@ -151,7 +151,7 @@
 /// A stream that counts what is written to it.
 struct Metered {
     io: TokioIo<TcpStream>,
-    meter: Rc<RefCell<Meter>>,
+    meter: Rc<RefCell<WriteMeter>>,
 }
 
 impl Read for Metered {
@@ -177,12 +177,12 @@
         }
         // What has come before the first byte of a request is no answer to it, and the event queue may not have told
         // of it yet: the attempt counts as one that never ran, and goes out on another connection.
-        if meter.get() == 0 && !is_quiet(self.io.inner()) {
+        if meter.bytes_written() == 0 && !is_quiet(self.io.inner()) {
             return Poll::Ready(Err(io::ErrorKind::ConnectionAborted.into()));
         }
         let written = Pin::new(&mut self.io).poll_write(context, bytes);
         if let Poll::Ready(Ok(count)) = written {
-            meter.set(meter.get() + count);
+            meter.set_bytes_written(meter.bytes_written() + count);
         }
         written
     }
--- a/proxy/src/http/front/conversation.rs
+++ b/proxy/src/http/front/connection.rs
@@ -168,7 +168,7 @@
         let reply = self.driver.engine.request(ask, forward, ticket).reply().await;
         match (code(&reply), reply) {
             (_, Reply::Served(answer)) => served(answer),
-            (code, Reply::Refused(after)) => refused(code, after),
+            (code, Reply::Rejected(after)) => refused(code, after),
             (code, Reply::Failed) => plain(code),
         }
     }
--- a/proxy/src/http/front/request.rs
+++ b/proxy/src/http/front/request.rs
@@ -4,7 +4,7 @@
 use crate::config::Config;
 use crate::http::exchange::BODY_MOST;
 use crate::http::Forward;
-use flaxhead_engine::Ask;
+use flaxhead_engine::CallSpec;
 use flaxhead_policy::{ClassId, Repeat, TenantId};
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use hyper::body::{Body, Incoming};
@@ -21,7 +21,7 @@
     driver: &Driver,
     request: Request<Incoming>,
     arrived: Instant,
-) -> Result<(Ask, Forward), StatusCode> {
+) -> Result<(CallSpec, Forward), StatusCode> {
     let (head, body) = request.into_parts();
     let (mut ask, budget) =
         ask(&driver.config, &head.method, &head.headers).ok_or(StatusCode::BAD_REQUEST)?;
@@ -42,7 +42,7 @@
 
 /// What the head says of a request; `None` if its id, class or budget is missing, double or unusable, or its method
 /// is not the class's: no client sends that, and a host would meet a request that is nobody's.
-fn ask(config: &Config, method: &Method, headers: &HeaderMap) -> Option<(Ask, Duration)> {
+fn ask(config: &Config, method: &Method, headers: &HeaderMap) -> Option<(CallSpec, Duration)> {
     single(headers, "x-call-id").filter(|id| !id.is_empty())?;
     let class = place(&config.classes, single(headers, "x-call-class")?)?;
     let spec = config.settings.classes.get(class)?;
@@ -59,12 +59,12 @@
     let budget = Duration::from_millis(budget.into()).min(Duration::from_micros(spec.deadline));
     let tenant = single(headers, "x-caller").and_then(|name| place(&config.tenants, name)).map(TenantId);
     let resent = single(headers, "x-again").is_some_and(|value| value == "1");
-    let ask = Ask {
+    let ask = CallSpec {
         class: ClassId(class),
         tenant,
         deadline: Instant::now(),
         resent,
-        attempts_most: Ask::UNBOUNDED,
+        max_attempts: CallSpec::UNBOUNDED,
     };
     Some((ask, budget))
 }
--- a/proxy/src/http/mod.rs
+++ b/proxy/src/http/mod.rs
@@ -17,7 +17,7 @@
 pub fn code(reply: &Reply) -> hyper::StatusCode {
     match reply {
         Reply::Served(answer) => answer.status(),
-        Reply::Refused(_) => hyper::StatusCode::SERVICE_UNAVAILABLE,
+        Reply::Rejected(_) => hyper::StatusCode::SERVICE_UNAVAILABLE,
         Reply::Failed => hyper::StatusCode::BAD_GATEWAY,
     }
 }
--- a/proxy/src/http/transport.rs
+++ b/proxy/src/http/transport.rs
@@ -2,7 +2,7 @@
 
 use super::exchange::{exchange, Connection, Done};
 use super::reuse::Reuse;
-use flaxhead_engine::{End, Meter, Target, Transport};
+use flaxhead_engine::{AttemptResult, AttemptTarget, Transport, WriteMeter};
 use flaxhead_policy::{Outcome, ServerId};
 use http_body_util::Full;
 use hyper::body::Bytes;
@@ -96,10 +96,10 @@
 
     async fn attempt(
         self,
-        target: Target,
+        target: AttemptTarget,
         kept: Option<(Duration, Connection)>,
         forward: Rc<Forward>,
-        meter: Meter,
+        meter: WriteMeter,
     ) -> Done {
         if let Some((idle, connection)) = kept {
             let done = exchange(connection, forward.request(target.until), &meter).await;
@@ -134,7 +134,7 @@
     type Request = Forward;
     type Answer = Response<Bytes>;
 
-    fn host(&self, server: ServerId, dial: Option<SocketAddr>, restarted: bool) {
+    fn set_endpoint(&self, server: ServerId, dial: Option<SocketAddr>, restarted: bool) {
         let mut pools = self.0.borrow_mut();
         let pool = pools.hosts.entry(server).or_default();
         if dial.is_none() || restarted {
@@ -143,16 +143,16 @@
         pool.dial = dial;
     }
 
-    fn forget(&self, server: ServerId) {
+    fn remove_endpoint(&self, server: ServerId) {
         self.0.borrow_mut().hosts.remove(&server);
     }
 
     fn send(
         &self,
-        target: Target,
+        target: AttemptTarget,
         forward: &Rc<Forward>,
-        meter: &Meter,
-    ) -> impl Future<Output = End<Response<Bytes>>> + use<> + 'static {
+        meter: &WriteMeter,
+    ) -> impl Future<Output = AttemptResult<Response<Bytes>>> + use<> + 'static {
         let kept = self.0.borrow_mut().kept(&target);
         let (http, forward, meter) = (self.clone(), forward.clone(), meter.clone());
         async move {
@@ -162,7 +162,7 @@
             if let Some(connection) = connection {
                 http.0.borrow_mut().keep(&target, connection);
             }
-            End { outcome, load, answer }
+            AttemptResult { outcome, load, answer }
         }
     }
 
@@ -173,7 +173,7 @@
         pools.hosts.values_mut().for_each(|pool| pool.idle.retain(|(since, _)| since.elapsed() < pools.keep));
     }
 
-    fn figures(&self) -> impl Debug {
+    fn stats(&self) -> impl Debug {
         let pools = self.0.borrow();
         let idle: usize = pools.hosts.values().map(|pool| pool.idle.len()).sum();
         let open = Rc::strong_count(&pools.slots) - 1;
@@ -195,18 +195,18 @@
 
 impl Pools {
     /// An idle connection that is fit for an attempt, and for how long it has been idle.
-    fn kept(&mut self, target: &Target) -> Option<(Duration, Connection)> {
+    fn kept(&mut self, target: &AttemptTarget) -> Option<(Duration, Connection)> {
         let Pools { hosts, reuse, keep, .. } = self;
         let idle = &mut hosts.get_mut(&target.server)?.idle;
         // Old ones and those closed meanwhile are passed over.
         idle.retain(|(since, connection)| since.elapsed() < *keep && connection.is_ready());
         // A request that must not go again goes on no connection that may have been dropped without a sign.
-        let fit = |since: &Instant| !target.once || !reuse.is_stale(since.elapsed());
+        let fit = |since: &Instant| !target.single_shot || !reuse.is_stale(since.elapsed());
         let (since, connection) = idle.pop_if(|(since, _)| fit(since))?;
         Some((since.elapsed(), connection))
     }
 
-    fn keep(&mut self, target: &Target, connection: Connection) {
+    fn keep(&mut self, target: &AttemptTarget, connection: Connection) {
         let pool = self.hosts.get_mut(&target.server).filter(|pool| pool.dial == Some(target.address));
         if let Some(pool) = pool {
             pool.idle.push((Instant::now(), connection));
--- a/proxy/src/lib.rs
+++ b/proxy/src/lib.rs
@@ -17,7 +17,7 @@
 use features::status::Sources;
 use features::work::{Fleet, Gated};
 use flaxhead_discovery::Discovery;
-use flaxhead_engine::{spawn, Engine, Setup, Source};
+use flaxhead_engine::{spawn, Engine, EngineConfig, ListSource};
 use flaxhead_maintenance_driver::MaintenanceService;
 use http::front::{self, Driver};
 use http::Http;
@@ -50,14 +50,14 @@
     // Of the seed, and not the module's: when a silent watch is opened again must not shift its draws.
     let (ask, watch_seed) = (config.settings.ask, seed.rotate_left(16));
     let watched = move |address| match ask {
-        true => Discovery::asked(address, watch_seed),
-        false => Discovery::pushed(address, watch_seed),
+        true => Discovery::shared(address, watch_seed),
+        false => Discovery::local_agent(address, watch_seed),
     };
-    let source: Rc<dyn Source> = match &open {
+    let source: Rc<dyn ListSource> = match &open {
         Some(open) => Rc::new(Gated::new(watched(config.discovery), open.clone(), known.take(), watch_seed)),
         None => Rc::new(watched(config.discovery)),
     };
-    let setup = Setup { seed, settings: config.settings.clone(), known };
+    let setup = EngineConfig { seed, settings: config.settings.clone(), known };
     let engine = Engine::start(setup, transport, source, side.observers(), None);
     let (trail, ring, board) = (side.trail, side.recorder, side.board);
     let _dumps = side.dumps.zip(ring).map(|(dumps, ring)| spawn(dumps.serve(ring)));
--- a/proxy/tests/crossing.rs
+++ b/proxy/tests/crossing.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::*;
-use flaxhead_engine::{Meter, Target, Transport};
+use flaxhead_engine::{AttemptTarget, Transport, WriteMeter};
 use flaxhead_policy::{Outcome, ServerId};
 use flaxhead_proxy::http::{Forward, Http};
 use hyper::body::Bytes;
@@ -44,8 +44,9 @@
     let address = listener.local_addr().expect("an address");
     let http = Http::new(8, Duration::from_secs(5), Duration::from_secs(60));
     let server = ServerId(1);
-    http.host(server, Some(address), false);
-    let target = Target { server, address, once: true, until: Instant::now() + Duration::from_secs(30) };
+    http.set_endpoint(server, Some(address), false);
+    let target =
+        AttemptTarget { server, address, single_shot: true, until: Instant::now() + Duration::from_secs(30) };
     let accepts = listener.try_clone().expect("a listener");
     let answering = spawn_blocking(move || {
         let (mut stream, _) = accepts.accept().expect("a connection");
@@ -53,7 +54,7 @@
         stream.write_all(FIRST.as_bytes()).expect("written");
         stream
     });
-    let first = http.send(target, &forward(), &Meter::default()).await;
+    let first = http.send(target, &forward(), &WriteMeter::default()).await;
     assert_eq!(first.outcome, Outcome::Served);
     let mut kept = answering.await.expect("no panic");
     let fresh = spawn_blocking(move || {
@@ -64,7 +65,7 @@
     });
     // From here to the request's first byte nothing waits: the event queue is not looked at.
     meanwhile(&mut kept);
-    let second = timeout(PATIENCE, http.send(target, &forward(), &Meter::default())).await;
+    let second = timeout(PATIENCE, http.send(target, &forward(), &WriteMeter::default())).await;
     // Lets the thread go, should it still wait for a connection.
     drop(TcpStream::connect(address).map(|mut stream| stream.write_all(b"GET / HTTP/1.1\r\n\r\n")));
     let _connection = fresh.await;
--- a/proxy/tests/fleet.rs
+++ b/proxy/tests/fleet.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use flaxhead_engine::{Engine, Health, List, Setup};
+use flaxhead_engine::{EndpointList, Engine, EngineConfig, Health};
 use flaxhead_policy::{Class, Repeat, Settings};
 use flaxhead_proxy::http::Http;
 use std::cell::{Cell, RefCell};
@@ -202,7 +202,7 @@
             .map(|n| (format!("s-{n:03}"), SocketAddr::from(([127, 0, 0, 1], 9)), "Ready"))
             .collect();
         let whole = list(50, true, &many(ready.into_iter()));
-        let old: List = serde_json::from_str(&list(
+        let old: EndpointList = serde_json::from_str(&list(
             41,
             true,
             &[entry("old", SocketAddr::from(([127, 0, 0, 1], 9)), "Ready")],
@@ -216,9 +216,9 @@
             .map(|me| {
                 let settings =
                     Settings { classes: vec![class], balancers: 300, me, ask: true, ..Settings::default() };
-                let setup = Setup { seed: me.into(), settings, known: Some(old.clone()) };
+                let setup = EngineConfig { seed: me.into(), settings, known: Some(old.clone()) };
                 let transport = Http::new(8, Duration::from_secs(1), Duration::from_secs(60));
-                let source = Rc::new(flaxhead_discovery::Discovery::asked(address, me.into()));
+                let source = Rc::new(flaxhead_discovery::Discovery::shared(address, me.into()));
                 Engine::start(setup, transport, source, Vec::new(), None)
             })
             .collect();
@@ -255,9 +255,9 @@
             configuration(discovery.address, &[], |config| config["known"]["hosts"] = generation(0).into());
         let mut config = flaxhead_proxy::config::Config::parse(&config).expect("good");
         config.discovery = discovery.address;
-        let setup = Setup { seed: 7, settings: config.settings.clone(), known: config.known.clone() };
+        let setup = EngineConfig { seed: 7, settings: config.settings.clone(), known: config.known.clone() };
         let transport = Http::new(64, Duration::from_secs(1), Duration::from_secs(60));
-        let source = Rc::new(flaxhead_discovery::Discovery::asked(discovery.address, 7));
+        let source = Rc::new(flaxhead_discovery::Discovery::shared(discovery.address, 7));
         let engine = Engine::start(setup, transport, source, Vec::new(), None);
         eventually("a watch", || discovery.asked.borrow().len() == 1).await;
         let size = |engine: &Engine<Http>| {
--- a/proxy/tests/silence.rs
+++ b/proxy/tests/silence.rs
@@ -6,7 +6,7 @@
 use common::lag::Lag;
 use common::*;
 use flaxhead_discovery::Discovery as Watched;
-use flaxhead_engine::{spawn, Source};
+use flaxhead_engine::{spawn, ListSource};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -124,12 +124,12 @@
 
 #[test]
 fn three_hundred_pushed_watches_that_fall_silent_are_opened_anew_in_time_and_not_in_step() {
-    fall_silent(Watched::pushed);
+    fall_silent(Watched::local_agent);
 }
 
 #[test]
 fn three_hundred_that_ask_are_opened_anew_in_time_and_not_in_step() {
-    fall_silent(Watched::asked);
+    fall_silent(Watched::shared);
 }
 
 /// An agent that is away learns nothing, but what it gets at its return counts at once: at nearly every moment of the
@@ -171,7 +171,7 @@
 fn an_agent_that_closes_is_asked_again_soon_but_not_in_a_loop() {
     run(async {
         let agent = Moody::start(Mood::Close, String::new()).await;
-        let _watch = spawn(Watched::pushed(agent.address, 7).watch(Some(41), Box::new(|_| ())));
+        let _watch = spawn(Watched::local_agent(agent.address, 7).watch(Some(41), Box::new(|_| ())));
         eventually("it asks", || agent.asked() == 21).await;
         let asks = agent.asks.borrow();
         let gaps: Vec<Duration> = asks.windows(2).map(|pair| pair[1].1 - pair[0].1).collect();
--- a/proxy/tests/told.rs
+++ b/proxy/tests/told.rs
@@ -6,7 +6,7 @@
 use common::serve::{bound, serve_each};
 use common::*;
 use flaxhead_discovery::Discovery as Watched;
-use flaxhead_engine::{Engine, List, Setup};
+use flaxhead_engine::{EndpointList, Engine, EngineConfig};
 use flaxhead_policy::{Class, Repeat, Settings};
 use flaxhead_proxy::http::Http;
 use std::cell::{Cell, RefCell};
@@ -85,11 +85,11 @@
     }
 }
 
-fn engine(me: u32, watched: Watched, ask: bool, old: &List) -> Engine<Http> {
+fn engine(me: u32, watched: Watched, ask: bool, old: &EndpointList) -> Engine<Http> {
     let class =
         Class { aim: 100_000, deadline: 2_000_000, worth: 1.0, late_value: 0.5, repeat: Repeat::Free };
     let settings = Settings { classes: vec![class], balancers: 300, me, ask, ..Settings::default() };
-    let setup = Setup { seed: me.into(), settings, known: Some(old.clone()) };
+    let setup = EngineConfig { seed: me.into(), settings, known: Some(old.clone()) };
     let transport = Http::new(8, Duration::from_secs(1), Duration::from_secs(60));
     Engine::start(setup, transport, Rc::new(watched), Vec::new(), None)
 }
@@ -98,10 +98,10 @@
 async fn told_after(failure: Failure, ask: bool) {
     let nowhere = SocketAddr::from(([127, 0, 0, 1], 9));
     let old = list(41, true, &[entry("old", nowhere, "Ready")]);
-    let old: List = serde_json::from_str(&old).expect("a list");
+    let old: EndpointList = serde_json::from_str(&old).expect("a list");
     let discovery = Failing::start(failure).await;
     *discovery.text.borrow_mut() = list(42, true, &[entry("new", nowhere, "Ready")]);
-    let watched = if ask { Watched::asked } else { Watched::pushed };
+    let watched = if ask { Watched::shared } else { Watched::local_agent };
     let engines: Vec<_> =
         (0..PROXIES).map(|me| engine(me, watched(discovery.address, me.into()), ask, &old)).collect();
     // Those which ask in turns have failed more than once by then, and back off.
@@ -143,10 +143,10 @@
     run(async {
         let nowhere = SocketAddr::from(([127, 0, 0, 1], 9));
         let old = list(41, true, &[entry("old", nowhere, "Ready")]);
-        let old: List = serde_json::from_str(&old).expect("a list");
+        let old: EndpointList = serde_json::from_str(&old).expect("a list");
         for failure in [Failure::Silent, Failure::Reset, Failure::Torn] {
             for ask in [true, false] {
-                let watched = if ask { Watched::asked } else { Watched::pushed };
+                let watched = if ask { Watched::shared } else { Watched::local_agent };
                 let (before, after) = (Failing::start(failure).await, Failing::start(failure).await);
                 *after.text.borrow_mut() = list(42, true, &[entry("new", nowhere, "Ready")]);
                 after.mended.set(true);
--- a/proxy/tests/withdrawn.rs
+++ b/proxy/tests/withdrawn.rs
@@ -3,7 +3,10 @@
 mod common;
 
 use common::*;
-use flaxhead_engine::{Ask, BoxError, Engine, Health, List, News, Reply, Setup, Source, Watching};
+use flaxhead_engine::{
+    BoxError, CallSpec, EndpointList, Engine, EngineConfig, Health, ListHandler, ListSource, Reply,
+    WatchFuture,
+};
 use flaxhead_policy::{Class, ClassId, Repeat, Settings};
 use flaxhead_proxy::http::{Forward, Http};
 use hyper::Method;
@@ -16,23 +19,23 @@
 
 /// Lists that a test brings when it likes.
 #[derive(Default)]
-struct Told(RefCell<Option<News>>);
+struct Told(RefCell<Option<ListHandler>>);
 
-impl Source for Told {
-    fn watch(&self, _: Option<u64>, news: News) -> Watching {
+impl ListSource for Told {
+    fn watch(&self, _: Option<u64>, news: ListHandler) -> WatchFuture {
         self.0.replace(Some(news));
         Box::pin(std::future::pending::<BoxError>())
     }
 }
 
 impl Told {
-    fn tell(&self, list: List) {
+    fn tell(&self, list: EndpointList) {
         (self.0.borrow_mut().as_mut().expect("a watch"))(list);
     }
 }
 
-fn only(name: &str, dial: SocketAddr) -> List {
-    let host = flaxhead_engine::Host {
+fn only(name: &str, dial: SocketAddr) -> EndpointList {
+    let host = flaxhead_engine::Endpoint {
         host: name.to_owned(),
         dial,
         site: "a".to_owned(),
@@ -42,7 +45,7 @@
         share: 1.0,
         born_ms: 0,
     };
-    List { seq: 1, whole: true, hosts: vec![host] }
+    EndpointList { seq: 1, whole: true, hosts: vec![host] }
 }
 
 /// The list comes between the attempt's turn, in which its request joins the connection's queue, and the turn of the
@@ -59,18 +62,18 @@
             repeat: Repeat::SingleShot,
         };
         let settings = Settings { classes: vec![class], ..Settings::default() };
-        let setup = Setup { seed: 7, settings, known: Some(only("old", old.address)) };
+        let setup = EngineConfig { seed: 7, settings, known: Some(only("old", old.address)) };
         let transport = Http::new(8, Duration::from_secs(1), Duration::from_secs(60));
         let told = Rc::new(Told::default());
         let engine = Engine::start(setup, transport, told.clone(), Vec::new(), None);
         let send = || {
             let deadline = Instant::now() + Duration::from_secs(9);
-            let ask = Ask {
+            let ask = CallSpec {
                 class: ClassId(0),
                 tenant: None,
                 deadline,
                 resent: false,
-                attempts_most: Ask::UNBOUNDED,
+                max_attempts: CallSpec::UNBOUNDED,
             };
             let target = "/api".parse().expect("a path");
             let (headers, body) = Default::default();
--- a/rpc/src/front.rs
+++ b/rpc/src/front.rs
@@ -5,8 +5,8 @@
 use crate::service::ServiceConfig;
 use crate::slot::Filler;
 use bytes::Bytes;
-use flaxhead_engine::{Ask, Engine, Final, Reply, Retries, Trace};
-use flaxhead_limits::{Allowed, Budget, Memory, Refusal, Tries};
+use flaxhead_engine::{AttemptTrace, CallSpec, Engine, FinalResponse, Reply, RetryLimiter};
+use flaxhead_limits::{Allowed, AttemptCount, IdempotencyCache, Rejection, RetryBudget};
 use flaxhead_policy::{ClassId, Micros, Repeat, TenantId};
 use http::uri::PathAndQuery;
 use http::{HeaderMap, HeaderName};
@@ -42,7 +42,7 @@
 
 /// What came with a call, checked.
 struct Taken {
-    ask: Ask,
+    ask: CallSpec,
     /// By what it is remembered.
     name: Option<Name>,
     forward: Forward,
@@ -54,11 +54,11 @@
 type Refused = Box<Answer>;
 
 /// The budget, as the engine asks it.
-pub struct Shared(pub Rc<RefCell<Budget>>);
+pub struct Shared(pub Rc<RefCell<RetryBudget>>);
 
-impl Retries for Shared {
-    fn again(&mut self, now: Micros) -> bool {
-        self.0.borrow_mut().again(now)
+impl RetryLimiter for Shared {
+    fn try_acquire(&mut self, now: Micros) -> bool {
+        self.0.borrow_mut().try_acquire(now)
     }
 }
 
@@ -67,8 +67,8 @@
 pub struct Front {
     engine: Engine<Http2>,
     config: Arc<ServiceConfig>,
-    budget: Option<Rc<RefCell<Budget>>>,
-    memory: Rc<RefCell<Memory<Name>>>,
+    budget: Option<Rc<RefCell<RetryBudget>>>,
+    memory: Rc<RefCell<IdempotencyCache<Name>>>,
 }
 
 impl Front {
@@ -76,9 +76,9 @@
     pub fn new(
         engine: Engine<Http2>,
         config: Arc<ServiceConfig>,
-        budget: Option<Rc<RefCell<Budget>>>,
+        budget: Option<Rc<RefCell<RetryBudget>>>,
     ) -> Front {
-        let memory = Rc::new(RefCell::new(Memory::new(config.memory)));
+        let memory = Rc::new(RefCell::new(IdempotencyCache::new(config.memory)));
         Front { engine, config, budget, memory }
     }
 
@@ -98,15 +98,15 @@
                 let mut waiting = self.engine.request(ask, forward, None);
                 let ended = tokio::select! {
                     biased;
-                    ended = waiting.end() => Some(ended),
+                    ended = waiting.final_response() => Some(ended),
                     _ = &mut alive => None,
                 };
-                let Some(Final { reply, trace }) = ended else {
+                let Some(FinalResponse { reply, trace }) = ended else {
                     let trace = waiting.abandon();
                     return self.ends(name, trace);
                 };
                 let ran = matches!(reply, Reply::Served(_));
-                self.ends(name, Trace { may_run: trace.may_run || ran, ..trace });
+                self.ends(name, AttemptTrace { may_run: trace.may_run || ran, ..trace });
                 self.answer(reply, last.take(), repeat, ask.deadline)
             }
         };
@@ -115,7 +115,7 @@
         filler.fill(answer);
     }
 
-    fn ends(&self, name: Option<Name>, Trace { attempts, may_run }: Trace) {
+    fn ends(&self, name: Option<Name>, AttemptTrace { attempts, may_run }: AttemptTrace) {
         if let Some(name) = name {
             self.memory.borrow_mut().end(self.now(), &name, attempts, may_run);
         }
@@ -145,10 +145,10 @@
         let patience = asked.min(method.timeout);
         let deadline = arrived + patience - WAY_BACK.min(patience / 10);
         let tries = match single(&headers, &grpc::PREVIOUS_ATTEMPTS)? {
-            None => Tries(0),
-            Some(text) => {
-                Tries(text.parse().map_err(|_| bad("grpc-previous-rpc-attempts cannot be read".to_owned()))?)
-            }
+            None => AttemptCount(0),
+            Some(text) => AttemptCount(
+                text.parse().map_err(|_| bad("grpc-previous-rpc-attempts cannot be read".to_owned()))?,
+            ),
         };
         let repeat = config.repeat(method.class);
         let field = if matches!(repeat, Repeat::Guarded { .. }) { &config.key } else { &config.id };
@@ -161,12 +161,12 @@
         let tenant =
             tenant.and_then(|name| config.tenants.iter().position(|known| known == name)).map(TenantId);
         let (allowed, name) = self.allow(name, repeat, method.attempts_most, tries)?;
-        let ask = Ask {
+        let ask = CallSpec {
             class: method.class,
             tenant,
             deadline,
-            resent: allowed.again,
-            attempts_most: allowed.attempts,
+            resent: allowed.is_retry,
+            max_attempts: allowed.attempts,
         };
         let forward = Forward {
             path,
@@ -185,21 +185,21 @@
         name: Option<Name>,
         repeat: Repeat,
         attempts_most: u32,
-        tries: Tries,
+        tries: AttemptCount,
     ) -> Result<(Allowed, Option<Name>), Refused> {
         let now = self.now();
         let refuse =
             |code, reason, pushback| Err(Box::new(Answer::of(code, reason, Some(NEVER_RAN), pushback)));
         let begun = match &name {
             Some(name) => self.memory.borrow_mut().begin(now, name, repeat, attempts_most, tries),
-            None if tries.0 >= attempts_most => Err(Refusal::Exhausted),
-            None => Ok(Allowed { attempts: attempts_most - tries.0, again: tries.0 > 0 }),
+            None if tries.0 >= attempts_most => Err(Rejection::Exhausted),
+            None => Ok(Allowed { attempts: attempts_most - tries.0, is_retry: tries.0 > 0 }),
         };
         let (allowed, name) = match begun {
             Ok(allowed) => (allowed, name),
             // Harmless beside its like; whose attempts are not known before it ends.
-            Err(Refusal::Open) if repeat == Repeat::Free => (Allowed { attempts: 1, again: true }, None),
-            Err(Refusal::Open) => {
+            Err(Rejection::Open) if repeat == Repeat::Free => (Allowed { attempts: 1, is_retry: true }, None),
+            Err(Rejection::Open) => {
                 let reason = "one with the same id or key is open";
                 return refuse(
                     Code::FailedPrecondition,
@@ -210,7 +210,7 @@
                     },
                 );
             }
-            Err(Refusal::MayHaveRun) => {
+            Err(Rejection::MayHaveRun) => {
                 let reason = "one with the same id may have run, and this must not run twice";
                 return Err(Box::new(Answer::of(
                     Code::FailedPrecondition,
@@ -219,7 +219,7 @@
                     Pushback::Never,
                 )));
             }
-            Err(Refusal::Unknown) => {
+            Err(Rejection::Unknown) => {
                 let reason = "it has been tried before, nothing is known of that, and it must not run twice";
                 return Err(Box::new(Answer::of(
                     Code::FailedPrecondition,
@@ -228,22 +228,22 @@
                     Pushback::Never,
                 )));
             }
-            Err(Refusal::Exhausted) => {
+            Err(Rejection::Exhausted) => {
                 let reason = "all attempts that its class allows have been made";
                 return refuse(Code::Unavailable, reason, Pushback::Never);
             }
-            Err(Refusal::Full) => {
+            Err(Rejection::Full) => {
                 let reason = "no more calls can be remembered";
                 return refuse(Code::ResourceExhausted, reason, Pushback::After(Duration::from_secs(1)));
             }
         };
         if let Some(budget) = &self.budget {
             let mut budget = budget.borrow_mut();
-            if !allowed.again {
-                budget.first(now);
-            } else if !budget.again(now) {
-                self.ends(name, Trace::default());
-                let wait = Duration::from_micros(budget.wait().unwrap_or(1_000_000));
+            if !allowed.is_retry {
+                budget.record_first_attempt(now);
+            } else if !budget.try_acquire(now) {
+                self.ends(name, AttemptTrace::default());
+                let wait = Duration::from_micros(budget.time_until_retry().unwrap_or(1_000_000));
                 return refuse(Code::Unavailable, "the retry budget is spent", Pushback::After(wait));
             }
         }
@@ -260,7 +260,7 @@
     ) -> Answer {
         match reply {
             Reply::Served(answer) => answer,
-            Reply::Refused(after) => {
+            Reply::Rejected(after) => {
                 let late = Instant::now() >= deadline;
                 let code = if late { Code::DeadlineExceeded } else { Code::Unavailable };
                 let said = last.map(|last| format!("; a host said: {}", last.message())).unwrap_or_default();
--- a/rpc/src/http2/transport.rs
+++ b/rpc/src/http2/transport.rs
@@ -4,7 +4,7 @@
 use super::subchannel::{ConnectionId, Do, Scaling, Subchannel, Ticket};
 use crate::grpc::{self, Answer, Code};
 use bytes::{Bytes, BytesMut};
-use flaxhead_engine::{End, Meter, Target, Transport};
+use flaxhead_engine::{AttemptResult, AttemptTarget, Transport, WriteMeter};
 use flaxhead_policy::{Load, Micros, Outcome, ServerId};
 use h2::client::SendRequest;
 use h2::{Reason, RecvStream};
@@ -260,23 +260,23 @@
 
     async fn attempt(
         self,
-        target: Target,
+        target: AttemptTarget,
         mut queued: (Place, oneshot::Receiver<Lease>),
         forward: Rc<Forward>,
-        meter: Meter,
-    ) -> End<Answer> {
+        meter: WriteMeter,
+    ) -> AttemptResult<Answer> {
         for _ in 0..TURNS {
             // Without a lease there is no connection, and none is coming.
             let Ok(lease) = (&mut queued.1).await else { break };
             if meter.is_withdrawn() {
-                return End::without_answer(Outcome::NotSent);
+                return AttemptResult::without_answer(Outcome::NotSent);
             }
             let mut sender = lease.wire.sender.clone();
             let Ok(request) = forward.request(&target) else {
-                return End::without_answer(Outcome::NotSent);
+                return AttemptResult::without_answer(Outcome::NotSent);
             };
             // Written to a buffer here, and to the socket in this same step or a later one.
-            meter.set(1);
+            meter.set_bytes_written(1);
             match sender.send_request(request, forward.body.is_empty()) {
                 Ok((response, mut stream)) => {
                     forward.tries.set(forward.tries.get() + 1);
@@ -290,7 +290,7 @@
                 }
                 Err(_) => {
                     // It takes nothing new, and nothing was written.
-                    meter.set(0);
+                    meter.set_bytes_written(0);
                     let connection = lease.connection;
                     self.tell(target.server, |seat, now, out| {
                         seat.connections.remove(&connection);
@@ -301,7 +301,7 @@
                 }
             }
         }
-        End::without_answer(Outcome::NoConnection)
+        AttemptResult::without_answer(Outcome::NoConnection)
     }
 
     async fn exchange(
@@ -309,12 +309,12 @@
         forward: &Forward,
         lease: Lease,
         response: h2::client::ResponseFuture,
-    ) -> End<Answer> {
+    ) -> AttemptResult<Answer> {
         let (parts, body) = match response.await {
             Ok(response) => response.into_parts(),
             Err(error) => {
                 lease.due.set(None);
-                return End::without_answer(self.broken(&error, true));
+                return AttemptResult::without_answer(self.broken(&error, true));
             }
         };
         let most = self.0.borrow().spec.answer_most;
@@ -323,7 +323,7 @@
             Err(error) => {
                 lease.due.set(None);
                 let outcome = error.map_or(Outcome::Unknown, |error| self.broken(&error, false));
-                return End::without_answer(outcome);
+                return AttemptResult::without_answer(outcome);
             }
         };
         lease.due.set(None);
@@ -331,7 +331,7 @@
         let load = report(&answer);
         let (outcome, last) = grpc::verdict(parts.status, &mut answer, forward.retryable.as_deref());
         let answer = if last { Some(answer) } else { forward.last.replace(Some(answer)).and(None) };
-        End { outcome, load, answer }
+        AttemptResult { outcome, load, answer }
     }
 
     /// What a broken exchange proves. That it never ran a peer says by REFUSED_STREAM, or by a GOAWAY with a last
@@ -376,7 +376,7 @@
 
 impl Forward {
     /// The head for one attempt.
-    fn request(&self, target: &Target) -> Result<Request<()>, http::Error> {
+    fn request(&self, target: &AttemptTarget) -> Result<Request<()>, http::Error> {
         let authority = Authority::try_from(target.address.to_string())?;
         let uri = Uri::builder()
             .scheme(Scheme::HTTP)
@@ -401,7 +401,7 @@
     type Request = Forward;
     type Answer = Answer;
 
-    fn host(&self, server: ServerId, dial: Option<SocketAddr>, restarted: bool) {
+    fn set_endpoint(&self, server: ServerId, dial: Option<SocketAddr>, restarted: bool) {
         let mut state = self.0.borrow_mut();
         let scaling = state.spec.scaling;
         let seat = state.seats.entry(server).or_insert_with(|| Seat {
@@ -420,23 +420,23 @@
         seat.dial = dial;
     }
 
-    fn forget(&self, server: ServerId) {
-        self.host(server, None, true);
+    fn remove_endpoint(&self, server: ServerId) {
+        self.set_endpoint(server, None, true);
         let seat = self.0.borrow_mut().seats.remove(&server);
         drop(seat);
     }
 
     fn send(
         &self,
-        target: Target,
+        target: AttemptTarget,
         forward: &Rc<Forward>,
-        meter: &Meter,
-    ) -> impl Future<Output = End<Answer>> + use<> + 'static {
+        meter: &WriteMeter,
+    ) -> impl Future<Output = AttemptResult<Answer>> + use<> + 'static {
         let queued = self.queue(target.server);
         self.clone().attempt(target, queued, forward.clone(), meter.clone())
     }
 
-    fn figures(&self) -> impl Debug {
+    fn stats(&self) -> impl Debug {
         let state = self.0.borrow();
         let (mut connections, mut streams, mut waiting) = (0, 0, 0);
         for (c, s, w) in state.seats.values().map(|seat| seat.subchannel.figures()) {
--- a/rpc/src/lib.rs
+++ b/rpc/src/lib.rs
@@ -14,7 +14,7 @@
 mod slot;
 
 pub use channel::{AnswerBody, Channel, Pending, PluginLayer, Request, ResponseFuture, Routed};
-pub use flaxhead_engine::{Health, Host, List};
+pub use flaxhead_engine::{Endpoint as Host, EndpointList as List, Health};
 pub use grpc::{framed, Answer, Code, Pushback};
 pub use plugin::{Hosts, Peering, Plugin, StartError};
 pub use service::{Method, Problem, ServiceConfig};
--- a/rpc/src/plugin.rs
+++ b/rpc/src/plugin.rs
@@ -7,8 +7,8 @@
 use crate::service::ServiceConfig;
 use crate::slot::Wakers;
 use flaxhead_discovery::Discovery;
-use flaxhead_engine::{BoxError, Engine, List, News, Setup, Source, Watching};
-use flaxhead_limits::Budget;
+use flaxhead_engine::{BoxError, EndpointList, Engine, EngineConfig, ListHandler, ListSource, WatchFuture};
+use flaxhead_limits::RetryBudget;
 use flaxhead_membership::Name;
 use flaxhead_peers::{Peers, PeersView};
 use std::cell::RefCell;
@@ -38,15 +38,15 @@
 #[derive(Clone, Debug)]
 pub enum Hosts {
     /// From here, for good.
-    Fixed(List),
+    Fixed(EndpointList),
     /// From whoever holds the other end, whenever it is changed there.
-    Watched(watch::Receiver<List>),
+    Watched(watch::Receiver<EndpointList>),
     /// From the platform's discovery.
     Discovery {
         /// Where it answers.
         address: SocketAddr,
         /// The list as it was last had.
-        known: Option<List>,
+        known: Option<EndpointList>,
     },
 }
 
@@ -167,21 +167,21 @@
         connect_timeout: config.connect_timeout,
         answer_most: config.message_most,
     });
-    let (known, source): (Option<List>, Rc<dyn Source>) = match hosts {
+    let (known, source): (Option<EndpointList>, Rc<dyn ListSource>) = match hosts {
         Hosts::Fixed(list) => (Some(list.clone()), Rc::new(Watched(watch::Sender::new(list).subscribe()))),
         Hosts::Watched(lists) => {
             let known = lists.borrow().clone();
             (Some(known), Rc::new(Watched(lists)))
         }
         Hosts::Discovery { address, known } if config.settings.ask => {
-            (known, Rc::new(Discovery::asked(address, seed.rotate_left(16))))
+            (known, Rc::new(Discovery::shared(address, seed.rotate_left(16))))
         }
         Hosts::Discovery { address, known } => {
-            (known, Rc::new(Discovery::pushed(address, seed.rotate_left(16))))
+            (known, Rc::new(Discovery::local_agent(address, seed.rotate_left(16))))
         }
     };
     // The budget goes by the engine's clock, which counts from Unix time.
-    let budget = config.budget.map(|spec| Rc::new(RefCell::new(Budget::new(spec, 0))));
+    let budget = config.budget.map(|spec| Rc::new(RefCell::new(RetryBudget::new(spec, 0))));
     let retries = budget.clone().map(|budget| Box::new(Shared(budget)) as _);
     // Of the seed, and not the module's: what peers do must not shift its draws.
     let peers = peering.map(|Peering { name, settings }| Peers::bind(settings, name, !seed)).transpose();
@@ -191,7 +191,7 @@
         Err(error) => return drop(started.send(Err(error))),
     };
     let taking_part = peers.clone().map(|peers| spawn_local(async move { peers.serve().await }));
-    let setup = Setup { seed, settings: config.settings.clone(), known };
+    let setup = EngineConfig { seed, settings: config.settings.clone(), known };
     let engine = Engine::start(setup, transport, source, Vec::new(), retries);
     let front = Front::new(engine.clone(), config, budget);
     if started.send(Ok(())).is_err() {
@@ -234,15 +234,15 @@
 }
 
 /// A list that its holder changes.
-struct Watched(watch::Receiver<List>);
+struct Watched(watch::Receiver<EndpointList>);
 
-impl Source for Watched {
-    fn watch(&self, _: Option<u64>, mut news: News) -> Watching {
+impl ListSource for Watched {
+    fn watch(&self, _: Option<u64>, mut news: ListHandler) -> WatchFuture {
         let mut lists = self.0.clone();
         Box::pin(async move {
             loop {
                 let list = lists.borrow_and_update().clone();
-                news(List { whole: true, ..list });
+                news(EndpointList { whole: true, ..list });
                 if lists.changed().await.is_err() {
                     // Nobody changes it any more: it stays as it is.
                     std::future::pending::<BoxError>().await;
--- a/rpc/src/service.rs
+++ b/rpc/src/service.rs
@@ -3,7 +3,7 @@
 //! whole: what is not understood is an error that says where.
 
 use crate::grpc::Code;
-use flaxhead_limits::{BudgetSpec, MemorySpec};
+use flaxhead_limits::{IdempotencyCacheConfig, RetryBudgetConfig};
 use flaxhead_policy::{ClassId, Repeat, Settings};
 use http::HeaderName;
 use serde::Deserialize;
@@ -56,9 +56,9 @@
     /// Names of the tenants, in the order of the settings.
     pub tenants: Vec<String>,
     /// Bounds of repeats by all layers.
-    pub budget: Option<BudgetSpec>,
+    pub budget: Option<RetryBudgetConfig>,
     /// What is remembered of calls.
-    pub memory: MemorySpec,
+    pub memory: IdempotencyCacheConfig,
     /// Most connections to one host.
     pub connections_most: usize,
     /// When a connection must be up.
@@ -190,7 +190,7 @@
             return Err(Problem::new("flaxhead.settings", "no classes, or times that are too long"));
         }
         let budget = match own.retry_budget {
-            None | Some(BudgetFile::Switch(true)) => Some(BudgetSpec::default()),
+            None | Some(BudgetFile::Switch(true)) => Some(RetryBudgetConfig::default()),
             Some(BudgetFile::Switch(false)) => None,
             Some(BudgetFile::Figures { share, per_second, most }) => {
                 let good = (0.0..=1.0).contains(&share)
@@ -202,7 +202,7 @@
                         "share 0 to 1, perSecond 0 to 1e6, most 1 to 1e6",
                     ));
                 }
-                Some(BudgetSpec { share, flow: per_second, most })
+                Some(RetryBudgetConfig { ratio: share, min_per_second: per_second, max_tokens: most })
             }
         };
         let bound =
@@ -218,8 +218,8 @@
         let clamp = bound("flaxhead.clamp", own.clamp, CLAMP, 1..=1_000)?;
         let wanted = file.connection_scaling.map(|scaling| scaling.max_connections_per_subchannel);
         let wanted = bound("connectionScaling.maxConnectionsPerSubchannel", wanted, 1, 1..=usize::MAX)?;
-        let default = MemorySpec::default();
-        let entries = bound("flaxhead.memory.entries", own.memory.entries, default.entries, 1..=1 << 24)?;
+        let default = IdempotencyCacheConfig::default();
+        let entries = bound("flaxhead.memory.entries", own.memory.entries, default.max_entries, 1..=1 << 24)?;
         let keep = match &own.memory.keep {
             None => default.keep,
             Some(text) => duration("flaxhead.memory.keep", text)?.as_micros() as u64,
@@ -235,7 +235,7 @@
         };
         let mut config = ServiceConfig {
             budget,
-            memory: MemorySpec { entries, keep },
+            memory: IdempotencyCacheConfig { max_entries: entries, keep },
             connections_most: wanted.min(clamp),
             connect_timeout,
             open_most: bound("flaxhead.maxOpenCalls", own.max_open_calls, 16_384, 1..=1 << 20)?,
