--- a/proxy/src/admin_client.rs
+++ b/proxy/src/admin_client.rs
@@ -7,9 +7,9 @@
 use ureq::{Agent, Body};
 
 /// How long the side port may take to connect, to take what is said, and to send an answer that it has begun.
-pub const WAIT: Duration = Duration::from_secs(3);
+pub const TIMEOUT: Duration = Duration::from_secs(3);
 /// Longest answer that is read: thousands of members.
-const ANSWER_MOST: u64 = 8 << 20;
+const MAX_RESPONSE_BYTES: u64 = 8 << 20;
 
 /// What the side port at an address answers: to a look at `path`, or to what is `said` there, as JSON. The answer may
 /// take `patience` to begin.
@@ -17,7 +17,7 @@
 /// # Errors
 ///
 /// Where no proxy is reached or answers in time, where it has no such path (`off` says why), or does not understand.
-pub fn ask(
+pub fn request(
     at: SocketAddr,
     path: &str,
     said: Option<&str>,
@@ -29,11 +29,11 @@
         .proxy(None)
         .max_redirects(0)
         .http_status_as_error(false)
-        .timeout_connect(Some(WAIT))
-        .timeout_send_request(Some(WAIT))
-        .timeout_send_body(Some(WAIT))
+        .timeout_connect(Some(TIMEOUT))
+        .timeout_send_request(Some(TIMEOUT))
+        .timeout_send_body(Some(TIMEOUT))
         .timeout_recv_response(Some(patience))
-        .timeout_recv_body(Some(WAIT))
+        .timeout_recv_body(Some(TIMEOUT))
         .build()
         .new_agent();
     let url = format!("http://{at}{path}");
@@ -42,7 +42,7 @@
         Some(said) => agent.post(url).content_type("application/json").send(said),
     };
     let (head, mut body) = answer.map_err(ureq::Error::into_io)?.into_parts();
-    let read = |body: &mut Body| body.with_config().limit(ANSWER_MOST).read_to_string();
+    let read = |body: &mut Body| body.with_config().limit(MAX_RESPONSE_BYTES).read_to_string();
     let body = read(&mut body).map_err(ureq::Error::into_io)?;
     match head.status {
         StatusCode::OK => Ok(body),
--- a/proxy/src/admin_client/tests.rs
+++ b/proxy/src/admin_client/tests.rs
@@ -14,7 +14,7 @@
         assert!(stream.read(&mut head).expect("a request") > 0);
         stream.write_all(answer).expect("answered");
     });
-    let told = ask(at, "/members.json", None, WAIT, "off there");
+    let told = request(at, "/members.json", None, TIMEOUT, "off there");
     side.join().expect("it has answered");
     told
 }
--- a/proxy/src/enabled_features.rs
+++ b/proxy/src/enabled_features.rs
@@ -3,10 +3,10 @@
 use crate::config::Config;
 use crate::features::audit::Trail;
 use crate::features::capture::{Dumps, Recorder, Watch};
-use crate::features::hosts::Known;
+use crate::features::hosts::HostMonitor;
 use crate::features::quota::Quota;
-use crate::features::state::Memory;
-use crate::features::status::{Page, Shared};
+use crate::features::snapshot::SnapshotStore;
+use crate::features::status::{StatusRecorder, StatusServer};
 use crate::features::Features;
 use crate::http::{front, Http};
 use crate::output;
@@ -23,40 +23,40 @@
 
 /// What is on.
 #[derive(Debug, Default)]
-pub struct Side {
+pub struct EnabledFeatures {
     /// The status page.
-    pub status: Option<Page>,
+    pub status: Option<StatusServer>,
     /// What is noted for it.
-    pub board: Shared,
+    pub status_recorder: StatusRecorder,
     /// The audit trail.
     pub trail: Option<Trail>,
     /// Capture's ring.
-    pub recorder: Option<Rc<RefCell<Recorder>>>,
+    pub capture_ring: Option<Rc<RefCell<Recorder>>>,
     /// What writes it out.
-    pub dumps: Option<Dumps>,
+    pub capture_dumps: Option<Dumps>,
     /// The membership among client proxies.
     pub peers: Option<Peers>,
     /// Hosts taken out for work.
-    pub work: Option<MaintenanceService>,
+    pub maintenance: Option<MaintenanceService>,
     /// What is known of the hosts, where something is settled by it.
-    pub hosts: Option<Known>,
+    pub hosts: Option<HostMonitor>,
     /// Connection capacity that tenants share.
-    pub shares: Option<Quota>,
+    pub quota: Option<Quota>,
     /// What is remembered on disk.
-    pub memory: Option<Memory>,
+    pub snapshot: Option<SnapshotStore>,
     /// Address lists.
     pub access: Option<Access>,
 }
 
-impl Side {
+impl EnabledFeatures {
     /// Opens what the features need, and sets the descriptors for it aside.
-    pub fn open(features: Features, config: &mut Config) -> Result<Side, String> {
+    pub fn open(features: Features, config: &mut Config) -> Result<EnabledFeatures, String> {
         let status = features.status.and_then(|status| Some((status.listen_port?, status.refresh)));
         let status = status.map(|(port, refresh)| {
             let address = SocketAddr::new(config.listen.ip(), port);
             let listener =
                 front::listen(address).map_err(|e| format!("[status] listen_port: {address}: {e}"))?;
-            Ok::<_, String>(Page::new(listener, refresh))
+            Ok::<_, String>(StatusServer::new(listener, refresh))
         });
         let status = status.transpose()?;
         let (audit, capture) = (features.audit.as_ref(), features.capture.as_ref());
@@ -78,7 +78,7 @@
         });
         let recorder = capture.map(|capture| Rc::new(RefCell::new(Recorder::new(capture, config.seed))));
         let cluster = features.peers.as_ref().map_or("", |peers| peers.cluster.as_str());
-        let memory = features.state.as_ref().map(|state| Memory::open(state, cluster, config));
+        let memory = features.snapshot.as_ref().map(|state| SnapshotStore::open(state, cluster, config));
         let memory = memory.transpose().map_err(|e| format!("[state]: no thread for it: {e}"))?;
         let (memory, recollection) = memory.unzip();
         let mut recollection = recollection.flatten();
@@ -89,41 +89,54 @@
             Peers::bind(settings, name, !config.seed).map_err(|e| format!("[peers] listen: {at}: {e}"))
         });
         let peers = peers.transpose()?;
-        let work = features.work.zip(peers.clone()).map(|(mut settings, peers)| {
+        let work = features.maintenance.zip(peers.clone()).map(|(mut settings, peers)| {
             let longest = config.settings.classes.iter().map(|class| class.deadline).max();
             settings.config.max_call_duration = longest.unwrap_or(settings.config.max_call_duration);
             let disk = memory.as_ref().map(|memory| memory.application("turns", recollection.as_mut()));
             MaintenanceService::start(settings, peers, config.seed.rotate_left(32), disk)
         });
-        let (access, dumps, board) = (features.access, dumps.transpose()?, Shared::default());
-        let hosts = (work.is_some() || features.shares.is_some()).then(Known::default);
+        let (access, dumps, board) = (features.access, dumps.transpose()?, StatusRecorder::default());
+        let hosts = (work.is_some() || features.quota.is_some()).then(HostMonitor::default);
         let shares = None;
-        let mut side =
-            Side { status, board, trail, recorder, peers, work, hosts, shares, memory, access, dumps };
+        let mut side = EnabledFeatures {
+            status,
+            status_recorder: board,
+            trail,
+            capture_ring: recorder,
+            peers,
+            maintenance: work,
+            hosts,
+            quota: shares,
+            snapshot: memory,
+            access,
+            capture_dumps: dumps,
+        };
         config.side_descriptors = side.descriptors();
-        let shares = features.shares.map(|settings| {
-            let disk = side.memory.as_ref().map(|memory| memory.application("shares", recollection.as_mut()));
+        let shares = features.quota.map(|settings| {
+            let disk =
+                side.snapshot.as_ref().map(|memory| memory.application("shares", recollection.as_mut()));
             Quota::open(settings, config, side.peers.clone(), disk)
         });
-        side.shares = shares.transpose().map_err(|error| error.to_string())?;
+        side.quota = shares.transpose().map_err(|error| error.to_string())?;
         Ok(side)
     }
 
     fn descriptors(&self) -> usize {
-        let status = self.status.as_ref().map_or(0, |_| Page::DESCRIPTORS);
+        let status = self.status.as_ref().map_or(0, |_| StatusServer::DESCRIPTORS);
         let trail = self.trail.as_ref().map_or(0, |_| Trail::DESCRIPTORS);
         let peers = self.peers.as_ref().map_or(0, |_| Peers::DESCRIPTORS);
-        let memory = self.memory.as_ref().map_or(0, |_| Memory::DESCRIPTORS);
-        status + trail + peers + memory + self.dumps.as_ref().map_or(0, Dumps::descriptors)
+        let memory = self.snapshot.as_ref().map_or(0, |_| SnapshotStore::DESCRIPTORS);
+        status + trail + peers + memory + self.capture_dumps.as_ref().map_or(0, Dumps::descriptors)
     }
 
     /// What watches the engine: nothing where nothing is on.
     pub fn observers(&self) -> Vec<Box<dyn Observer<Http>>> {
-        let board = self.status.as_ref().map(|_| Box::new(self.board.clone()) as Box<dyn Observer<Http>>);
+        let board =
+            self.status.as_ref().map(|_| Box::new(self.status_recorder.clone()) as Box<dyn Observer<Http>>);
         let trail = self.trail.as_ref().map(|trail| Box::new(trail.clone()) as _);
-        let ring = self.recorder.as_ref().map(|ring| Box::new(Watch::new(ring.clone())) as _);
+        let ring = self.capture_ring.as_ref().map(|ring| Box::new(Watch::new(ring.clone())) as _);
         let known = self.hosts.as_ref().map(|known| Box::new(known.clone()) as _);
-        let memory = self.memory.as_ref().map(|memory| Box::new(memory.watch()) as _);
+        let memory = self.snapshot.as_ref().map(|memory| Box::new(memory.list_recorder()) as _);
         [board, trail, ring, known, memory].into_iter().flatten().collect()
     }
 }
--- a/proxy/src/features/hosts.rs
+++ b/proxy/src/features/hosts.rs
@@ -20,9 +20,9 @@
 const ZONE_MEMORY: Duration = Duration::from_secs(600);
 
 /// A host, as it is known.
-pub struct Fact<'a> {
+pub struct HostCondition<'a> {
     /// What the list says.
-    pub host: &'a Endpoint,
+    pub endpoint: &'a Endpoint,
     /// Half of the calls to it fail, lately.
     pub failing: bool,
     /// How warm it is, in thousandths.
@@ -41,7 +41,7 @@
 
 /// What is known of the hosts: from lists, and from attempts.
 #[derive(Debug, Default)]
-struct Board {
+struct Observations {
     /// Zones that had a host that was ready, and when last.
     zones: BTreeMap<String, Instant>,
     hosts: BTreeMap<String, (ServerId, Endpoint)>,
@@ -50,7 +50,7 @@
     attempts: (u32, u32),
 }
 
-impl Board {
+impl Observations {
     fn listed(&mut self, list: &EndpointList, servers: &[ServerId]) {
         if list.whole {
             self.hosts.clear();
@@ -105,11 +105,15 @@
 
 /// The board, as the engine notes on it.
 #[derive(Clone, Debug, Default)]
-pub struct Known(Rc<RefCell<Board>>);
+pub struct HostMonitor(Rc<RefCell<Observations>>);
 
-impl Known {
+impl HostMonitor {
     /// Each host of the list, by name.
-    pub fn facts<R>(&self, engine: &Engine, fact: impl Fn(Fact<'_>) -> R) -> impl Iterator<Item = R> {
+    pub fn facts<R>(
+        &self,
+        engine: &Engine,
+        fact: impl Fn(HostCondition<'_>) -> R,
+    ) -> impl Iterator<Item = R> {
         let board = self.0.borrow();
         let (now, rules) = engine.view(|view| (view.now(), view.settings().rules));
         let warmth = |born_ms: u64| {
@@ -122,8 +126,8 @@
         };
         let facts = board.hosts.values().map(|(server, host)| {
             let share = if host.share.is_finite() && host.share > 0.0 { host.share } else { 1.0 };
-            fact(Fact {
-                host,
+            fact(HostCondition {
+                endpoint: host,
                 failing: board.lately(*server).is_some_and(|seen| seen.failing > FAILING),
                 warmth: warmth(host.born_ms),
                 size: (share * 1_000.0).min(1e6) as u32,
@@ -143,7 +147,7 @@
     }
 }
 
-impl Observer<Http> for Known {
+impl Observer<Http> for HostMonitor {
     fn observe(&mut self, note: &EngineEvent<'_, Http>, _: &EngineView<'_, Http>) {
         match note {
             EngineEvent::ListReceived { list, servers } => self.0.borrow_mut().listed(list, servers),
--- a/proxy/src/features/hosts/tests.rs
+++ b/proxy/src/features/hosts/tests.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn a_zone_counts_as_lost_where_all_of_its_hosts_that_were_tried_failed_last() {
-    let mut board = Board::default();
+    let mut board = Observations::default();
     let hosts = (0..4_u32).map(|n| Endpoint {
         host: format!("h{n}"),
         dial: ([127, 0, 0, 1], 1).into(),
--- a/proxy/src/features/maintenance/mod.rs
+++ b/proxy/src/features/maintenance/mod.rs
@@ -2,7 +2,7 @@
 //! each other.
 
 use super::audit::{Actor, Trail};
-use super::hosts::{Fact, Known};
+use super::hosts::{HostCondition, HostMonitor};
 use super::peers::voters;
 use super::sections::{Problem, Section};
 use crate::http::Engine;
@@ -18,9 +18,9 @@
 use tokio::time::{sleep, Instant};
 
 /// How long the list that was known before the start may do until discovery is asked.
-const ASKED_WITHIN: Duration = Duration::from_millis(400);
+const MAX_FIRST_POLL_DELAY: Duration = Duration::from_millis(400);
 /// Memory of the calls in hand.
-const LOAD_MEMORY: f64 = 10.0;
+const LOAD_DECAY_SECONDS: f64 = 10.0;
 
 /// What `[work]` says; the longest request comes from the configuration.
 pub fn read(section: &mut Section) -> Result<Settings, Problem> {
@@ -74,25 +74,26 @@
 }
 
 /// The hosts, as the turns go by them.
-pub struct Fleet {
+pub struct EngineHosts {
     engine: Engine,
-    known: Known,
+    known: HostMonitor,
     trail: Option<Trail>,
     load: Cell<(f64, Instant)>,
 }
 
-impl Fleet {
+impl EngineHosts {
     /// Of an engine that is watched.
-    pub fn new(engine: Engine, known: Known, trail: Option<Trail>) -> Fleet {
-        Fleet { engine, known, trail, load: Cell::new((0.0, Instant::now())) }
+    pub fn new(engine: Engine, known: HostMonitor, trail: Option<Trail>) -> EngineHosts {
+        EngineHosts { engine, known, trail, load: Cell::new((0.0, Instant::now())) }
     }
 }
 
-impl Hosts for Fleet {
+impl Hosts for EngineHosts {
     fn facts(&self) -> HostFacts {
-        let fact = |Fact { host, failing, warmth, size }: Fact<'_>| {
-            let (zone, pod, ready) = (host.site.clone(), host.block, host.health == Health::Ready);
-            (host.host.clone(), HostFact { zone, pod, ready, failing, warmth, weight: size })
+        let fact = |HostCondition { endpoint, failing, warmth, size }: HostCondition<'_>| {
+            let (zone, pod, ready) =
+                (endpoint.site.clone(), endpoint.block, endpoint.health == Health::Ready);
+            (endpoint.host.clone(), HostFact { zone, pod, ready, failing, warmth, weight: size })
         };
         HostFacts { hosts: self.known.facts(&self.engine, fact).collect(), lost_zones: self.known.lost() }
     }
@@ -104,7 +105,7 @@
             (out.into_iter().map(|(name, calls)| (name.to_owned(), calls)).collect(), open)
         });
         let (mean, at) = self.load.get();
-        let kept = (-at.elapsed().as_secs_f64() / LOAD_MEMORY).exp();
+        let kept = (-at.elapsed().as_secs_f64() / LOAD_DECAY_SECONDS).exp();
         let mean = mean * kept + f64::from(open) * (1.0 - kept);
         self.load.set((mean, Instant::now()));
         HostUsage { in_flight: in_hand, load: (mean * 1_000.0) as u32 }
@@ -123,28 +124,33 @@
 }
 
 /// Discovery that is not asked before the process may send to hosts; then the list that it had comes first.
-pub struct Gated<S> {
+pub struct GatedSource<S> {
     source: Rc<S>,
     open: watch::Receiver<bool>,
     known: Cell<Option<EndpointList>>,
-    asks_after: Duration,
+    first_poll_delay: Duration,
 }
 
-impl<S> Gated<S> {
+impl<S> GatedSource<S> {
     /// Opens with the watched value. Where a list was known, discovery is asked a part of `ASKED_WITHIN` later that
     /// the seed gives: the gates of all may open at once.
-    pub fn new(source: S, open: watch::Receiver<bool>, known: Option<EndpointList>, seed: u64) -> Gated<S> {
+    pub fn new(
+        source: S,
+        open: watch::Receiver<bool>,
+        known: Option<EndpointList>,
+        seed: u64,
+    ) -> GatedSource<S> {
         // Seeds of proxies that were started together may differ in few bits.
         let mut drawn = DefaultHasher::new();
         seed.hash(&mut drawn);
-        let asks_after = ASKED_WITHIN.mul_f64((drawn.finish() >> 32) as f64 / f64::from(u32::MAX));
-        Gated { source: Rc::new(source), open, known: Cell::new(known), asks_after }
+        let asks_after = MAX_FIRST_POLL_DELAY.mul_f64((drawn.finish() >> 32) as f64 / f64::from(u32::MAX));
+        GatedSource { source: Rc::new(source), open, known: Cell::new(known), first_poll_delay: asks_after }
     }
 }
 
-impl<S: ListSource + 'static> ListSource for Gated<S> {
+impl<S: ListSource + 'static> ListSource for GatedSource<S> {
     fn watch(&self, since: Option<u64>, mut news: ListHandler) -> WatchFuture {
-        let asks_after = self.asks_after;
+        let asks_after = self.first_poll_delay;
         let (source, mut open, known) = (self.source.clone(), self.open.clone(), self.known.take());
         Box::pin(async move {
             if let Err(error) = open.wait_for(|open| *open).await {
--- a/proxy/src/features/maintenance/tests.rs
+++ b/proxy/src/features/maintenance/tests.rs
@@ -1,13 +1,13 @@
 //! Unit tests of `work`.
 
-use super::Gated;
+use super::GatedSource;
 use crate::features::Features;
 
 #[test]
 fn what_would_never_work_ends_the_start_with_its_line() {
     let peers = "[peers]\nlisten = 10.0.0.4:7946\ncluster = a\nnetworks = 10.0.0.0/8\n";
     let good = format!("{peers}[work]\nvoters = a, b, c\nhosts = 2\nlease_ms = 2000\nmargin_percent = 50\n");
-    let work = Features::parse(&good).expect("good").work.expect("on");
+    let work = Features::parse(&good).expect("good").maintenance.expect("on");
     assert_eq!(
         (work.scheduler.limits.max_total, work.scheduler.limits.load_margin, work.config.lease),
         (2, 500, 2_000_000)
@@ -32,8 +32,8 @@
     let (_, open) = tokio::sync::watch::channel(true);
     let mut counts = [0; 5];
     for seed in 0..300 {
-        let gate = Gated::new((), open.clone(), None, seed << 16);
-        counts[gate.asks_after.as_millis() as usize / 100] += 1;
+        let gate = GatedSource::new((), open.clone(), None, seed << 16);
+        counts[gate.first_poll_delay.as_millis() as usize / 100] += 1;
     }
     assert!(counts.iter().all(|count| *count <= 90), "{counts:?}");
 }
--- a/proxy/src/features/mod.rs
+++ b/proxy/src/features/mod.rs
@@ -6,12 +6,12 @@
 mod bounds;
 pub mod capture;
 pub mod hosts;
+pub mod maintenance;
 mod peers;
 pub mod quota;
 mod sections;
-pub mod state;
+pub mod snapshot;
 pub mod status;
-pub mod work;
 
 use crate::output;
 use flaxhead_policy::Access;
@@ -56,11 +56,11 @@
     /// The membership among client proxies.
     pub peers: Option<flaxhead_peers::Settings>,
     /// Hosts taken out for work.
-    pub work: Option<flaxhead_maintenance_driver::Settings>,
+    pub maintenance: Option<flaxhead_maintenance_driver::Settings>,
     /// Connection capacity that tenants share.
-    pub shares: Option<quota::Settings>,
+    pub quota: Option<quota::Settings>,
     /// What is remembered on disk.
-    pub state: Option<state::Settings>,
+    pub snapshot: Option<snapshot::Settings>,
     /// The log's form.
     pub log: Option<output::Form>,
 }
@@ -82,7 +82,7 @@
         let mut features =
             features.map_err(|Problem { line, reason }| Error::Problem { file, line, reason })?;
         // Whether it fits the platform's settings is known later, and told with the place.
-        features.shares.iter_mut().for_each(|shares| shares.file = path.to_owned());
+        features.quota.iter_mut().for_each(|shares| shares.file = path.to_owned());
         Ok(features)
     }
 
@@ -108,22 +108,22 @@
                 "peers" => features.peers = Some(peers::read(&mut section)?),
                 "work" => {
                     work_at = section.line;
-                    features.work = Some(work::read(&mut section)?);
+                    features.maintenance = Some(maintenance::read(&mut section)?);
                 }
                 "shares" => {
                     shares_at = section.line;
-                    features.shares = Some(quota::Settings::read(&mut section)?);
+                    features.quota = Some(quota::Settings::read(&mut section)?);
                 }
-                "state" => features.state = Some(state::Settings::read(&mut section)?),
+                "state" => features.snapshot = Some(snapshot::Settings::read(&mut section)?),
                 "log" => features.log = Some(section.take("format")?.unwrap_or_default()),
                 name => return Err(Problem::new(section.line, format!("unknown section [{name}]"))),
             }
             section.finish()?;
         }
-        if features.work.is_some() && features.peers.is_none() {
+        if features.maintenance.is_some() && features.peers.is_none() {
             return Err(Problem::new(work_at, "[work] needs [peers]"));
         }
-        if features.shares.is_some() && features.peers.is_none() {
+        if features.quota.is_some() && features.peers.is_none() {
             return Err(Problem::new(shares_at, "[shares] needs [peers]"));
         }
         Ok(features)
--- a/proxy/src/features/quota/mod.rs
+++ b/proxy/src/features/quota/mod.rs
@@ -10,7 +10,7 @@
 pub use settings::{Settings, SettingsError};
 pub use view::{QuotaStatus, TenantStatus};
 
-use super::hosts::Known;
+use super::hosts::HostMonitor;
 use crate::config::Config;
 use crate::http::Engine;
 use flaxhead_coordination::{Coordinator, StateStore};
@@ -75,7 +75,7 @@
     }
 
     /// Serves the queues and takes part in the agreement, until it is dropped.
-    pub async fn serve(&self, engine: Engine, known: Known) {
+    pub async fn serve(&self, engine: Engine, known: HostMonitor) {
         let Some(coordinator) = &self.coordinator else { return self.queues.serve().await };
         let participant = Rc::new(QuotaParticipant::new(self.queues.clone(), known, engine));
         tokio::join!(
--- a/proxy/src/features/quota/participant.rs
+++ b/proxy/src/features/quota/participant.rs
@@ -1,7 +1,7 @@
 //! This proxy at the quotas' coordinator: what it has in flight is reported with each renewal, and what it may have goes to
 //! the admission controller.
 
-use super::super::hosts::{Fact, Known};
+use super::super::hosts::{HostCondition, HostMonitor};
 use super::queues::AdmissionQueues;
 use crate::http::Engine;
 use flaxhead_coordination::{Clock, Coordinator, Participant};
@@ -27,7 +27,7 @@
 /// Passes usage to the machine, and allowances to the queues.
 pub(super) struct QuotaParticipant {
     queues: AdmissionQueues,
-    known: Known,
+    known: HostMonitor,
     engine: Engine,
     clock: Cell<Option<Clock>>,
     applied: RefCell<Option<AppliedQuota>>,
@@ -37,7 +37,7 @@
 }
 
 impl QuotaParticipant {
-    pub fn new(queues: AdmissionQueues, known: Known, engine: Engine) -> QuotaParticipant {
+    pub fn new(queues: AdmissionQueues, known: HostMonitor, engine: Engine) -> QuotaParticipant {
         QuotaParticipant {
             queues,
             known,
@@ -77,8 +77,8 @@
 
 impl Participant<QuotaApplication> for QuotaParticipant {
     fn facts(&self) -> Vec<HostCapacity> {
-        let capacity = |Fact { host, failing, warmth, size }: Fact<'_>| HostCapacity {
-            ready: host.health == Health::Ready,
+        let capacity = |HostCondition { endpoint, failing, warmth, size }: HostCondition<'_>| HostCapacity {
+            ready: endpoint.health == Health::Ready,
             failing,
             warmth,
             size,
--- a/proxy/src/features/quota/settings/tests.rs
+++ b/proxy/src/features/quota/settings/tests.rs
@@ -9,7 +9,7 @@
 
 #[test]
 fn what_would_never_work_ends_the_start_with_its_line() {
-    let shares = Features::parse(GOOD).expect("good").shares.expect("on");
+    let shares = Features::parse(GOOD).expect("good").quota.expect("on");
     assert_eq!((shares.quota.caps.len(), shares.lease, shares.autonomy_timeout), (2, 6_000_000, 15_000_000));
     let cases = [
         (GOOD.replace("a, b, c", "a, b"), 5, "an odd number"),
@@ -30,7 +30,7 @@
 
 #[test]
 fn caps_of_tenants_that_the_configuration_lacks_are_told_with_file_and_line() {
-    let mut shares = Features::parse(GOOD).expect("good").shares.expect("on");
+    let mut shares = Features::parse(GOOD).expect("good").quota.expect("on");
     shares.file = "ops.ini".into();
     let config = |tenants: &str| {
         let text = r#"{"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": "0f", "settings": {"balancers": 1, "me": 0, "tenants": TENANTS,
--- a/proxy/src/features/snapshot/mod.rs
+++ b/proxy/src/features/snapshot/mod.rs
@@ -21,18 +21,18 @@
 use std::time::Duration;
 
 /// The part with the list, and its form.
-const LIST: &str = "list";
-const LIST_FORM: u16 = 1;
+const LIST_PART: &str = "list";
+const LIST_FORMAT: u16 = 1;
 /// How long a stop waits for the last write.
-const LAST_WRITE: Duration = Duration::from_millis(300);
+const LAST_WRITE_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// What `[state]` holds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
     /// The folder.
-    pub dir: PathBuf,
+    pub directory: PathBuf,
     /// Most age of what a start takes.
-    pub old: Duration,
+    pub max_age: Duration,
 }
 
 impl Settings {
@@ -41,13 +41,13 @@
         let dir = section.take_if("dir", folder)?;
         let dir = dir.ok_or_else(|| section.problem("dir is missing"))?;
         let old = section.take_if("old_s", within::<u64>(2, 86_400))?.unwrap_or(60);
-        Ok(Settings { dir, old: Duration::from_secs(old) })
+        Ok(Settings { directory: dir, max_age: Duration::from_secs(old) })
     }
 }
 
 /// The list, as it is kept.
 #[derive(Serialize, Deserialize)]
-struct Kept<'a> {
+struct StoredList<'a> {
     /// Whose it is: hosts of another fleet's are not to be sent anything.
     discovery: SocketAddr,
     seq: u64,
@@ -56,14 +56,14 @@
 
 /// The proxy's memory, open.
 #[derive(Clone, Debug)]
-pub struct Memory {
+pub struct SnapshotStore {
     keeper: SnapshotWriter,
     discovery: Rc<Cell<SocketAddr>>,
     /// The list that the engine starts with is no news.
     known: bool,
 }
 
-impl Memory {
+impl SnapshotStore {
     /// Descriptors that it needs at the most: lock, new file, folder.
     pub const DESCRIPTORS: usize = 3;
 
@@ -77,12 +77,12 @@
         settings: &Settings,
         cluster: &str,
         config: &mut Config,
-    ) -> io::Result<(Memory, Option<RecoveredState>)> {
+    ) -> io::Result<(SnapshotStore, Option<RecoveredState>)> {
         let mine = Identity { cluster: cluster.to_owned(), proxy: config.name.clone() };
-        let Settings { dir, old } = settings.clone();
-        let file = disk::file(&dir, &config.name);
+        let Settings { directory, max_age } = settings.clone();
+        let file = disk::file(&directory, &config.name);
         let flaxhead_snapshot::OpenedStore { writer, recovered } =
-            StoreOptions { directory: dir, owner: mine, max_age: old }.open()?;
+            StoreOptions { directory, owner: mine, max_age }.open()?;
         let mut recollection = recovered
             .inspect_err(|refusal| {
                 tracing::info!("state: {}: {refusal}. It counts as forgotten", file.display())
@@ -90,7 +90,7 @@
             .ok();
         if let Some(found) = &mut recollection {
             let (age, life) = (found.age_ms(), found.header().incarnation);
-            match recall(found, config) {
+            match stored_list(found, config) {
                 Ok(list) => {
                     let (seq, hosts) = (list.seq, list.hosts.len());
                     tracing::info!(
@@ -102,17 +102,17 @@
             }
         }
         let discovery = Rc::new(Cell::new(config.discovery));
-        Ok((Memory { keeper: writer, discovery, known: config.known.is_some() }, recollection))
+        Ok((SnapshotStore { keeper: writer, discovery, known: config.known.is_some() }, recollection))
     }
 
     /// Discovery is at another address from now on.
-    pub fn moved(&self, discovery: SocketAddr) {
+    pub fn set_discovery(&self, discovery: SocketAddr) {
         self.discovery.set(discovery);
     }
 
     /// Keeps the lists of an engine.
-    pub fn watch(&self) -> Watch {
-        Watch { memory: self.clone(), hosts: BTreeMap::new(), unfit: false }
+    pub fn list_recorder(&self) -> ListRecorder {
+        ListRecorder { memory: self.clone(), hosts: BTreeMap::new(), unfit: false }
     }
 
     /// Keeps what is settled in common of one application under this name, and takes up what is recollected of it.
@@ -132,16 +132,16 @@
 
     /// Has the last of it written, within a bound.
     pub fn close(&self) {
-        self.keeper.stop(LAST_WRITE);
+        self.keeper.stop(LAST_WRITE_TIMEOUT);
     }
 }
 
 /// The list that is kept, where it is of use.
-fn recall(found: &mut RecoveredState, config: &Config) -> Result<EndpointList, Rejection> {
-    let part = found.take(LIST, LIST_FORM)?;
-    let Kept { discovery, seq, hosts } =
-        postcard::from_bytes(&part.bytes).map_err(|_| Rejection::UnreadablePart(LIST.to_owned()))?;
-    let unfit = |reason: String| Err(Rejection::UnusablePart { name: LIST.to_owned(), reason });
+fn stored_list(found: &mut RecoveredState, config: &Config) -> Result<EndpointList, Rejection> {
+    let part = found.take(LIST_PART, LIST_FORMAT)?;
+    let StoredList { discovery, seq, hosts } =
+        postcard::from_bytes(&part.bytes).map_err(|_| Rejection::UnreadablePart(LIST_PART.to_owned()))?;
+    let unfit = |reason: String| Err(Rejection::UnusablePart { name: LIST_PART.to_owned(), reason });
     if discovery != config.discovery {
         return unfit(format!("it is of discovery at {discovery}, and that is at {} now", config.discovery));
     }
@@ -155,14 +155,14 @@
 
 /// Keeps the list as discovery says it. One that the proxy only started with is old news, and is not made new by
 /// being kept again: it ages until discovery says something.
-pub struct Watch {
-    memory: Memory,
+pub struct ListRecorder {
+    memory: SnapshotStore,
     hosts: BTreeMap<String, Endpoint>,
     /// The last one was not kept, and that is said.
     unfit: bool,
 }
 
-impl Watch {
+impl ListRecorder {
     fn listed(&mut self, list: &EndpointList) {
         if list.whole {
             self.hosts.clear();
@@ -178,9 +178,15 @@
         }
         let discovery = self.memory.discovery.get();
         let hosts = self.hosts.values().map(Cow::Borrowed).collect();
-        let Ok(bytes) = postcard::to_stdvec(&Kept { discovery, seq: list.seq, hosts }) else { return };
-        let part =
-            Part { name: LIST.to_owned(), version: LIST_FORM, ballot: 0, incarnation: 0, age_ms: 0, bytes };
+        let Ok(bytes) = postcard::to_stdvec(&StoredList { discovery, seq: list.seq, hosts }) else { return };
+        let part = Part {
+            name: LIST_PART.to_owned(),
+            version: LIST_FORMAT,
+            ballot: 0,
+            incarnation: 0,
+            age_ms: 0,
+            bytes,
+        };
         // One that is too large is not kept, and no older one in its place.
         let unfit = self.memory.keeper.put(part, AsOf::Now).err();
         if let Some(unfit) = unfit.as_ref().filter(|_| !self.unfit) {
@@ -190,7 +196,7 @@
     }
 }
 
-impl Observer<Http> for Watch {
+impl Observer<Http> for ListRecorder {
     fn observe(&mut self, note: &EngineEvent<'_, Http>, _: &EngineView<'_, Http>) {
         if let EngineEvent::ListReceived { list, .. } = note {
             self.listed(list);
--- a/proxy/src/features/snapshot/tests.rs
+++ b/proxy/src/features/snapshot/tests.rs
@@ -6,9 +6,9 @@
 
 #[test]
 fn a_folder_and_an_age_are_all_that_it_takes() {
-    let read = |text: &str| Features::parse(text).expect("good").state;
+    let read = |text: &str| Features::parse(text).expect("good").snapshot;
     let (dir, old) = (PathBuf::from("/var/lib/flaxhead"), Duration::from_secs(60));
-    assert_eq!(read("[state]\ndir = /var/lib/flaxhead\n"), Some(Settings { dir, old }));
+    assert_eq!(read("[state]\ndir = /var/lib/flaxhead\n"), Some(Settings { directory: dir, max_age: old }));
     assert_eq!(read(""), None);
     let cases = [
         ("\n[state]\nold_s = 5\n", 2, "dir is missing"),
@@ -34,11 +34,11 @@
         born_ms: 3,
     };
     let hosts = [Health::Ready, Health::Terminating, Health::Gone].map(|health| Cow::Owned(host(health)));
-    let list = Kept { discovery, seq: 300, hosts: hosts.to_vec() };
+    let list = StoredList { discovery, seq: 300, hosts: hosts.to_vec() };
     let bytes = postcard::to_stdvec(&list).expect("it can be encoded");
     let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
     assert_eq!(hex, EXPECTED_LIST);
-    assert_eq!((LIST, LIST_FORM), ("list", 1));
+    assert_eq!((LIST_PART, LIST_FORMAT), ("list", 1));
 }
 
 const EXPECTED_LIST: &str = "007f000001b442ac020303732d31007f00000250017a016d0200000000000000f03f0303732d31007f00000250017a016d0201000000000000f03f0303732d31007f00000250017a016d0202000000000000f03f03";
--- a/proxy/src/features/tests.rs
+++ b/proxy/src/features/tests.rs
@@ -89,7 +89,7 @@
     let text: String = sections.iter().map(|(name, keys)| format!("[{name}]\n{keys}")).collect();
     let features = Features::parse(&text).expect("every key is understood");
     let second = 1_000_000;
-    let work = features.work.as_ref().expect("on");
+    let work = features.maintenance.as_ref().expect("on");
     assert_eq!(
         (
             work.config.lease,
@@ -106,13 +106,13 @@
         (16 * second, 3, 4, 5)
     );
     assert_eq!((limits.calls_per_host, limits.load_margin), (6_000, 700));
-    let shares = features.shares.as_ref().expect("on");
+    let shares = features.quota.as_ref().expect("on");
     assert_eq!((shares.lease, shares.autonomy_timeout), (3 * second, 21 * second));
     let quota = &shares.quota;
     assert_eq!((quota.max_proxies, quota.guaranteed_percent), (4, 30));
     assert_eq!((quota.calls_per_host, quota.margin_percent, quota.caps.len()), (7, 20, 2));
-    let state = features.state.as_ref().expect("on");
-    assert_eq!((state.dir.to_str(), state.old.as_secs()), (Some("/s"), 90));
+    let state = features.snapshot.as_ref().expect("on");
+    assert_eq!((state.directory.to_str(), state.max_age.as_secs()), (Some("/s"), 90));
     let peers = features.peers.as_ref().expect("on");
     assert_eq!(
         (peers.listen.to_string(), peers.advertise.to_string()),
--- a/proxy/src/http/front/clients.rs
+++ b/proxy/src/http/front/clients.rs
@@ -1,7 +1,7 @@
 //! The connections of clients: how many may be open, and which one yields its place.
 
 use super::activity::{Activity, Phase};
-use super::conversation::{Conversation, Stage};
+use super::connection::{ClientConnection, ShutdownStage};
 use super::Driver;
 use flaxhead_policy::{Access, Admission};
 use std::cmp::Reverse;
@@ -52,7 +52,7 @@
     pub(super) driver: Driver,
     pub(super) access: Option<Rc<Access>>,
     /// Tells all connections how far the proxy's stop has come.
-    pub(super) stage: watch::Sender<Stage>,
+    pub(super) stage: watch::Sender<ShutdownStage>,
     pub(super) open: Vec<Client>,
 }
 
@@ -93,7 +93,7 @@
             tracing::info!("nodelay: {error}");
         }
         let activity = Rc::new(Activity::new());
-        let conversation = Conversation {
+        let conversation = ClientConnection {
             driver: self.driver.clone(),
             activity: activity.clone(),
             stage: self.stage.subscribe(),
@@ -101,8 +101,8 @@
         };
         let task = spawn_local(async move {
             match access {
-                None => conversation.hold(stream).await,
-                Some(access) => conversation.begin(&access, stream, peer).await,
+                None => conversation.serve(stream).await,
+                Some(access) => conversation.admit(&access, stream, peer).await,
             }
         });
         self.open.push(Client { task, activity });
--- a/proxy/src/http/front/connection.rs
+++ b/proxy/src/http/front/connection.rs
@@ -2,7 +2,7 @@
 
 use super::activity::{Activity, Phase};
 use super::answer::{plain, refused, served, Answer};
-use super::presence::ClientStream;
+use super::client_stream::ClientStream;
 use super::request::take_in;
 use super::Driver;
 use crate::features::access::{self, Admitted};
@@ -31,7 +31,7 @@
 
 /// How far the proxy's stop has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Stage {
+pub(super) enum ShutdownStage {
     /// It has not begun.
     Serving,
     /// Connections without a request are closed.
@@ -44,23 +44,23 @@
 type Connection<'a, S, A> = Pin<&'a mut http1::Connection<TokioIo<ClientStream<S>>, A>>;
 
 /// What a client's connection needs to be served.
-pub(super) struct Conversation {
+pub(super) struct ClientConnection {
     pub(super) driver: Driver,
     /// What the connection does, for those that decide about it.
     pub(super) activity: Rc<Activity>,
     /// How far the proxy's stop has come.
-    pub(super) stage: watch::Receiver<Stage>,
+    pub(super) stage: watch::Receiver<ShutdownStage>,
     /// When its first request must have come, whole.
     pub(super) first_due: Instant,
 }
 
-impl Conversation {
+impl ClientConnection {
     /// Serves a connection if it may come.
-    pub(super) async fn begin(self, access: &Access, stream: TcpStream, peer: IpAddr) {
+    pub(super) async fn admit(self, access: &Access, stream: TcpStream, peer: IpAddr) {
         match timeout_at(self.first_due, access::admit(access, stream, peer)).await {
             Ok(Ok(Admitted { client, stream })) => {
                 tracing::info!(client = %client, "connected from {peer}");
-                self.hold(stream).await;
+                self.serve(stream).await;
             }
             Ok(Err((client, reason))) => tracing::info!(client = %client, "closed: {reason}"),
             Err(_) => tracing::info!(client = %peer, "closed: it did not begin in time"),
@@ -68,7 +68,7 @@
     }
 
     /// Answers what comes on a connection, until it ends.
-    pub(super) async fn hold(self, stream: impl AsyncRead + AsyncWrite + Unpin + 'static) {
+    pub(super) async fn serve(self, stream: impl AsyncRead + AsyncWrite + Unpin + 'static) {
         let stream = ClientStream::new(stream, self.activity.clone());
         let service = service_fn(|request| async { Ok::<_, Infallible>(self.respond(request).await) });
         let connection = pin!(http1::Builder::new()
@@ -91,7 +91,7 @@
         let mut stage = self.stage.clone();
         let mut stop = pin!(async move {
             // Nobody is left to say it once the whole proxy has ended.
-            let _ = stage.wait_for(|stage| *stage != Stage::Serving).await;
+            let _ = stage.wait_for(|stage| *stage != ShutdownStage::Serving).await;
         });
         let (mut stops, mut ends_soon) = (false, false);
         let waits = || self.activity.phase() == Phase::Waiting;
@@ -154,7 +154,7 @@
         };
         self.activity.note_asked();
         self.activity.enter(Phase::Waiting);
-        if *self.stage.borrow() == Stage::Answered {
+        if *self.stage.borrow() == ShutdownStage::Answered {
             return refused(StatusCode::SERVICE_UNAVAILABLE, Duration::ZERO);
         }
         // A client that goes meanwhile leaves its queue.
--- a/proxy/src/http/front/mod.rs
+++ b/proxy/src/http/front/mod.rs
@@ -2,16 +2,16 @@
 
 mod activity;
 mod answer;
+mod client_stream;
 mod clients;
-mod conversation;
-mod presence;
+mod connection;
 mod request;
 
 use super::Engine;
 use crate::config::Config;
 use crate::features::quota::AdmissionQueues;
 use clients::{Clients, ACCEPT_PAUSE};
-use conversation::Stage;
+use connection::ShutdownStage;
 use flaxhead_policy::Access;
 use std::future::Future;
 use std::io;
@@ -68,7 +68,8 @@
     let access = access.map(Rc::new);
     let longest = driver.config.longest_deadline().min(STOP_DEADLINE_MOST);
     let engine = driver.engine.clone();
-    let mut clients = Clients { driver, access, stage: watch::Sender::new(Stage::Serving), open: Vec::new() };
+    let mut clients =
+        Clients { driver, access, stage: watch::Sender::new(ShutdownStage::Serving), open: Vec::new() };
     let mut stop = pin!(async {
         stop.await;
         let told = Instant::now();
@@ -97,10 +98,10 @@
         clients.serve(stream, peer.ip());
     }
     drop(listener);
-    clients.stage.send_replace(Stage::Closing);
+    clients.stage.send_replace(ShutdownStage::Closing);
     // Nothing that was taken goes without an answer, also where its client would wait for longer than the process lives.
     if timeout_at(told + longest + STOP_ANSWERS, clients.ended()).await.is_err() {
-        clients.stage.send_replace(Stage::Answered);
+        clients.stage.send_replace(ShutdownStage::Answered);
         engine.answer_all();
         // Whoever has sent half a request by then, or does not read its answer, must not keep the process.
         let _ = timeout(STOP_FLUSH, clients.ended()).await;
--- a/proxy/src/lib.rs
+++ b/proxy/src/lib.rs
@@ -3,25 +3,25 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod ask;
+mod admin_client;
 pub mod config;
+pub mod enabled_features;
 pub mod features;
 pub mod http;
 pub mod maintenance_command;
 pub mod members;
 pub mod output;
 pub mod program;
-pub mod side;
 
 use config::Config;
-use features::status::Sources;
-use features::work::{Fleet, Gated};
+use enabled_features::EnabledFeatures;
+use features::maintenance::{EngineHosts, GatedSource};
+use features::status::StatusSources;
 use flaxhead_discovery::Discovery;
 use flaxhead_engine::{spawn, Engine, EngineConfig, ListSource};
 use flaxhead_maintenance_driver::MaintenanceService;
 use http::front::{self, Driver};
 use http::Http;
-use side::Side;
 use std::future::Future;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -37,7 +37,7 @@
 /// address in `discovery` and the features of `side`. Runs inside a [`tokio::task::LocalSet`].
 pub async fn run(
     config: Config,
-    side: Side,
+    side: EnabledFeatures,
     listener: TcpListener,
     mut discovery: watch::Receiver<SocketAddr>,
     stop: impl Future<Output = ()>,
@@ -46,7 +46,7 @@
     let mut known = config.known.clone();
     let transport = Http::new(config.connections_each_way(), connect_timeout, conn_idle);
     // Where hosts are taken out for work, a proxy sends to none before it knows which are to be left alone.
-    let open = side.work.as_ref().map(MaintenanceService::may_serve);
+    let open = side.maintenance.as_ref().map(MaintenanceService::may_serve);
     // Of the seed, and not the module's: when a silent watch is opened again must not shift its draws.
     let (ask, watch_seed) = (config.settings.ask, seed.rotate_left(16));
     let watched = move |address| match ask {
@@ -54,35 +54,37 @@
         false => Discovery::local_agent(address, watch_seed),
     };
     let source: Rc<dyn ListSource> = match &open {
-        Some(open) => Rc::new(Gated::new(watched(config.discovery), open.clone(), known.take(), watch_seed)),
+        Some(open) => {
+            Rc::new(GatedSource::new(watched(config.discovery), open.clone(), known.take(), watch_seed))
+        }
         None => Rc::new(watched(config.discovery)),
     };
     let setup = EngineConfig { seed, settings: config.settings.clone(), known };
     let engine = Engine::start(setup, transport, source, side.observers(), None);
-    let (trail, ring, board) = (side.trail, side.recorder, side.board);
-    let _dumps = side.dumps.zip(ring).map(|(dumps, ring)| spawn(dumps.serve(ring)));
+    let (trail, ring, board) = (side.trail, side.capture_ring, side.status_recorder);
+    let _dumps = side.capture_dumps.zip(ring).map(|(dumps, ring)| spawn(dumps.serve(ring)));
     let classes = config.classes.clone();
-    let work = side.work.clone();
-    let _work = side.work.zip(side.hosts.clone()).map(|(work, known)| {
-        let fleet = Rc::new(Fleet::new(engine.clone(), known, trail.clone()));
+    let work = side.maintenance.clone();
+    let _work = side.maintenance.zip(side.hosts.clone()).map(|(work, known)| {
+        let fleet = Rc::new(EngineHosts::new(engine.clone(), known, trail.clone()));
         spawn(async move { work.serve(fleet).await })
     });
-    let queues = side.shares.as_ref().map(|shares| shares.queues.clone());
-    let _shares = side.shares.clone().zip(side.hosts).map(|(shares, known)| {
+    let queues = side.quota.as_ref().map(|shares| shares.queues.clone());
+    let _shares = side.quota.clone().zip(side.hosts).map(|(shares, known)| {
         let engine = engine.clone();
         spawn(async move { shares.serve(engine, known).await })
     });
-    let shown = Sources { peers: side.peers.clone(), work, shares: side.shares };
+    let shown = StatusSources { peers: side.peers.clone(), maintenance: work, quota: side.quota };
     let _status = side.status.map(|page| spawn(page.serve(engine.clone(), board, classes, shown)));
     let _peers = side.peers.clone().map(|peers| spawn(async move { peers.serve().await }));
-    let (moving, memory) = (engine.clone(), side.memory.clone());
+    let (moving, memory) = (engine.clone(), side.snapshot.clone());
     let _moving = spawn(async move {
         while discovery.changed().await.is_ok() {
             let address = *discovery.borrow_and_update();
             tracing::info!("discovery is at {address}");
-            memory.iter().for_each(|memory| memory.moved(address));
+            memory.iter().for_each(|memory| memory.set_discovery(address));
             moving.watch_at(match &open {
-                Some(open) => Rc::new(Gated::new(watched(address), open.clone(), None, watch_seed)),
+                Some(open) => Rc::new(GatedSource::new(watched(address), open.clone(), None, watch_seed)),
                 None => Rc::new(watched(address)),
             });
         }
@@ -110,7 +112,7 @@
     if let Some(trail) = trail {
         trail.close().await;
     }
-    if let Some(memory) = side.memory {
+    if let Some(memory) = side.snapshot {
         memory.close();
     }
     output::flush(LAST_LINES).await;
--- a/proxy/src/maintenance_command.rs
+++ b/proxy/src/maintenance_command.rs
@@ -1,6 +1,6 @@
 //! `flaxhead work`: the commands by which operators have hosts drained for maintenance, through any one proxy's side port.
 
-use crate::ask::{self, WAIT};
+use crate::admin_client::{self, TIMEOUT};
 use clap::Args;
 use flaxhead_lease::Micros;
 use flaxhead_maintenance::{
@@ -223,7 +223,7 @@
 ///
 /// Where it cannot be reached, or its answer not be understood.
 pub fn poll(address: SocketAddr) -> io::Result<Polled> {
-    let text = ask(address, None, WAIT)?;
+    let text = ask(address, None, TIMEOUT)?;
     let view = serde_json::from_str(&text).map_err(io::Error::other)?;
     Ok(Polled { text, view })
 }
@@ -234,12 +234,12 @@
 ///
 /// Where it cannot be reached, or its answer not be understood. The inner result is its answer.
 pub fn submit(address: SocketAddr, command: &Command) -> io::Result<Result<CommandResponse, Rejection>> {
-    let text = ask(address, Some(&serde_json::to_string(command)?), COMMIT_TIMEOUT + WAIT)?;
+    let text = ask(address, Some(&serde_json::to_string(command)?), COMMIT_TIMEOUT + TIMEOUT)?;
     serde_json::from_str(&text).map_err(io::Error::other)
 }
 
 fn ask(address: SocketAddr, body: Option<&str>, timeout: Duration) -> io::Result<String> {
-    ask::ask(address, "/work.json", body, timeout, "it settles no turns: [work] is off there")
+    admin_client::request(address, "/work.json", body, timeout, "it settles no turns: [work] is off there")
 }
 
 fn line(row: &DrainView) -> String {
--- a/proxy/src/members.rs
+++ b/proxy/src/members.rs
@@ -1,6 +1,6 @@
 //! `flaxhead members`: asks a running proxy's side port who its members are, and shows them.
 
-use crate::ask::{self, WAIT};
+use crate::admin_client::{self, TIMEOUT};
 use flaxhead_membership::{MemberView, State};
 use flaxhead_peers::PeersView;
 use std::fmt::Write as _;
@@ -9,7 +9,8 @@
 
 /// What the side port at an address shows, as it came and as it is understood.
 pub fn ask(at: SocketAddr) -> io::Result<(String, PeersView)> {
-    let text = ask::ask(at, "/members.json", None, WAIT, "it has no peers: [peers] is off there")?;
+    let text =
+        admin_client::request(at, "/members.json", None, TIMEOUT, "it has no peers: [peers] is off there")?;
     let shown = serde_json::from_str(&text).map_err(io::Error::other)?;
     Ok((text, shown))
 }
--- a/proxy/src/program.rs
+++ b/proxy/src/program.rs
@@ -2,6 +2,7 @@
 //! on SIGTERM, or checks and replays what one has written.
 
 use crate::config::{self, Config};
+use crate::enabled_features::EnabledFeatures;
 use crate::features::audit::{self, Actor, Verdict};
 use crate::features::capture::replay::{self, Line, Report};
 use crate::features::{self, Features};
@@ -9,7 +10,6 @@
 use crate::maintenance_command;
 use crate::members;
 use crate::output;
-use crate::side::Side;
 use clap::{Args, Parser, Subcommand};
 use std::ffi::OsString;
 use std::fmt::Display;
@@ -123,7 +123,7 @@
         let features = Features::load(file)?;
         let config =
             std::env::var_os("ROUTER_CONFIG").map(|path| Config::load(Path::new(&path))).transpose()?;
-        if let Some((shares, config)) = features.shares.zip(config) {
+        if let Some((shares, config)) = features.quota.zip(config) {
             shares.registry(&config)?;
         }
         Ok::<_, Error>(())
@@ -227,7 +227,8 @@
         let (moved, discovery) = watch::channel(config.discovery);
         let at = config.listen;
         let listener = front::listen(at).map_err(|reason| Error::Listen { at, reason })?;
-        let side = Side::open(features, &mut config).map_err(|reason| Error::Side(reason.into()))?;
+        let side =
+            EnabledFeatures::open(features, &mut config).map_err(|reason| Error::Side(reason.into()))?;
         let note = {
             let trail = side.trail.clone();
             move |event, actor, detail: &str| trail.iter().for_each(|trail| trail.note(event, actor, detail))
--- a/proxy/tests/access.rs
+++ b/proxy/tests/access.rs
@@ -5,7 +5,7 @@
 use common::*;
 use flaxhead_policy::Access;
 use flaxhead_proxy::config::Config;
-use flaxhead_proxy::side::Side;
+use flaxhead_proxy::enabled_features::EnabledFeatures;
 use std::fs;
 use std::net::SocketAddr;
 use std::slice::from_ref;
@@ -16,7 +16,7 @@
 async fn listed(host: &Host, allow: &str, deny: &str, proxy_from: &str) -> Proxy {
     let networks = |text: &str| text.parse().expect(text);
     let access = Access { allow: networks(allow), deny: networks(deny), proxy_from: networks(proxy_from) };
-    let side = |_: &mut Config| Side { access: Some(access), ..Side::default() };
+    let side = |_: &mut Config| EnabledFeatures { access: Some(access), ..EnabledFeatures::default() };
     Proxy::with_side(&Discovery::quiet().await, from_ref(host), |_| (), side).await
 }
 
--- a/proxy/tests/common/mod.rs
+++ b/proxy/tests/common/mod.rs
@@ -6,7 +6,7 @@
 pub mod serve;
 
 use flaxhead_proxy::config::Config;
-use flaxhead_proxy::side::Side;
+use flaxhead_proxy::enabled_features::EnabledFeatures;
 use serde_json::json;
 use serve::{bound, serve_each};
 use std::cell::{Cell, RefCell};
@@ -335,7 +335,7 @@
         hosts: &[Host],
         change: impl FnOnce(&mut serde_json::Value),
     ) -> Proxy {
-        Proxy::with_side(discovery, hosts, change, |_| Side::default()).await
+        Proxy::with_side(discovery, hosts, change, |_| EnabledFeatures::default()).await
     }
 
     /// A proxy with features.
@@ -343,7 +343,7 @@
         discovery: &Discovery,
         hosts: &[Host],
         change: impl FnOnce(&mut serde_json::Value),
-        side: impl FnOnce(&mut Config) -> Side,
+        side: impl FnOnce(&mut Config) -> EnabledFeatures,
     ) -> Proxy {
         let config = configuration(discovery.address, hosts, change);
         let mut config = Config::parse(&config).expect("a good configuration");
--- a/proxy/tests/shares.rs
+++ b/proxy/tests/shares.rs
@@ -4,10 +4,10 @@
 
 use common::*;
 use flaxhead_proxy::config::Config;
-use flaxhead_proxy::features::hosts::Known;
+use flaxhead_proxy::enabled_features::EnabledFeatures;
+use flaxhead_proxy::features::hosts::HostMonitor;
 use flaxhead_proxy::features::quota::Quota;
 use flaxhead_proxy::features::Features;
-use flaxhead_proxy::side::Side;
 use serde_json::{json, Value};
 use std::cell::Cell;
 use std::io::Read;
@@ -45,12 +45,16 @@
 async fn capped(host: &Host, caps: &str, change: fn(&mut Value)) -> (Proxy, Quota) {
     let section =
         format!("{PEERS}[shares]\nvoters = n0\nproxies_most = 1\nown_percent = 100\ncaps = {caps}\n");
-    let settings = Features::parse(&section).expect("good").shares.expect("on");
+    let settings = Features::parse(&section).expect("good").quota.expect("on");
     let mut opened = None;
     let side = |config: &mut Config| {
         let shares = Quota::open(settings, config, None, None).expect("it fits");
         opened = Some(shares.clone());
-        Side { shares: Some(shares), hosts: Some(Known::default()), ..Side::default() }
+        EnabledFeatures {
+            quota: Some(shares),
+            hosts: Some(HostMonitor::default()),
+            ..EnabledFeatures::default()
+        }
     };
     let proxy = Proxy::with_side(&Discovery::quiet().await, from_ref(host), change, side).await;
     (proxy, opened.expect("opened"))
--- a/proxy/tests/status.rs
+++ b/proxy/tests/status.rs
@@ -4,9 +4,9 @@
 
 use common::*;
 use flaxhead_proxy::config::Config;
-use flaxhead_proxy::features::status::Page;
+use flaxhead_proxy::enabled_features::EnabledFeatures;
+use flaxhead_proxy::features::status::StatusServer;
 use flaxhead_proxy::features::Features;
-use flaxhead_proxy::side::Side;
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use std::slice::from_ref;
@@ -19,8 +19,8 @@
     let listener =
         flaxhead_proxy::http::front::listen("127.0.0.1:0".parse().expect("an address")).expect("a port");
     let address = listener.local_addr().expect("an address");
-    let page = Page::new(listener, Duration::from_millis(20));
-    let side = |_: &mut Config| Side { status: Some(page), ..Side::default() };
+    let page = StatusServer::new(listener, Duration::from_millis(20));
+    let side = |_: &mut Config| EnabledFeatures { status: Some(page), ..EnabledFeatures::default() };
     (Proxy::with_side(discovery, hosts, |_| (), side).await, address)
 }
 
@@ -119,13 +119,14 @@
         let mut config = Config::parse(&config).expect("good");
         let all = config.connections_each_way();
         let features = Features::parse(&format!("[status]\nlisten_port = {port}\n")).expect("good");
-        let reason = Side::open(features, &mut config).expect_err("the port is taken");
+        let reason = EnabledFeatures::open(features, &mut config).expect_err("the port is taken");
         assert!(reason.contains("listen_port") && reason.contains("in use"), "{reason}");
-        let side = Side::open(Features::parse("[status]\n").expect("good"), &mut config).expect("opened");
+        let side =
+            EnabledFeatures::open(Features::parse("[status]\n").expect("good"), &mut config).expect("opened");
         assert!(side.status.is_none() && config.connections_each_way() == all);
         drop(taken);
         let features = Features::parse(&format!("[status]\nlisten_port = {port}\n")).expect("good");
-        Side::open(features, &mut config).expect("the port is free again");
+        EnabledFeatures::open(features, &mut config).expect("the port is free again");
         assert!(config.connections_each_way() < all, "its descriptors are set aside");
     });
 }
