--- a/lease/src/leader/commit.rs
+++ b/lease/src/leader/commit.rs
@@ -1,5 +1,6 @@
 //! Commands that were executed and wait until their effect is committed.
 
+use super::command::{CommittedResponse, UncommittedCommand};
 use super::peer::PeerState;
 use super::state::LeaderState;
 use crate::config::Config;
@@ -7,26 +8,6 @@
 use crate::voters::Voters;
 use flaxhead_membership::{Micros, Name};
 
-/// An executed command whose effect is not committed yet.
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(super) struct UncommittedCommand<T: ApplicationTypes> {
-    from: Name,
-    id: u64,
-    /// The count of the state with its effect.
-    state_seq: u64,
-    response: T::Response,
-}
-
-/// The response to a command whose effect is committed.
-pub(crate) struct CommittedResponse<T: ApplicationTypes> {
-    /// The process at which the command was submitted.
-    pub to: Name,
-    /// The command's number there.
-    pub id: u64,
-    /// The response.
-    pub response: T::Response,
-}
-
 impl<T: ApplicationTypes> LeaderState<T> {
     /// Whether a majority of voters has applied the state of this count.
     pub(super) fn is_committed(&self, now: Micros, config: &Config, voters: &Voters, seq: u64) -> bool {
--- a/lease/src/leader/lease.rs
+++ b/lease/src/leader/lease.rs
@@ -1,6 +1,7 @@
 //! The leader's lease, and what the voters store for it.
 
 use super::state::LeaderState;
+use super::voter_record::VoterRecord;
 use crate::config::Config;
 use crate::message::{Acceptance, Promise};
 use crate::types::ApplicationTypes;
@@ -11,14 +12,6 @@
 /// Renewal intervals after which a voter that accepts nothing is asked for its promise anew.
 const VOTER_SILENCE_INTERVALS: Micros = 2;
 
-/// What a voter stores, by its last acceptance.
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(super) struct VoterRecord {
-    accepted_at: Micros,
-    /// The count of this leader's roster that it stores; 0: none of it.
-    roster_seq: u64,
-}
-
 impl<T: ApplicationTypes> LeaderState<T> {
     /// Whether its lease runs.
     pub(crate) fn is_leading(&self, now: Micros) -> bool {
--- a/lease/src/leader/mod.rs
+++ b/lease/src/leader/mod.rs
@@ -1,6 +1,7 @@
 //! What a leader keeps, whatever its application: its lease, the roster, and what each process has applied and reported.
 
 mod candidacy;
+mod command;
 mod commit;
 mod context;
 mod dissemination;
@@ -8,9 +9,10 @@
 mod peer;
 mod roster;
 mod state;
+mod voter_record;
 
 pub(crate) use candidacy::Candidacy;
-pub(crate) use commit::CommittedResponse;
+pub(crate) use command::CommittedResponse;
 pub use context::LeaderContext;
 pub(crate) use dissemination::Audience;
 pub use peer::PeerState;
--- a/lease/src/leader/state.rs
+++ b/lease/src/leader/state.rs
@@ -1,9 +1,9 @@
 //! The records of a leader.
 
 use super::candidacy::Candidacy;
-use super::commit::UncommittedCommand;
-use super::lease::VoterRecord;
+use super::command::UncommittedCommand;
 use super::peer::PeerState;
+use super::voter_record::VoterRecord;
 use crate::ballot::{Ballot, Version, Versioned};
 use crate::config::Config;
 use crate::message::Promise;
--- a/lease/src/machine/commands.rs
+++ b/lease/src/machine/commands.rs
@@ -1,5 +1,6 @@
 //! The leader's steps, and the commands of operators.
 
+use super::pending_command::PendingCommand;
 use super::state::{Context, Effect, Machine};
 use crate::application::Application;
 use crate::command_error::CommandError;
@@ -10,17 +11,6 @@
 /// Maximum number of commands that wait at one process to be forwarded, or for their response.
 const MAX_PENDING_COMMANDS: usize = 64;
 
-/// A command that was submitted here and has no response yet.
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(super) struct PendingCommand<C> {
-    id: u64,
-    command: C,
-    /// When it fails if no response has come.
-    deadline: Micros,
-    /// When it is sent to the leader again.
-    resend_at: Micros,
-}
-
 impl<A: Application> Machine<A> {
     /// An operator submits a command here; an [`Effect::CommandCompleted`] follows within `timeout`.
     pub fn submit(
--- a/lease/src/machine/persistence.rs
+++ b/lease/src/machine/persistence.rs
@@ -5,9 +5,10 @@
 //! in between, but for the lease: whether it has granted one is not on the disk, and a voter is quarantined as if it had
 //! forgotten.
 
+use super::persistence_state::{Persistence, WaitingAcceptance};
 use super::state::{Context, Effect, Machine};
 use crate::application::Application;
-use crate::ballot::{Ballot, Version};
+use crate::ballot::Version;
 use crate::message::{Acceptance, Message};
 use crate::persistent_state::{PersistenceMark, PersistentState};
 use crate::recovery_state::RecoveryState;
@@ -15,21 +16,6 @@
 use crate::types::ReplicatedState;
 use flaxhead_membership::{Micros, Name};
 
-/// What is on the disk, and what waits for it.
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(super) struct Persistence {
-    persisted: PersistenceMark,
-    waiting: Option<WaitingAcceptance>,
-}
-
-/// An acceptance that named an older roster, as the newer one was not on the disk: it is sent again once that is.
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct WaitingAcceptance {
-    to: Name,
-    ballot: Ballot,
-    round: u64,
-}
-
 impl<A: Application> Machine<A> {
     /// Has the process use a disk, on which this was `found` of the process before it, `age` ago. Called at its start,
     /// before anything else happens.
--- a/lease/src/machine/state.rs
+++ b/lease/src/machine/state.rs
@@ -1,8 +1,8 @@
 //! What one process consists of.
 
-use super::commands::PendingCommand;
 use super::leader::{Leader, LeaderEnvironment};
-use super::persistence::Persistence;
+use super::pending_command::PendingCommand;
+use super::persistence_state::Persistence;
 use crate::application::Application;
 use crate::ballot::{Ballot, Versioned};
 use crate::config::Config;
--- a/membership/src/lib.rs
+++ b/membership/src/lib.rs
@@ -14,6 +14,7 @@
 //! suspects no other member and takes part in no agreement.
 
 mod health;
+mod liveness;
 mod machine;
 mod name;
 mod packet;
@@ -23,10 +24,11 @@
 mod view;
 
 pub use health::CutOff;
+pub use liveness::{Cause, State, SuspicionReport};
 pub use machine::{Change, CheckResult, Config, Effect, Machine};
 pub use name::{Name, NameError, Stamp};
 pub use packet::{Kind, MemberRecord, Packet, Rejection, Update};
-pub use table::{Cause, Member, MemberTable, MergeResult, State, SuspicionReport};
+pub use table::{Member, MemberTable, MergeResult};
 pub use view::{MemberView, MembershipView, Reach, SuspicionView};
 
 /// A moment or a span, in microseconds. Moments count from any fixed point before the machine's start.
--- a/membership/src/machine/contacts.rs
+++ b/membership/src/machine/contacts.rs
@@ -1,9 +1,10 @@
 //! Whom a process asks for other members: contacts at which no member is known, and members that are gone.
 
 use super::{Effect, Machine};
+use crate::liveness::State;
 use crate::name::Name;
 use crate::probe::Stage;
-use crate::table::{Member, State};
+use crate::table::Member;
 use crate::Micros;
 use std::net::SocketAddr;
 
--- a/membership/src/machine/dissemination.rs
+++ b/membership/src/machine/dissemination.rs
@@ -1,10 +1,10 @@
 //! What is sent: updates on whatever goes out, digests to compare, full states.
 
 use super::{Effect, Machine};
+use crate::liveness::State;
 use crate::name::Name;
 use crate::packet::{Kind, Packet, Update};
 use crate::probe::Stage;
-use crate::table::State;
 use crate::Micros;
 use std::net::SocketAddr;
 
--- a/membership/src/machine/effect.rs
+++ b/membership/src/machine/effect.rs
@@ -1,8 +1,8 @@
 //! What a machine asks its driver for, what comes of that, and what has changed.
 
+use crate::liveness::Cause;
 use crate::name::Name;
 use crate::packet::{MemberRecord, Packet};
-use crate::table::Cause;
 use crate::CutOff;
 use std::net::SocketAddr;
 
--- a/membership/src/machine/gossip.rs
+++ b/membership/src/machine/gossip.rs
@@ -1,9 +1,10 @@
 //! Updates on members: which are taken, what they change, and which are passed on.
 
 use super::{Change, Effect, Machine, Peer};
+use crate::liveness::{Cause, State, SuspicionReport};
 use crate::name::{Name, Stamp};
 use crate::packet::Update;
-use crate::table::{Cause, MergeResult, State, SuspicionReport};
+use crate::table::MergeResult;
 use crate::Micros;
 
 /// A member that was received within this many probe intervals is not dead by another's word.
--- a/membership/src/machine/probing.rs
+++ b/membership/src/machine/probing.rs
@@ -2,10 +2,10 @@
 
 use super::gossip::Forwarding;
 use super::{Effect, Machine};
+use crate::liveness::{Cause, State, SuspicionReport};
 use crate::name::Name;
 use crate::packet::{Kind, Update};
 use crate::probe::{Probe, Stage};
-use crate::table::{Cause, State, SuspicionReport};
 use crate::view::Reach;
 use crate::Micros;
 use std::collections::BTreeSet;
--- a/membership/src/machine/receive.rs
+++ b/membership/src/machine/receive.rs
@@ -2,10 +2,10 @@
 
 use super::gossip::Forwarding;
 use super::{CheckResult, Effect, Machine};
+use crate::liveness::{Cause, State};
 use crate::name::Name;
 use crate::packet::{Kind, MemberRecord, Packet, Rejection, Update};
 use crate::probe::{Relay, Stage};
-use crate::table::{Cause, State};
 use crate::Micros;
 use std::net::SocketAddr;
 
--- a/membership/src/machine/suspicion.rs
+++ b/membership/src/machine/suspicion.rs
@@ -2,10 +2,11 @@
 
 use super::gossip::Forwarding;
 use super::{Config, Effect, Machine};
+use crate::liveness::{Cause, State, SuspicionReport};
 use crate::name::Name;
 use crate::packet::Update;
 use crate::probe::{Probe, Stage};
-use crate::table::{Cause, Member, State, SuspicionReport};
+use crate::table::Member;
 use crate::Micros;
 
 /// Time after a suspicion's end in which members that probed the suspect themselves may declare it dead, for one that did
--- a/membership/src/packet.rs
+++ b/membership/src/packet.rs
@@ -1,8 +1,8 @@
 //! What members send to each other. How it is encoded is up to the driver, which encodes by position: neither the order of
 //! fields nor that of variants may change.
 
+use crate::liveness::{State, SuspicionReport};
 use crate::name::{Name, Stamp};
-use crate::table::{State, SuspicionReport};
 use crate::CutOff;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
--- a/membership/src/probe.rs
+++ b/membership/src/probe.rs
@@ -1,7 +1,7 @@
 //! Probes that are under way: a process's own, and those that it makes for others.
 
+use crate::liveness::Cause;
 use crate::name::{Name, Stamp};
-use crate::table::Cause;
 use crate::Micros;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
--- a/membership/src/queue.rs
+++ b/membership/src/queue.rs
@@ -1,8 +1,8 @@
 //! Updates that wait to be carried on packets, each so often that all members have very likely received it.
 
+use crate::liveness::State;
 use crate::name::Name;
 use crate::packet::Update;
-use crate::table::State;
 use std::collections::VecDeque;
 
 /// How often an update is sent, for each doubling of the members: SWIM's lambda.
--- a/membership/src/view.rs
+++ b/membership/src/view.rs
@@ -1,8 +1,8 @@
 //! What operators see. The names of the keys in JSON are those of the side port.
 
+use crate::liveness::{State, SuspicionReport};
 use crate::name::Name;
 use crate::packet::Rejection;
-use crate::table::{State, SuspicionReport};
 use crate::{CutOff, Micros};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
--- a/peers/src/connections.rs
+++ b/peers/src/connections.rs
@@ -3,6 +3,7 @@
 use crate::codec::{self, DecodeError, MAX_FRAME_BYTES};
 use crate::framing::{read_frame, tcp_socket, write_frame};
 use crate::peers::Peers;
+use crate::settings::MAX_CONNECTIONS;
 use flaxhead_membership::{CheckResult, Kind, Packet};
 use std::io;
 use std::net::SocketAddr;
@@ -14,8 +15,6 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// Connections at once, each way; more wait, or are left out.
-pub(crate) const MAX_CONNECTIONS: usize = 16;
 /// How long a member's machine may take to accept a connection, and the member to answer.
 const CHECK_TIMEOUT: Duration = Duration::from_millis(250);
 /// How long a full exchange may take.
--- a/peers/src/peers.rs
+++ b/peers/src/peers.rs
@@ -2,8 +2,8 @@
 
 use crate::change_log::ChangeLog;
 use crate::codec::{self, Channel, DecodeError, ServiceFrame, MAX_DATAGRAM_BYTES};
-use crate::connections::MAX_CONNECTIONS;
 use crate::framing::tcp_socket;
+use crate::settings::MAX_CONNECTIONS;
 use crate::stats::{PeersView, WireStats};
 use crate::Settings;
 use flaxhead_membership::{Effect, Machine, Micros, Name, Packet};
--- a/peers/src/settings.rs
+++ b/peers/src/settings.rs
@@ -4,6 +4,9 @@
 use ipnet::IpNet;
 use std::net::{IpAddr, SocketAddr};
 
+/// Connections at once, each way; more wait, or are left out.
+pub(crate) const MAX_CONNECTIONS: usize = 16;
+
 /// What `[peers]` configures.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
--- a/proxy/src/enabled_features.rs
+++ b/proxy/src/enabled_features.rs
@@ -1,124 +1,155 @@
-//! The features that are switched on, opened before the proxy serves: what cannot be opened ends the start.
+//! The features that are switched on, opened before the proxy serves: one that cannot be opened ends the start.
 
 use crate::config::Config;
-use crate::features::audit::Trail;
-use crate::features::capture::{Dumps, Recorder, Watch};
+use crate::features::audit::{self, Trail};
+use crate::features::capture::{self, Dumps, Recorder, Watch};
 use crate::features::hosts::HostMonitor;
-use crate::features::quota::Quota;
+use crate::features::quota::{self, Quota};
 use crate::features::snapshot::SnapshotStore;
-use crate::features::status::{StatusRecorder, StatusServer};
+use crate::features::status::{self, StatusRecorder, StatusServer};
 use crate::features::Features;
 use crate::http::{front, Http};
 use crate::output;
 use flaxhead_engine::Observer;
-use flaxhead_maintenance_driver::MaintenanceService;
-use flaxhead_membership::Name;
+use flaxhead_maintenance::Maintenance;
+use flaxhead_maintenance_driver::{MaintenanceService, StateStore};
+use flaxhead_membership::{Name, NameError};
 use flaxhead_peers::Peers;
 use flaxhead_policy::Access;
+use flaxhead_snapshot::RecoveredState;
 use std::cell::RefCell;
 use std::fs;
+use std::io;
 use std::net::SocketAddr;
+use std::path::PathBuf;
 use std::rc::Rc;
 use tokio::signal::unix::{signal, SignalKind};
 
-/// What is on.
+/// The snapshot's parts, by application.
+const MAINTENANCE_PART: &str = "turns";
+const QUOTA_PART: &str = "shares";
+
+/// The features that are switched on.
 #[derive(Debug, Default)]
 pub struct EnabledFeatures {
     /// The status page.
     pub status: Option<StatusServer>,
-    /// What is noted for it.
+    /// What is recorded for it.
     pub status_recorder: StatusRecorder,
     /// The audit trail.
     pub trail: Option<Trail>,
     /// Capture's ring.
     pub capture_ring: Option<Rc<RefCell<Recorder>>>,
-    /// What writes it out.
+    /// What writes the ring out.
     pub capture_dumps: Option<Dumps>,
     /// The membership among client proxies.
     pub peers: Option<Peers>,
-    /// Hosts taken out for work.
+    /// Maintenance of hosts.
     pub maintenance: Option<MaintenanceService>,
-    /// What is known of the hosts, where something is settled by it.
+    /// What is observed of the hosts, where maintenance or quotas need it.
     pub hosts: Option<HostMonitor>,
-    /// Connection capacity that tenants share.
+    /// The tenants' quotas.
     pub quota: Option<Quota>,
-    /// What is remembered on disk.
+    /// The snapshot on disk.
     pub snapshot: Option<SnapshotStore>,
     /// Address lists.
     pub access: Option<Access>,
 }
 
+/// Why a feature cannot be opened.
+#[derive(Debug, thiserror::Error)]
+pub enum OpenError {
+    /// The status page's port cannot be listened on.
+    #[error("[status] listen_port: {address}: {error}")]
+    Status {
+        /// The address.
+        address: SocketAddr,
+        /// Why not.
+        error: io::Error,
+    },
+    /// The thread that writes the log cannot be started.
+    #[error(transparent)]
+    Output(io::Error),
+    /// The audit trail cannot be opened.
+    #[error(transparent)]
+    Audit(#[from] audit::Error),
+    /// Capture's directory cannot be made.
+    #[error("[capture] {}: {error}", directory.display())]
+    CaptureDirectory {
+        /// The directory.
+        directory: PathBuf,
+        /// Why not.
+        error: io::Error,
+    },
+    /// Capture's signal cannot be received.
+    #[error("[capture] {0}")]
+    CaptureSignal(io::Error),
+    /// The thread that writes the snapshot cannot be started.
+    #[error("[state]: no thread for it: {0}")]
+    Snapshot(io::Error),
+    /// The proxy's name cannot be a peer's.
+    #[error("[peers] name {name:?}: {error}")]
+    PeerName {
+        /// The name.
+        name: String,
+        /// Why not.
+        error: NameError,
+    },
+    /// The peers' address cannot be bound.
+    #[error("[peers] listen: {address}: {error}")]
+    Peers {
+        /// The address.
+        address: SocketAddr,
+        /// Why not.
+        error: io::Error,
+    },
+    /// The quotas do not fit the configuration.
+    #[error(transparent)]
+    Quota(#[from] quota::SettingsError),
+}
+
 impl EnabledFeatures {
     /// Opens what the features need, and sets the descriptors for it aside.
-    pub fn open(features: Features, config: &mut Config) -> Result<EnabledFeatures, String> {
-        let status = features.status.and_then(|status| Some((status.listen_port?, status.refresh)));
-        let status = status.map(|(port, refresh)| {
-            let address = SocketAddr::new(config.listen.ip(), port);
-            let listener =
-                front::listen(address).map_err(|e| format!("[status] listen_port: {address}: {e}"))?;
-            Ok::<_, String>(StatusServer::new(listener, refresh))
-        });
-        let status = status.transpose()?;
-        let (audit, capture) = (features.audit.as_ref(), features.capture.as_ref());
-        if features.access.is_some() {
-            output::name_clients();
-        }
-        // What these write must not wait for whoever reads it, nor keep the log waiting. Capture writes nothing before
-        // its first dump.
-        if features.access.is_some() || audit.is_some() || features.log.is_some() {
-            output::start().map_err(|e| e.to_string())?;
-        }
-        let trail = audit.map(Trail::open).transpose().map_err(|e| e.to_string())?;
-        let dumps = capture.map(|capture| {
-            if let Some(dir) = &capture.dir {
-                fs::create_dir_all(dir).map_err(|e| format!("[capture] {}: {e}", dir.display()))?;
-            }
-            let asked = signal(SignalKind::user_defined1()).map_err(|e| format!("[capture] {e}"))?;
-            Ok::<_, String>(Dumps::new(asked, capture.dir.clone()))
-        });
-        let recorder = capture.map(|capture| Rc::new(RefCell::new(Recorder::new(capture, config.seed))));
-        let cluster = features.peers.as_ref().map_or("", |peers| peers.cluster.as_str());
-        let memory = features.snapshot.as_ref().map(|state| SnapshotStore::open(state, cluster, config));
-        let memory = memory.transpose().map_err(|e| format!("[state]: no thread for it: {e}"))?;
-        let (memory, recollection) = memory.unzip();
-        let mut recollection = recollection.flatten();
-        let peers = features.peers.map(|settings| {
-            let name = Name::new(&config.name).map_err(|e| format!("[peers] name {:?}: {e}", config.name))?;
-            let at = settings.listen;
-            // New with each start, and not the module's: what peers do must not shift its draws.
-            Peers::bind(settings, name, !config.seed).map_err(|e| format!("[peers] listen: {at}: {e}"))
-        });
-        let peers = peers.transpose()?;
-        let work = features.maintenance.zip(peers.clone()).map(|(mut settings, peers)| {
-            let longest = config.settings.classes.iter().map(|class| class.deadline).max();
-            settings.config.max_call_duration = longest.unwrap_or(settings.config.max_call_duration);
-            let disk = memory.as_ref().map(|memory| memory.application("turns", recollection.as_mut()));
-            MaintenanceService::start(settings, peers, config.seed.rotate_left(32), disk)
+    ///
+    /// # Errors
+    ///
+    /// The first feature that cannot be opened.
+    pub fn open(features: Features, config: &mut Config) -> Result<EnabledFeatures, OpenError> {
+        let status = open_status(features.status, config)?;
+        open_output(&features)?;
+        let trail = features.audit.as_ref().map(Trail::open).transpose()?;
+        let capture_dumps = features.capture.as_ref().map(open_dumps).transpose();
+        let capture_ring = features.capture.as_ref().map(|capture| Recorder::new(capture, config.seed));
+        let (snapshot, mut recovered) = open_snapshot(&features, config)?;
+        let peers = features.peers.map(|settings| bind_peers(settings, config)).transpose()?;
+        let maintenance = features.maintenance.zip(peers.clone()).map(|(settings, peers)| {
+            let store =
+                snapshot.as_ref().map(|store| store.application(MAINTENANCE_PART, recovered.as_mut()));
+            start_maintenance(settings, config, peers, store)
         });
-        let (access, dumps, board) = (features.access, dumps.transpose()?, StatusRecorder::default());
-        let hosts = (work.is_some() || features.quota.is_some()).then(HostMonitor::default);
-        let shares = None;
-        let mut side = EnabledFeatures {
+        let needs_hosts = maintenance.is_some() || features.quota.is_some();
+        let mut enabled = EnabledFeatures {
             status,
-            status_recorder: board,
+            status_recorder: StatusRecorder::default(),
             trail,
-            capture_ring: recorder,
+            capture_ring: capture_ring.map(|ring| Rc::new(RefCell::new(ring))),
+            capture_dumps: capture_dumps?,
             peers,
-            maintenance: work,
-            hosts,
-            quota: shares,
-            snapshot: memory,
-            access,
-            capture_dumps: dumps,
+            maintenance,
+            hosts: needs_hosts.then(HostMonitor::default),
+            quota: None,
+            snapshot,
+            access: features.access,
         };
-        config.side_descriptors = side.descriptors();
-        let shares = features.quota.map(|settings| {
-            let disk =
-                side.snapshot.as_ref().map(|memory| memory.application("shares", recollection.as_mut()));
-            Quota::open(settings, config, side.peers.clone(), disk)
+        // Before the quotas are opened: their queues are bounded by the connections that are left.
+        config.side_descriptors = enabled.descriptors();
+        let quota = features.quota.map(|settings| {
+            let store = enabled.snapshot.as_ref();
+            let store = store.map(|store| store.application(QUOTA_PART, recovered.as_mut()));
+            Quota::open(settings, config, enabled.peers.clone(), store)
         });
-        side.quota = shares.transpose().map_err(|error| error.to_string())?;
-        Ok(side)
+        enabled.quota = quota.transpose()?;
+        Ok(enabled)
     }
 
     fn descriptors(&self) -> usize {
@@ -140,3 +171,65 @@
         [board, trail, ring, known, memory].into_iter().flatten().collect()
     }
 }
+
+fn open_status(
+    settings: Option<status::Settings>,
+    config: &Config,
+) -> Result<Option<StatusServer>, OpenError> {
+    let Some(settings) = settings else { return Ok(None) };
+    let Some(port) = settings.listen_port else { return Ok(None) };
+    let address = SocketAddr::new(config.listen.ip(), port);
+    let listener = front::listen(address).map_err(|error| OpenError::Status { address, error })?;
+    Ok(Some(StatusServer::new(listener, settings.refresh)))
+}
+
+/// Starts the thread that writes the log, where a feature writes much: it must not wait for whoever reads it, nor keep
+/// the log waiting. Capture writes nothing before its first dump.
+fn open_output(features: &Features) -> Result<(), OpenError> {
+    if features.access.is_some() {
+        output::name_clients();
+    }
+    if features.access.is_some() || features.audit.is_some() || features.log.is_some() {
+        output::start().map_err(OpenError::Output)?;
+    }
+    Ok(())
+}
+
+fn open_dumps(settings: &capture::Settings) -> Result<Dumps, OpenError> {
+    if let Some(directory) = &settings.dir {
+        fs::create_dir_all(directory)
+            .map_err(|error| OpenError::CaptureDirectory { directory: directory.clone(), error })?;
+    }
+    let requested = signal(SignalKind::user_defined1()).map_err(OpenError::CaptureSignal)?;
+    Ok(Dumps::new(requested, settings.dir.clone()))
+}
+
+fn open_snapshot(
+    features: &Features,
+    config: &mut Config,
+) -> Result<(Option<SnapshotStore>, Option<RecoveredState>), OpenError> {
+    let Some(settings) = &features.snapshot else { return Ok((None, None)) };
+    let cluster = features.peers.as_ref().map_or("", |peers| peers.cluster.as_str());
+    let (store, recovered) = SnapshotStore::open(settings, cluster, config).map_err(OpenError::Snapshot)?;
+    Ok((Some(store), recovered))
+}
+
+fn bind_peers(settings: flaxhead_peers::Settings, config: &Config) -> Result<Peers, OpenError> {
+    let name =
+        Name::new(&config.name).map_err(|error| OpenError::PeerName { name: config.name.clone(), error })?;
+    let address = settings.listen;
+    // New with each start, and derived: what peers do must not shift the module's random draws.
+    let seed = !config.seed;
+    Peers::bind(settings, name, seed).map_err(|error| OpenError::Peers { address, error })
+}
+
+fn start_maintenance(
+    mut settings: flaxhead_maintenance_driver::Settings,
+    config: &Config,
+    peers: Peers,
+    store: Option<StateStore<Maintenance>>,
+) -> MaintenanceService {
+    let longest = config.settings.classes.iter().map(|class| class.deadline).max();
+    settings.config.max_call_duration = longest.unwrap_or(settings.config.max_call_duration);
+    MaintenanceService::start(settings, peers, config.seed.rotate_left(32), store)
+}
--- a/proxy/src/features/hosts/tests.rs
+++ b/proxy/src/features/hosts/tests.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn a_zone_counts_as_lost_where_all_of_its_hosts_that_were_tried_failed_last() {
-    let mut board = Observations::default();
+    let mut observations = Observations::default();
     let hosts = (0..4_u32).map(|n| Endpoint {
         host: format!("h{n}"),
         dial: ([127, 0, 0, 1], 1).into(),
@@ -17,16 +17,16 @@
     });
     let list = EndpointList { seq: 1, whole: true, hosts: hosts.collect() };
     let servers: Vec<ServerId> = (0..4).map(ServerId).collect();
-    board.listed(&list, &servers);
+    observations.record_list(&list, &servers);
     for server in [0, 1, 2] {
-        board.ended(ServerId(server), Outcome::NoConnection);
+        observations.record_outcome(ServerId(server), Outcome::NoConnection);
     }
-    assert_eq!(board.lost().into_iter().collect::<Vec<_>>(), ["a"]);
-    board.ended(ServerId(1), Outcome::Served);
-    assert!(board.lost().is_empty());
+    assert_eq!(observations.lost_zones().into_iter().collect::<Vec<_>>(), ["a"]);
+    observations.record_outcome(ServerId(1), Outcome::Served);
+    assert!(observations.lost_zones().is_empty());
     // And one whose hosts have all left the list, though nothing failed there.
     let gone = |host: Endpoint| Endpoint { health: Health::Terminating, ..host };
     let hosts: Vec<Endpoint> = list.hosts.into_iter().skip(2).map(gone).collect();
-    board.listed(&EndpointList { seq: 2, whole: false, hosts }, &servers[2..]);
-    assert_eq!(board.lost().into_iter().collect::<Vec<_>>(), ["b"]);
+    observations.record_list(&EndpointList { seq: 2, whole: false, hosts }, &servers[2..]);
+    assert_eq!(observations.lost_zones().into_iter().collect::<Vec<_>>(), ["b"]);
 }
--- a/proxy/src/features/maintenance/tests.rs
+++ b/proxy/src/features/maintenance/tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `work`.
+//! Unit tests of `maintenance`.
 
 use super::GatedSource;
 use crate::features::Features;
@@ -7,9 +7,9 @@
 fn what_would_never_work_ends_the_start_with_its_line() {
     let peers = "[peers]\nlisten = 10.0.0.4:7946\ncluster = a\nnetworks = 10.0.0.0/8\n";
     let good = format!("{peers}[work]\nvoters = a, b, c\nhosts = 2\nlease_ms = 2000\nmargin_percent = 50\n");
-    let work = Features::parse(&good).expect("good").maintenance.expect("on");
+    let settings = Features::parse(&good).expect("good").maintenance.expect("on");
     assert_eq!(
-        (work.scheduler.limits.max_total, work.scheduler.limits.load_margin, work.config.lease),
+        (settings.scheduler.limits.max_total, settings.scheduler.limits.load_margin, settings.config.lease),
         (2, 500, 2_000_000)
     );
     let cases = [
--- a/proxy/src/features/quota/participant.rs
+++ b/proxy/src/features/quota/participant.rs
@@ -77,19 +77,20 @@
 
 impl Participant<QuotaApplication> for QuotaParticipant {
     fn facts(&self) -> Vec<HostCapacity> {
-        let capacity = |HostCondition { endpoint, failing, warmth, size }: HostCondition<'_>| HostCapacity {
-            ready: endpoint.health == Health::Ready,
-            failing,
-            warmth,
-            size,
+        let capacity = |HostCondition { endpoint, failing, warmth, weight }: HostCondition<'_>| {
+            HostCapacity { ready: endpoint.health == Health::Ready, failing, warmth, size: weight }
         };
-        self.known.facts(&self.engine, capacity).collect()
+        self.known.conditions(&self.engine, capacity)
     }
 
     fn before_step(&self, application: &mut QuotaApplication) {
         let now = self.clock.get().map_or(0, Clock::now);
-        let (attempts, rejected_by_hosts) = self.known.attempts();
-        let usage = Usage { tenants: self.queues.usage(), attempts, rejected_by_hosts };
+        let totals = self.known.take_attempt_totals();
+        let usage = Usage {
+            tenants: self.queues.usage(),
+            attempts: totals.ended,
+            rejected_by_hosts: totals.rejected,
+        };
         self.queues.usage_reported();
         application.set_usage(now, usage);
         // What was granted takes effect before the next report confirms it.
--- a/proxy/src/features/snapshot/tests.rs
+++ b/proxy/src/features/snapshot/tests.rs
@@ -1,8 +1,11 @@
-//! Unit tests of `state`.
+//! Unit tests of `snapshot`.
 
+use super::list::{StoredList, LIST_FORMAT, LIST_PART};
 use super::*;
 use crate::features::sections::assert_refused;
 use crate::features::Features;
+use flaxhead_engine::{Endpoint, Health};
+use std::borrow::Cow;
 
 #[test]
 fn a_folder_and_an_age_are_all_that_it_takes() {
--- a/proxy/src/lib.rs
+++ b/proxy/src/lib.rs
@@ -1,4 +1,4 @@
-//! The daemon flaxhead, a client proxy: it takes an application's requests over HTTP/1.1 and passes each to a host of
+//! The daemon flaxhead, a client proxy: it takes an application's requests over HTTP/1.1 and forwards each to a host of
 //! a fleet, as the decision module `flaxhead_policy` says.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -16,10 +16,12 @@
 use config::Config;
 use enabled_features::EnabledFeatures;
 use features::maintenance::{EngineHosts, GatedSource};
+use features::snapshot::SnapshotStore;
 use features::status::StatusSources;
 use flaxhead_discovery::Discovery;
-use flaxhead_engine::{spawn, Engine, EngineConfig, ListSource};
+use flaxhead_engine::{spawn, EndpointList, Engine, EngineConfig, ListSource, Task};
 use flaxhead_maintenance_driver::MaintenanceService;
+use flaxhead_peers::Peers;
 use http::front::{self, Driver};
 use http::Http;
 use std::future::Future;
@@ -30,90 +32,140 @@
 use tokio::sync::{oneshot, watch};
 use tokio::task::spawn_local;
 
-/// How long a stop waits for its last lines to be written.
-const LAST_LINES: Duration = Duration::from_millis(500);
+/// How long a stop waits for the last log lines to be written.
+const LAST_LINES_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Serves until `stop` is done and all that was taken is answered, with the list that is watched at the last
-/// address in `discovery` and the features of `side`. Runs inside a [`tokio::task::LocalSet`].
+/// Serves until `stop` is done and all requests that were taken have their response, with the endpoint list that is watched
+/// at the last address in `discovery`. Runs inside a [`tokio::task::LocalSet`].
 pub async fn run(
     config: Config,
-    side: EnabledFeatures,
+    mut features: EnabledFeatures,
     listener: TcpListener,
-    mut discovery: watch::Receiver<SocketAddr>,
+    discovery: watch::Receiver<SocketAddr>,
     stop: impl Future<Output = ()>,
 ) {
-    let Config { seed, connect_timeout, conn_idle, .. } = config;
-    let mut known = config.known.clone();
-    let transport = Http::new(config.connections_each_way(), connect_timeout, conn_idle);
-    // Where hosts are taken out for work, a proxy sends to none before it knows which are to be left alone.
-    let open = side.maintenance.as_ref().map(MaintenanceService::may_serve);
-    // Of the seed, and not the module's: when a silent watch is opened again must not shift its draws.
-    let (ask, watch_seed) = (config.settings.ask, seed.rotate_left(16));
-    let watched = move |address| match ask {
-        true => Discovery::shared(address, watch_seed),
-        false => Discovery::local_agent(address, watch_seed),
-    };
-    let source: Rc<dyn ListSource> = match &open {
-        Some(open) => {
-            Rc::new(GatedSource::new(watched(config.discovery), open.clone(), known.take(), watch_seed))
-        }
-        None => Rc::new(watched(config.discovery)),
-    };
-    let setup = EngineConfig { seed, settings: config.settings.clone(), known };
-    let engine = Engine::start(setup, transport, source, side.observers(), None);
-    let (trail, ring, board) = (side.trail, side.capture_ring, side.status_recorder);
-    let _dumps = side.capture_dumps.zip(ring).map(|(dumps, ring)| spawn(dumps.serve(ring)));
-    let classes = config.classes.clone();
-    let work = side.maintenance.clone();
-    let _work = side.maintenance.zip(side.hosts.clone()).map(|(work, known)| {
-        let fleet = Rc::new(EngineHosts::new(engine.clone(), known, trail.clone()));
-        spawn(async move { work.serve(fleet).await })
-    });
-    let queues = side.quota.as_ref().map(|shares| shares.queues.clone());
-    let _shares = side.quota.clone().zip(side.hosts).map(|(shares, known)| {
-        let engine = engine.clone();
-        spawn(async move { shares.serve(engine, known).await })
-    });
-    let shown = StatusSources { peers: side.peers.clone(), maintenance: work, quota: side.quota };
-    let _status = side.status.map(|page| spawn(page.serve(engine.clone(), board, classes, shown)));
-    let _peers = side.peers.clone().map(|peers| spawn(async move { peers.serve().await }));
-    let (moving, memory) = (engine.clone(), side.snapshot.clone());
-    let _moving = spawn(async move {
-        while discovery.changed().await.is_ok() {
-            let address = *discovery.borrow_and_update();
-            tracing::info!("discovery is at {address}");
-            memory.iter().for_each(|memory| memory.set_discovery(address));
-            moving.watch_at(match &open {
-                Some(open) => Rc::new(GatedSource::new(watched(address), open.clone(), None, watch_seed)),
-                None => Rc::new(watched(address)),
-            });
-        }
-    });
+    let sources = ListSources::new(&config, &features);
+    let engine = start_engine(&config, &features, &sources);
+    let tasks = spawn_features(&config, &mut features, &engine);
+    let snapshot = features.snapshot.clone();
+    let following = spawn(follow_discovery(discovery, engine.clone(), sources, snapshot.clone()));
+    let queues = features.quota.as_ref().map(|quota| quota.queues.clone());
     let driver = Driver { engine: engine.clone(), config: Rc::new(config), queues };
-    // Peers hear of the stop while what was taken is answered.
-    let (told, stopping) = oneshot::channel::<()>();
-    let leaving = side.peers.map(|peers| {
-        spawn_local(async move {
-            if stopping.await.is_ok() {
-                peers.leave().await;
-            }
-        })
-    });
+    // Peers learn of the stop while what was taken is answered.
+    let (stopping, stopped) = oneshot::channel::<()>();
+    let leaving = features.peers.map(|peers| spawn_local(leave(peers, stopped)));
     let stop = async move {
         stop.await;
         // Nobody listens where there are no peers.
-        let _ = told.send(());
+        let _ = stopping.send(());
     };
-    front::serve(listener, driver, side.access, stop).await;
+    front::serve(listener, driver, features.access, stop).await;
     if let Some(leaving) = leaving {
         let _ = leaving.await;
     }
     engine.log_counts();
-    if let Some(trail) = trail {
+    if let Some(trail) = features.trail {
         trail.close().await;
     }
-    if let Some(memory) = side.snapshot {
-        memory.close();
+    if let Some(snapshot) = snapshot {
+        snapshot.close();
+    }
+    output::flush(LAST_LINES_TIMEOUT).await;
+    drop((tasks, following));
+}
+
+/// Makes list sources, as the settings and features have them.
+struct ListSources {
+    is_shared: bool,
+    seed: u64,
+    /// Where hosts are drained for maintenance, a proxy sends to none before it knows which are excluded.
+    gate: Option<watch::Receiver<bool>>,
+}
+
+impl ListSources {
+    fn new(config: &Config, features: &EnabledFeatures) -> ListSources {
+        ListSources {
+            is_shared: config.settings.ask,
+            // Derived, so that when a silent watch is opened again does not shift the module's random draws.
+            seed: config.seed.rotate_left(16),
+            gate: features.maintenance.as_ref().map(MaintenanceService::may_serve),
+        }
+    }
+
+    /// A source at an address. Behind the gate, if there is one, `known` comes first.
+    fn source(&self, address: SocketAddr, known: Option<EndpointList>) -> Rc<dyn ListSource> {
+        let discovery = match self.is_shared {
+            true => Discovery::shared(address, self.seed),
+            false => Discovery::local_agent(address, self.seed),
+        };
+        match &self.gate {
+            Some(gate) => Rc::new(GatedSource::new(discovery, gate.clone(), known, self.seed)),
+            None => Rc::new(discovery),
+        }
+    }
+}
+
+fn start_engine(config: &Config, features: &EnabledFeatures, sources: &ListSources) -> Engine<Http> {
+    let transport = Http::new(config.connections_each_way(), config.connect_timeout, config.conn_idle);
+    // Behind a gate the source has the known list, and the engine starts without one.
+    let (gated, known) = match sources.gate {
+        Some(_) => (config.known.clone(), None),
+        None => (None, config.known.clone()),
+    };
+    let source = sources.source(config.discovery, gated);
+    let setup = EngineConfig { seed: config.seed, settings: config.settings.clone(), known };
+    Engine::start(setup, transport, source, features.observers(), None)
+}
+
+/// Starts the features' tasks, which run until they are dropped.
+fn spawn_features(config: &Config, features: &mut EnabledFeatures, engine: &Engine<Http>) -> Vec<Task> {
+    let mut tasks = Vec::new();
+    if let (Some(ring), Some(dumps)) = (&features.capture_ring, features.capture_dumps.take()) {
+        tasks.push(spawn(dumps.serve(ring.clone())));
+    }
+    if let (Some(maintenance), Some(monitor)) = (features.maintenance.clone(), features.hosts.clone()) {
+        let hosts = Rc::new(EngineHosts::new(engine.clone(), monitor, features.trail.clone()));
+        tasks.push(spawn(async move { maintenance.serve(hosts).await }));
+    }
+    if let (Some(quota), Some(monitor)) = (features.quota.clone(), features.hosts.clone()) {
+        let engine = engine.clone();
+        tasks.push(spawn(async move { quota.serve(engine, monitor).await }));
+    }
+    if let Some(status) = features.status.take() {
+        let sources = StatusSources {
+            peers: features.peers.clone(),
+            maintenance: features.maintenance.clone(),
+            quota: features.quota.clone(),
+        };
+        let recorder = features.status_recorder.clone();
+        tasks.push(spawn(status.serve(engine.clone(), recorder, config.classes.clone(), sources)));
+    }
+    if let Some(peers) = features.peers.clone() {
+        tasks.push(spawn(async move { peers.serve().await }));
+    }
+    tasks
+}
+
+/// Watches the list wherever discovery moves to.
+async fn follow_discovery(
+    mut discovery: watch::Receiver<SocketAddr>,
+    engine: Engine<Http>,
+    sources: ListSources,
+    snapshot: Option<SnapshotStore>,
+) {
+    while discovery.changed().await.is_ok() {
+        let address = *discovery.borrow_and_update();
+        tracing::info!("discovery is at {address}");
+        if let Some(snapshot) = &snapshot {
+            snapshot.set_discovery(address);
+        }
+        engine.watch_at(sources.source(address, None));
+    }
+}
+
+/// Tells the peers that this process leaves, once it is told to stop.
+async fn leave(peers: Peers, stopped: oneshot::Receiver<()>) {
+    if stopped.await.is_ok() {
+        peers.leave().await;
     }
-    output::flush(LAST_LINES).await;
 }
--- a/proxy/src/program.rs
+++ b/proxy/src/program.rs
@@ -2,7 +2,7 @@
 //! on SIGTERM, or checks and replays what one has written.
 
 use crate::config::{self, Config};
-use crate::enabled_features::EnabledFeatures;
+use crate::enabled_features::{self, EnabledFeatures};
 use crate::features::audit::{self, Actor, Verdict};
 use crate::features::capture::replay::{self, Line, Report};
 use crate::features::{self, Features};
@@ -211,8 +211,8 @@
     #[error("{at}: {reason}")]
     Listen { at: SocketAddr, reason: io::Error },
     /// A feature that is on cannot be opened.
-    #[error("{0}")]
-    Side(Box<dyn std::error::Error>),
+    #[error(transparent)]
+    Feature(#[from] enabled_features::OpenError),
 }
 
 /// Runs the proxy, until it is told to stop.
@@ -227,10 +227,9 @@
         let (moved, discovery) = watch::channel(config.discovery);
         let at = config.listen;
         let listener = front::listen(at).map_err(|reason| Error::Listen { at, reason })?;
-        let side =
-            EnabledFeatures::open(features, &mut config).map_err(|reason| Error::Side(reason.into()))?;
+        let features = EnabledFeatures::open(features, &mut config)?;
         let note = {
-            let trail = side.trail.clone();
+            let trail = features.trail.clone();
             move |event, actor, detail: &str| trail.iter().for_each(|trail| trail.note(event, actor, detail))
         };
         let version = env!("CARGO_PKG_VERSION");
@@ -252,7 +251,7 @@
             terminate.recv().await;
             note("sigterm", Actor::Operator, "told to stop");
         };
-        crate::run(config, side, listener, discovery, stop).await;
+        crate::run(config, features, listener, discovery, stop).await;
         // What is left are tasks without a client: timers, the watch, idle connections.
         Ok(())
     })
--- a/proxy/tests/status.rs
+++ b/proxy/tests/status.rs
@@ -119,7 +119,7 @@
         let mut config = Config::parse(&config).expect("good");
         let all = config.connections_each_way();
         let features = Features::parse(&format!("[status]\nlisten_port = {port}\n")).expect("good");
-        let reason = EnabledFeatures::open(features, &mut config).expect_err("the port is taken");
+        let reason = EnabledFeatures::open(features, &mut config).expect_err("the port is taken").to_string();
         assert!(reason.contains("listen_port") && reason.contains("in use"), "{reason}");
         let side =
             EnabledFeatures::open(Features::parse("[status]\n").expect("good"), &mut config).expect("opened");
