--- a/proxy/src/enabled_features.rs
+++ b/proxy/src/enabled_features.rs
@@ -2,7 +2,7 @@
 
 use crate::config::Config;
 use crate::features::audit::{self, Trail};
-use crate::features::capture::{self, Dumps, Recorder, Watch};
+use crate::features::capture::{self, CaptureObserver, Dumps, Recorder};
 use crate::features::hosts::HostMonitor;
 use crate::features::quota::{self, Quota};
 use crate::features::snapshot::SnapshotStore;
@@ -165,7 +165,7 @@
         let board =
             self.status.as_ref().map(|_| Box::new(self.status_recorder.clone()) as Box<dyn Observer<Http>>);
         let trail = self.trail.as_ref().map(|trail| Box::new(trail.clone()) as _);
-        let ring = self.capture_ring.as_ref().map(|ring| Box::new(Watch::new(ring.clone())) as _);
+        let ring = self.capture_ring.as_ref().map(|ring| Box::new(CaptureObserver::new(ring.clone())) as _);
         let known = self.hosts.as_ref().map(|known| Box::new(known.clone()) as _);
         let memory = self.snapshot.as_ref().map(|memory| Box::new(memory.list_recorder()) as _);
         [board, trail, ring, known, memory].into_iter().flatten().collect()
--- a/proxy/src/features/access.rs
+++ b/proxy/src/features/access.rs
@@ -10,13 +10,13 @@
 use tokio::net::TcpStream;
 
 /// What the headers begin with.
-const V1: &[u8] = b"PROXY ";
-const V2: &[u8] = b"\r\n\r\n\0\r\nQUIT\n";
+const V1_PREFIX: &[u8] = b"PROXY ";
+const V2_PREFIX: &[u8] = b"\r\n\r\n\0\r\nQUIT\n";
 /// Longest header of version 1, its end of line included.
-const V1_MOST: usize = 107;
+const MAX_V1_BYTES: usize = 107;
 /// Bytes of version 2 before its addresses, and most bytes that are read of a header.
-const V2_HEAD: usize = 16;
-const V2_MOST: usize = 4 << 10;
+const V2_PREFIX_BYTES: usize = 16;
+const MAX_V2_BYTES: usize = 4 << 10;
 
 /// Takes the lists from the section.
 pub fn read(section: &mut Section) -> Result<Access, Problem> {
@@ -114,22 +114,22 @@
 }
 
 fn begin(bytes: &[u8]) -> Begin {
-    if bytes.starts_with(V1) {
+    if bytes.starts_with(V1_PREFIX) {
         return begin_v1(bytes);
     }
-    if bytes.starts_with(V2) {
+    if bytes.starts_with(V2_PREFIX) {
         return begin_v2(bytes);
     }
-    if V1.starts_with(bytes) || V2.starts_with(bytes) {
+    if V1_PREFIX.starts_with(bytes) || V2_PREFIX.starts_with(bytes) {
         return Begin::Unsure;
     }
     Begin::Request
 }
 
 fn begin_v1(bytes: &[u8]) -> Begin {
-    let line = &bytes[..bytes.len().min(V1_MOST)];
+    let line = &bytes[..bytes.len().min(MAX_V1_BYTES)];
     let Some(end) = line.windows(2).position(|pair| pair == b"\r\n") else {
-        return if line.len() < V1_MOST { Begin::Part } else { Begin::Bad };
+        return if line.len() < MAX_V1_BYTES { Begin::Part } else { Begin::Bad };
     };
     let (line, length) = (&line[..end + 2], end + 2);
     // Whatever follows that word up to the line's end says nothing.
@@ -145,11 +145,11 @@
 }
 
 fn begin_v2(bytes: &[u8]) -> Begin {
-    let Some((&[.., command, _, high, low], _)) = bytes.split_first_chunk::<V2_HEAD>() else {
+    let Some((&[.., command, _, high, low], _)) = bytes.split_first_chunk::<V2_PREFIX_BYTES>() else {
         return Begin::Part;
     };
-    let length = V2_HEAD + usize::from(u16::from_be_bytes([high, low]));
-    if length > V2_MOST {
+    let length = V2_PREFIX_BYTES + usize::from(u16::from_be_bytes([high, low]));
+    if length > MAX_V2_BYTES {
         return Begin::Bad;
     }
     let Some(header) = bytes.get(..length) else { return Begin::Part };
--- a/proxy/src/features/access/tests.rs
+++ b/proxy/src/features/access/tests.rs
@@ -4,7 +4,7 @@
 
 fn v2(command: u8, family: u8, payload: &[u8]) -> Vec<u8> {
     let length = (payload.len() as u16).to_be_bytes();
-    [V2, &[command, family], &length, payload].concat()
+    [V2_PREFIX, &[command, family], &length, payload].concat()
 }
 
 fn ip(text: &str) -> Option<IpAddr> {
@@ -43,7 +43,11 @@
 fn a_header_is_understood_in_pieces_and_what_follows_is_left_alone() {
     for (header, client) in headers() {
         for length in 0..header.len() {
-            let part = if header.starts_with(V1) { length >= V1.len() } else { length >= V2.len() };
+            let part = if header.starts_with(V1_PREFIX) {
+                length >= V1_PREFIX.len()
+            } else {
+                length >= V2_PREFIX.len()
+            };
             let part = if part { Begin::Part } else { Begin::Unsure };
             assert_eq!(begin(&header[..length]), part, "{length} of {header:?}");
         }
@@ -58,7 +62,7 @@
     for request in ["GET /", "POST /api", "PUT ", "PRO ", "PROXYING", "\r\nGET", "x"] {
         assert_eq!(begin(request.as_bytes()), Begin::Request, "{request}");
     }
-    let long = format!("PROXY TCP4 {}\r\n", "1".repeat(V1_MOST));
+    let long = format!("PROXY TCP4 {}\r\n", "1".repeat(MAX_V1_BYTES));
     let lines = [
         &long,
         "PROXY TCP4 10.8.3.4 10.0.0.1 40000\r\n",
@@ -81,9 +85,9 @@
         v2(0x21, 0x31, &[0; 215]),
         v2(0x21, 0x41, &[0; 12]),
         v2(0x21, 0x13, &[0; 12]),
-        v2(0x21, 0x11, &[0; V2_MOST]),
+        v2(0x21, 0x11, &[0; MAX_V2_BYTES]),
     ];
     for header in bad {
-        assert_eq!(begin(&header), Begin::Bad, "{:?}", &header[..V2_HEAD]);
+        assert_eq!(begin(&header), Begin::Bad, "{:?}", &header[..V2_PREFIX_BYTES]);
     }
 }
--- a/proxy/src/features/audit/chain.rs
+++ b/proxy/src/features/audit/chain.rs
@@ -8,9 +8,9 @@
 /// The `prev` of the first line.
 pub const FIRST_PREV: &str = "0000000000000000000000000000000000000000000000000000000000000000";
 /// Most characters of a detail: host names come from outside.
-const DETAIL_MOST: usize = 400;
+const MAX_DETAIL_CHARS: usize = 400;
 /// Longest line that is read; a written one is far shorter.
-pub(super) const LINE_MOST: usize = 16 << 10;
+pub(super) const MAX_LINE_BYTES: usize = 16 << 10;
 
 /// Who brought a change about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -34,7 +34,7 @@
 impl Change {
     pub(super) fn new(event: &'static str, actor: Actor, detail: &str) -> Change {
         let unix = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
-        let detail = detail.chars().take(DETAIL_MOST).collect();
+        let detail = detail.chars().take(MAX_DETAIL_CHARS).collect();
         Change { ts_ms: unix.as_millis() as u64, event, actor, detail }
     }
 }
--- a/proxy/src/features/audit/file.rs
+++ b/proxy/src/features/audit/file.rs
@@ -1,6 +1,6 @@
 //! Where the lines go: standard error, or a file that is gone on with where it was left.
 
-use super::chain::{Chain, Line, LINE_MOST};
+use super::chain::{Chain, Line, MAX_LINE_BYTES};
 use super::error::Unusable;
 use crate::output;
 use std::fs::{File, OpenOptions};
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 /// Pause after a failure to write, which space that is set free must end.
-const RETRY: Duration = Duration::from_millis(500);
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// Where the lines go.
 pub(super) enum Sink {
@@ -31,7 +31,7 @@
             failed = true;
             // A part of the line may stand there. If it cannot be taken back now, it can at the next start.
             let _ = file.set_len(*length);
-            thread::sleep(RETRY);
+            thread::sleep(RETRY_DELAY);
         }
         *length += line.len() as u64;
     }
@@ -42,7 +42,7 @@
     let mut file = OpenOptions::new().create(true).read(true).append(true).open(path)?;
     file.try_lock().map_err(Unusable::Held)?;
     let length = file.metadata()?.len();
-    let start = length.saturating_sub(2 * LINE_MOST as u64);
+    let start = length.saturating_sub(2 * MAX_LINE_BYTES as u64);
     let mut tail = Vec::new();
     file.seek(SeekFrom::Start(start))?;
     (&mut file).take(length - start).read_to_end(&mut tail)?;
--- a/proxy/src/features/audit/trail.rs
+++ b/proxy/src/features/audit/trail.rs
@@ -15,9 +15,9 @@
 use tokio::time::timeout;
 
 /// Changes that may wait to be written.
-const QUEUE: usize = 1_024;
+const MAX_QUEUED_CHANGES: usize = 1_024;
 /// How long a stop waits for what is still to be written.
-const STOP_MOST: Duration = Duration::from_secs(1);
+const STOP_TIMEOUT: Duration = Duration::from_secs(1);
 
 pub(super) enum Job {
     /// A change to write down.
@@ -51,7 +51,7 @@
                 opened.map_err(|reason| Error::File { path, reason })?
             }
         };
-        let (jobs, queued) = mpsc::channel(QUEUE);
+        let (jobs, queued) = mpsc::channel(MAX_QUEUED_CHANGES);
         let trail = Trail { jobs, lost: Arc::default() };
         let lost = trail.lost.clone();
         let record = move || record(queued, &lost, |change| sink.append(&chain.link(change)));
@@ -81,7 +81,7 @@
                 let _ = written.await;
             }
         };
-        if timeout(STOP_MOST, all).await.is_err() {
+        if timeout(STOP_TIMEOUT, all).await.is_err() {
             tracing::info!("audit: the trail could not be written to its end");
         }
     }
--- a/proxy/src/features/audit/verify.rs
+++ b/proxy/src/features/audit/verify.rs
@@ -1,6 +1,6 @@
 //! The check of a trail that was written.
 
-use super::chain::{Chain, Line, LINE_MOST};
+use super::chain::{Chain, Line, MAX_LINE_BYTES};
 use super::error::Break;
 use std::io::{self, BufRead, Read};
 
@@ -24,7 +24,7 @@
     let (mut lines, mut bytes) = (0, Vec::new());
     loop {
         bytes.clear();
-        (&mut trail).take(LINE_MOST as u64).read_until(b'\n', &mut bytes)?;
+        (&mut trail).take(MAX_LINE_BYTES as u64).read_until(b'\n', &mut bytes)?;
         if bytes.is_empty() {
             return Ok(Verdict::Whole(lines));
         }
--- a/proxy/src/features/bounds.rs
+++ b/proxy/src/features/bounds.rs
@@ -4,7 +4,7 @@
 
 /// Why a key cannot have its value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Unfit {
+pub enum ValueError {
     /// A folder without a name.
     #[error("no folder")]
     Folder,
@@ -23,32 +23,32 @@
 }
 
 /// A folder has a name.
-pub fn folder(dir: &impl AsRef<Path>) -> Result<(), Unfit> {
-    or(!dir.as_ref().as_os_str().is_empty(), Unfit::Folder)
+pub fn folder(dir: &impl AsRef<Path>) -> Result<(), ValueError> {
+    or(!dir.as_ref().as_os_str().is_empty(), ValueError::Folder)
 }
 
 /// A port is not 0.
-pub fn port(port: &u16) -> Result<(), Unfit> {
-    or(*port > 0, Unfit::Port)
+pub fn port(port: &u16) -> Result<(), ValueError> {
+    or(*port > 0, ValueError::Port)
 }
 
 /// A number is this or more.
-pub fn at_least(least: usize) -> impl Fn(&usize) -> Result<(), Unfit> {
-    move |number| or(*number >= least, Unfit::Under(least))
+pub fn at_least(least: usize) -> impl Fn(&usize) -> Result<(), ValueError> {
+    move |number| or(*number >= least, ValueError::Under(least))
 }
 
 /// A number is one of these or between them.
-pub fn within<T: Copy + Into<u64>>(least: T, most: T) -> impl Fn(&T) -> Result<(), Unfit> {
+pub fn within<T: Copy + Into<u64>>(least: T, most: T) -> impl Fn(&T) -> Result<(), ValueError> {
     let (least, most) = (least.into(), most.into());
-    move |number| or((least..=most).contains(&(*number).into()), Unfit::Outside(least, most))
+    move |number| or((least..=most).contains(&(*number).into()), ValueError::Outside(least, most))
 }
 
 /// A text is there, and no longer than so many bytes.
-pub fn bytes(most: usize) -> impl Fn(&String) -> Result<(), Unfit> {
-    move |text| or((1..=most).contains(&text.len()), Unfit::Bytes(most))
+pub fn bytes(most: usize) -> impl Fn(&String) -> Result<(), ValueError> {
+    move |text| or((1..=most).contains(&text.len()), ValueError::Bytes(most))
 }
 
-fn or(good: bool, unfit: Unfit) -> Result<(), Unfit> {
+fn or(good: bool, unfit: ValueError) -> Result<(), ValueError> {
     match good {
         true => Ok(()),
         false => Err(unfit),
--- a/proxy/src/features/capture/dumps.rs
+++ b/proxy/src/features/capture/dumps.rs
@@ -15,7 +15,7 @@
 use tokio::sync::oneshot;
 
 /// Bytes that a line of a dump stands for.
-const LINE: usize = 570;
+const BYTES_PER_LINE: usize = 570;
 
 /// Writes the ring out whenever the signal comes.
 #[derive(Debug)]
@@ -92,7 +92,7 @@
 /// One line at a time is on its way, so that the log keeps its place.
 fn write_lines(name: &str, bytes: &[u8]) {
     output::put_and_wait(output::format(&format!("{FOLLOWS}{name}"), None));
-    for part in bytes.chunks(LINE) {
+    for part in bytes.chunks(BYTES_PER_LINE) {
         output::put_and_wait(format!("{MARK}{}\n", STANDARD.encode(part)));
     }
 }
--- a/proxy/src/features/capture/mod.rs
+++ b/proxy/src/features/capture/mod.rs
@@ -16,11 +16,11 @@
 pub use form::Item;
 pub use ring::Recorder;
 use std::path::PathBuf;
-pub use watch::Watch;
+pub use watch::CaptureObserver;
 
 /// Most bytes that all buffers may take: the ring, and the file that a dump has in hand. What is left of 1 MB is
 /// for a dump's lines on their way.
-const BUFFERS_MOST: usize = 984_000;
+const MAX_BUFFER_BYTES: usize = 984_000;
 
 /// What `[capture]` holds.
 #[derive(Clone, Debug, PartialEq)]
@@ -40,7 +40,7 @@
         let file_kb = section.take_if("file_kb", at_least(8))?.unwrap_or(192);
         let dir = section.take_if("dir", folder)?;
         let all = files.checked_add(1).and_then(|all| all.checked_mul(file_kb)?.checked_mul(1 << 10));
-        if all.is_none_or(|all| all > BUFFERS_MOST) {
+        if all.is_none_or(|all| all > MAX_BUFFER_BYTES) {
             let reason =
                 format!("{files} files of {file_kb} KiB, and one more while they are dumped, pass 1 MB");
             return Err(section.problem(reason));
--- a/proxy/src/features/capture/watch.rs
+++ b/proxy/src/features/capture/watch.rs
@@ -8,27 +8,27 @@
 use std::rc::Rc;
 
 /// Most characters of what a client says: its headers may be far longer.
-const WORD_MOST: usize = 64;
+const MAX_HEADER_CHARS: usize = 64;
 
 /// What a client said in a header, cut to a bounded length.
-fn word(headers: &hyper::HeaderMap, name: &str) -> String {
+fn header_text(headers: &hyper::HeaderMap, name: &str) -> String {
     let value = headers.get(name).and_then(|value| value.to_str().ok()).unwrap_or_default();
-    value.chars().take(WORD_MOST).collect()
+    value.chars().take(MAX_HEADER_CHARS).collect()
 }
 
 /// Records what an engine does in a ring.
-pub struct Watch {
+pub struct CaptureObserver {
     ring: Rc<RefCell<Recorder>>,
 }
 
-impl Watch {
+impl CaptureObserver {
     /// Records into a ring.
-    pub fn new(ring: Rc<RefCell<Recorder>>) -> Watch {
-        Watch { ring }
+    pub fn new(ring: Rc<RefCell<Recorder>>) -> CaptureObserver {
+        CaptureObserver { ring }
     }
 }
 
-impl Observer<Http> for Watch {
+impl Observer<Http> for CaptureObserver {
     fn observe(&mut self, note: &EngineEvent<'_, Http>, view: &EngineView<'_, Http>) {
         let (mut ring, now) = (self.ring.borrow_mut(), view.now());
         if matches!(note, EngineEvent::HealthChanged { .. } | EngineEvent::AttemptEnded { .. }) {
@@ -40,14 +40,14 @@
                 Item::Host { server, host: name, dial }
             };
             let calls = view.calls().map(|open| {
-                let id = word(&open.request.headers, "x-call-id").into();
+                let id = header_text(&open.request.headers, "x-call-id").into();
                 Item::Open { call: open.call, id }
             });
             ring.open(now, view.settings(), view.balancer(), view.hosts().map(host).chain(calls));
         }
         match *note {
             EngineEvent::CallReceived { call, request, .. } => {
-                let word = |name| word(&request.headers, name);
+                let word = |name| header_text(&request.headers, name);
                 let budget_ms = word("x-budget-ms").parse().unwrap_or(0);
                 let [class, caller, id] =
                     ["x-call-class", "x-caller", "x-call-id"].map(|name| word(name).into());
--- a/proxy/src/features/quota/participant.rs
+++ b/proxy/src/features/quota/participant.rs
@@ -37,6 +37,7 @@
 }
 
 impl QuotaParticipant {
+    /// With these queues, for an engine that this monitor observes.
     pub fn new(queues: AdmissionQueues, known: HostMonitor, engine: Engine) -> QuotaParticipant {
         QuotaParticipant {
             queues,
--- a/proxy/src/http/exchange.rs
+++ b/proxy/src/http/exchange.rs
@@ -22,11 +22,11 @@
 use tokio::time::timeout;
 
 /// Most bytes of a body, either way.
-pub const BODY_MOST: usize = 64 << 10;
+pub const MAX_BODY_BYTES: usize = 64 << 10;
 /// Most bytes of a head that are kept.
-pub const HEAD_MOST: usize = 64 << 10;
+pub const MAX_HEAD_BYTES: usize = 64 << 10;
 /// Time for the rest of an answer that is not passed on; past it the connection is given up instead.
-const REST: Duration = Duration::from_millis(20);
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(20);
 
 /// Opens a TCP connection without Nagle's delay.
 pub async fn dial(address: SocketAddr) -> io::Result<TcpStream> {
@@ -51,7 +51,7 @@
         let stream = timeout(limit, dial(address)).await??;
         let meter = Rc::new(RefCell::new(WriteMeter::default()));
         let io = Metered { io: TokioIo::new(stream), meter: meter.clone() };
-        let (sender, connection) = http1::Builder::new().max_buf_size(HEAD_MOST).handshake(io).await?;
+        let (sender, connection) = http1::Builder::new().max_buf_size(MAX_HEAD_BYTES).handshake(io).await?;
         Ok(Connection { sender, meter, _task: spawn(connection), _slot: slot })
     }
 
@@ -63,7 +63,7 @@
 
 /// How an exchange ended.
 #[derive(Debug)]
-pub struct Done {
+pub struct Exchanged {
     /// How.
     pub outcome: Outcome,
     /// The host's report on its load.
@@ -74,10 +74,10 @@
     pub connection: Option<Connection>,
 }
 
-impl Done {
+impl Exchanged {
     /// One without an answer.
-    pub fn without_answer(outcome: Outcome) -> Done {
-        Done { outcome, load: Load::default(), answer: None, connection: None }
+    pub fn without_answer(outcome: Outcome) -> Exchanged {
+        Exchanged { outcome, load: Load::default(), answer: None, connection: None }
     }
 }
 
@@ -87,12 +87,12 @@
     mut connection: Connection,
     request: Request<Full<Bytes>>,
     meter: &WriteMeter,
-) -> Option<Done> {
+) -> Option<Exchanged> {
     connection.meter.replace(meter.clone());
     let response = match connection.sender.send_request(request).await {
         Ok(response) => response,
         Err(_) if meter.bytes_written() == 0 => return None,
-        Err(error) => return Some(Done::without_answer(broken(&error))),
+        Err(error) => return Some(Exchanged::without_answer(outcome_of_error(&error))),
     };
     let (head, body) = response.into_parts();
     let load = head
@@ -101,29 +101,29 @@
         .and_then(|v| v.to_str().ok())
         .map(flaxhead_settings::load_report)
         .unwrap_or_default();
-    let body = Limited::new(body, BODY_MOST).collect();
+    let body = Limited::new(body, MAX_BODY_BYTES).collect();
     let (outcome, answer, whole) = if head.status == StatusCode::OK {
         match body.await {
             Ok(body) => (Outcome::Served, Some(Response::from_parts(head, body.to_bytes())), true),
             // It has run, and what it said is lost.
             Err(error) => match error.downcast_ref::<hyper::Error>() {
-                Some(error) => (broken(error), None, false),
+                Some(error) => (outcome_of_error(error), None, false),
                 None => (Outcome::Unknown, None, false),
             },
         }
     } else {
         // The outcome is known: a rest that breaks or stalls must not change it.
-        let whole = matches!(timeout(REST, body).await, Ok(Ok(_)));
-        (refusal(head.status, &head.headers), None, whole)
+        let whole = matches!(timeout(DRAIN_TIMEOUT, body).await, Ok(Ok(_)));
+        (outcome_of_status(head.status, &head.headers), None, whole)
     };
     // Ready again before the outcome is told: else the next request would find no idle connection.
-    let again = whole && matches!(timeout(REST, connection.sender.ready()).await, Ok(Ok(())));
-    Some(Done { outcome, load, answer, connection: again.then_some(connection) })
+    let again = whole && matches!(timeout(DRAIN_TIMEOUT, connection.sender.ready()).await, Ok(Ok(())));
+    Some(Exchanged { outcome, load, answer, connection: again.then_some(connection) })
 }
 
 /// What an exchange proves that broke after writing. An answer that cannot be read is no reset, but the request
 /// may have run as well.
-fn broken(error: &hyper::Error) -> Outcome {
+fn outcome_of_error(error: &hyper::Error) -> Outcome {
     if error.is_parse() {
         Outcome::Unknown
     } else {
@@ -132,7 +132,7 @@
 }
 
 /// What an answer other than 200 proves.
-fn refusal(status: StatusCode, headers: &HeaderMap) -> Outcome {
+fn outcome_of_status(status: StatusCode, headers: &HeaderMap) -> Outcome {
     let unseen = headers.get("x-rejected").is_some_and(|v| v == "1");
     match status {
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if unseen => Outcome::TurnedAway,
--- a/proxy/src/http/front/activity.rs
+++ b/proxy/src/http/front/activity.rs
@@ -12,9 +12,9 @@
     /// A part of a request has come.
     Reading,
     /// A request has come whole, and its answer is owed.
-    Waiting,
+    Responding,
     /// Its last request was answered.
-    Resting,
+    Idle,
     /// No more is read from it as a request.
     Closing,
 }
@@ -25,7 +25,7 @@
     phase: Cell<Phase>,
     since: Cell<Instant>,
     received: Cell<Instant>,
-    asked: Cell<bool>,
+    has_had_request: Cell<bool>,
 }
 
 impl Activity {
@@ -36,7 +36,7 @@
             phase: Cell::new(Phase::New),
             since: Cell::new(now),
             received: Cell::new(now),
-            asked: Cell::new(false),
+            has_had_request: Cell::new(false),
         }
     }
 
@@ -57,13 +57,13 @@
     }
 
     /// Whether a request has ever come on it whole.
-    pub fn has_asked(&self) -> bool {
-        self.asked.get()
+    pub fn has_had_request(&self) -> bool {
+        self.has_had_request.get()
     }
 
     /// Notes that a request has come whole.
-    pub fn note_asked(&self) {
-        self.asked.set(true);
+    pub fn record_request(&self) {
+        self.has_had_request.set(true);
     }
 
     /// Notes what the connection does from now on.
@@ -76,9 +76,9 @@
     }
 
     /// Notes bytes of the client, and when they came.
-    pub fn heard(&self, at: Instant) {
+    pub fn record_received(&self, at: Instant) {
         self.received.set(at);
-        if matches!(self.phase(), Phase::New | Phase::Reading | Phase::Resting) {
+        if matches!(self.phase(), Phase::New | Phase::Reading | Phase::Idle) {
             self.enter(Phase::Reading);
         }
     }
--- a/proxy/src/http/front/answer.rs
+++ b/proxy/src/http/front/answer.rs
@@ -16,7 +16,7 @@
     Response::from_parts(head, Full::new(body))
 }
 
-pub(super) fn refused(code: StatusCode, after: Duration) -> Answer {
+pub(super) fn rejected(code: StatusCode, after: Duration) -> Answer {
     let mut answer = plain(code);
     let seconds = format!("{:.3}", after.as_secs_f64());
     answer
--- a/proxy/src/http/front/client_stream.rs
+++ b/proxy/src/http/front/client_stream.rs
@@ -19,13 +19,13 @@
 
 /// Most bytes that are read ahead of an open request. Clients send one request at a time: whoever sends more than this
 /// behind an unanswered one is none.
-const AHEAD_MOST: usize = 16 << 10;
+const MAX_READ_AHEAD_BYTES: usize = 16 << 10;
 /// Bytes that are read at once.
-const PIECE: usize = 4 << 10;
+const READ_BYTES: usize = 4 << 10;
 /// How long a connection that is being closed is still read, and how much: a close over unread bytes would reset it,
 /// and take the answer along that is still on its way.
-const LINGER: Duration = Duration::from_millis(200);
-const LINGER_MOST: usize = 256 << 10;
+const LINGER_TIME: Duration = Duration::from_millis(200);
+const MAX_LINGER_BYTES: usize = 256 << 10;
 
 #[derive(Debug)]
 struct Inner<S> {
@@ -56,7 +56,7 @@
 
 impl Linger {
     fn begin() -> Linger {
-        Linger { until: Box::pin(sleep(LINGER)), bytes_left: LINGER_MOST }
+        Linger { until: Box::pin(sleep(LINGER_TIME)), bytes_left: MAX_LINGER_BYTES }
     }
 }
 
@@ -82,19 +82,19 @@
     }
 
     /// Done once the client has gone, or behaves as no client does. Called only while its answer is owed.
-    pub fn poll_departed(&self, context: &mut Context<'_>) -> Poll<()> {
+    pub fn poll_disconnected(&self, context: &mut Context<'_>) -> Poll<()> {
         self.inner.borrow_mut().poll_ahead(context)
     }
 
     /// Whether bytes were read ahead that nobody has taken yet.
-    pub fn has_ahead(&self) -> bool {
+    pub fn has_read_ahead(&self) -> bool {
         !self.inner.borrow().ahead.is_empty()
     }
 
     /// Whether nothing of a further request is here: neither in hand nor waiting to be read.
     pub fn is_quiet(&self, context: &mut Context<'_>) -> bool {
         let mut inner = self.inner.borrow_mut();
-        let quiet = matches!(self.activity.phase(), Phase::New | Phase::Resting);
+        let quiet = matches!(self.activity.phase(), Phase::New | Phase::Idle);
         quiet && inner.poll_ahead(context).is_pending() && inner.ahead.is_empty()
     }
 }
@@ -102,8 +102,8 @@
 impl<S: AsyncRead + AsyncWrite + Unpin> Inner<S> {
     /// Reads ahead all that is there; done at the connection's end, or past the bound.
     fn poll_ahead(&mut self, context: &mut Context<'_>) -> Poll<()> {
-        while self.end.is_none() && self.ahead.len() < AHEAD_MOST {
-            let mut piece = [0; PIECE];
+        while self.end.is_none() && self.ahead.len() < MAX_READ_AHEAD_BYTES {
+            let mut piece = [0; READ_BYTES];
             let mut buffer = ReadBuf::new(&mut piece);
             match ready!(Pin::new(&mut self.stream).poll_read(context, &mut buffer)) {
                 Ok(()) if buffer.filled().is_empty() => self.end = Some(End::Closed),
@@ -124,7 +124,7 @@
         let Inner { stream, linger, .. } = self;
         let linger = linger.get_or_insert_with(Linger::begin);
         while linger.bytes_left > 0 && linger.until.as_mut().poll(context).is_pending() {
-            let mut piece = [0; PIECE];
+            let mut piece = [0; READ_BYTES];
             let mut buffer = ReadBuf::new(&mut piece);
             match ready!(Pin::new(&mut *stream).poll_read(context, &mut buffer)) {
                 Ok(()) if !buffer.filled().is_empty() => {
@@ -149,7 +149,7 @@
             let count = first.len().min(buffer.remaining());
             buffer.put_slice(&first[..count]);
             inner.ahead.drain(..count);
-            self.activity.heard(inner.ahead_since);
+            self.activity.record_received(inner.ahead_since);
             return Poll::Ready(Ok(()));
         }
         if let Some(end) = &mut inner.end {
@@ -161,7 +161,7 @@
         let before = buffer.filled().len();
         ready!(Pin::new(&mut inner.stream).poll_read(context, buffer))?;
         if buffer.filled().len() > before {
-            self.activity.heard(Instant::now());
+            self.activity.record_received(Instant::now());
         }
         Poll::Ready(Ok(()))
     }
--- a/proxy/src/http/front/clients.rs
+++ b/proxy/src/http/front/clients.rs
@@ -15,16 +15,16 @@
 
 /// How long a connection keeps its place from others that wait for one, by what it does. A client sends as it connects,
 /// and a fraction of a millisecond lies between the two: one that has said nothing for so long has nothing to say.
-const NEW_LEAST: Duration = Duration::from_millis(50);
+const MIN_NEW_AGE: Duration = Duration::from_millis(50);
 /// One that was answered so long ago has surely got its answer.
-const RESTING_LEAST: Duration = Duration::from_millis(250);
+const MIN_IDLE_AGE: Duration = Duration::from_millis(250);
 /// A request that is under way comes piece by piece, and nothing has come of this one for so long.
-const READING_LEAST: Duration = Duration::from_millis(500);
+const MIN_READING_AGE: Duration = Duration::from_millis(500);
 /// Time from a connection's start for its first request, whole: a peer that sends something else, or nothing, is
 /// closed. The terms allow 3 s.
-const FIRST_TIME: Duration = Duration::from_millis(2_500);
+const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Pause after a failure to accept, which descriptors that are set free must end.
-pub(super) const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
+pub(super) const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
 /// A client's connection.
 pub(super) struct Client {
@@ -34,14 +34,14 @@
 
 impl Client {
     /// How readily it gives up its place, the readiest first; `None`: it keeps it.
-    fn yields(&self) -> Option<(u8, Reverse<Duration>)> {
+    fn eviction_rank(&self) -> Option<(u8, Reverse<Duration>)> {
         let age = self.activity.age();
         let (rank, least) = match self.activity.phase() {
             Phase::Closing => (0, Duration::ZERO),
-            Phase::New => (1, NEW_LEAST),
-            Phase::Reading => (1, READING_LEAST),
-            Phase::Resting => (2, RESTING_LEAST),
-            Phase::Waiting => return None,
+            Phase::New => (1, MIN_NEW_AGE),
+            Phase::Reading => (1, MIN_READING_AGE),
+            Phase::Idle => (2, MIN_IDLE_AGE),
+            Phase::Responding => return None,
         };
         (age >= least).then_some((rank, Reverse(age)))
     }
@@ -59,24 +59,24 @@
 impl Clients {
     /// Waits until one more connection may be open. At the limit one without a request is closed, first of all one
     /// that has never had any: clients that keep connections and say nothing must not keep others out.
-    pub(super) async fn room(&mut self) {
-        while !self.has_room() {
-            let ready = self.open.iter().filter_map(|client| Some((client.yields()?, client)));
+    pub(super) async fn wait_for_capacity(&mut self) {
+        while !self.has_capacity() {
+            let ready = self.open.iter().filter_map(|client| Some((client.eviction_rank()?, client)));
             match ready.min_by_key(|(rank, _)| *rank) {
                 Some((_, client)) => client.task.abort(),
-                None => sleep(ACCEPT_PAUSE).await,
+                None => sleep(ACCEPT_RETRY_DELAY).await,
             }
             yield_now().await;
         }
     }
 
-    pub(super) fn has_room(&mut self) -> bool {
+    pub(super) fn has_capacity(&mut self) -> bool {
         self.open.retain(|client| !client.task.is_finished());
         self.open.len() < self.driver.config.connections_each_way()
     }
 
     /// Waits until no connection is open.
-    pub(super) async fn ended(&mut self) {
+    pub(super) async fn wait_for_all_closed(&mut self) {
         while let Some(client) = self.open.last_mut() {
             // One that was closed for its place has ended as well.
             let _ = (&mut client.task).await;
@@ -97,7 +97,7 @@
             driver: self.driver.clone(),
             activity: activity.clone(),
             stage: self.stage.subscribe(),
-            first_due: Instant::now() + FIRST_TIME,
+            first_due: Instant::now() + FIRST_REQUEST_TIMEOUT,
         };
         let task = spawn_local(async move {
             match access {
--- a/proxy/src/http/front/connection.rs
+++ b/proxy/src/http/front/connection.rs
@@ -1,12 +1,12 @@
 //! One client's connection, from its first byte to its end.
 
 use super::activity::{Activity, Phase};
-use super::answer::{plain, refused, served, Answer};
+use super::answer::{plain, rejected, served, Answer};
 use super::client_stream::ClientStream;
-use super::request::take_in;
+use super::request::read_request;
 use super::Driver;
 use crate::features::access::{self, Admitted};
-use crate::http::exchange::HEAD_MOST;
+use crate::http::exchange::MAX_HEAD_BYTES;
 use crate::http::{code, Reply};
 use flaxhead_policy::Access;
 use hyper::body::Incoming;
@@ -27,7 +27,7 @@
 use tokio::time::{timeout_at, Instant};
 
 /// Time for a further request's head, from the last answer: a client that says nothing more is closed.
-const HEAD_TIME: Duration = Duration::from_secs(60);
+const HEAD_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// How far the proxy's stop has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -73,11 +73,11 @@
         let service = service_fn(|request| async { Ok::<_, Infallible>(self.respond(request).await) });
         let connection = pin!(http1::Builder::new()
             .timer(TokioTimer::new())
-            .header_read_timeout(HEAD_TIME)
-            .max_buf_size(HEAD_MOST)
+            .header_read_timeout(HEAD_TIMEOUT)
+            .max_buf_size(MAX_HEAD_BYTES)
             .serve_connection(TokioIo::new(stream.clone()), service));
         let mut ended = pin!(self.until_ended(connection, stream));
-        if timeout_at(self.first_due, &mut ended).await.is_err() && self.activity.has_asked() {
+        if timeout_at(self.first_due, &mut ended).await.is_err() && self.activity.has_had_request() {
             ended.await;
         }
     }
@@ -94,7 +94,7 @@
             let _ = stage.wait_for(|stage| *stage != ShutdownStage::Serving).await;
         });
         let (mut stops, mut ends_soon) = (false, false);
-        let waits = || self.activity.phase() == Phase::Waiting;
+        let waits = || self.activity.phase() == Phase::Responding;
         let ended = poll_fn(|context| {
             stops = stops || stop.as_mut().poll(context).is_ready();
             // Once more where the library is not woken: for what was read ahead of it, or for a stop.
@@ -107,13 +107,13 @@
                 if connection.as_mut().poll(context).is_ready() {
                     return Poll::Ready(());
                 }
-                if waits() || !stream.has_ahead() && (ends_soon || !stops) {
+                if waits() || !stream.has_read_ahead() && (ends_soon || !stops) {
                     break;
                 }
             }
             // A connection that ends here ends its request's waiting, which tells the module.
             match waits() {
-                true => stream.poll_departed(context),
+                true => stream.poll_disconnected(context),
                 false => Poll::Pending,
             }
         });
@@ -124,7 +124,7 @@
     async fn respond(&self, request: Request<Incoming>) -> Answer {
         self.activity.enter(Phase::Reading);
         let answer = self.answer(request).await;
-        self.activity.enter(Phase::Resting);
+        self.activity.enter(Phase::Idle);
         answer
     }
 
@@ -138,7 +138,7 @@
     }
 
     fn health(&self) -> Answer {
-        self.activity.note_asked();
+        self.activity.record_request();
         plain(match self.driver.engine.is_ready() {
             true => StatusCode::OK,
             false => StatusCode::SERVICE_UNAVAILABLE,
@@ -148,27 +148,27 @@
     /// Hands a call to the engine, and tells its client what became of it.
     async fn call(&self, request: Request<Incoming>) -> Answer {
         let arrived = self.activity.received();
-        let (ask, forward) = match take_in(&self.driver, request, arrived).await {
+        let (ask, forward) = match read_request(&self.driver, request, arrived).await {
             Ok(taken) => taken,
             Err(status) => return plain(status),
         };
-        self.activity.note_asked();
-        self.activity.enter(Phase::Waiting);
+        self.activity.record_request();
+        self.activity.enter(Phase::Responding);
         if *self.stage.borrow() == ShutdownStage::Answered {
-            return refused(StatusCode::SERVICE_UNAVAILABLE, Duration::ZERO);
+            return rejected(StatusCode::SERVICE_UNAVAILABLE, Duration::ZERO);
         }
         // A client that goes meanwhile leaves its queue.
         let ticket = match &self.driver.queues {
             None => None,
             Some(queues) => match queues.admit(&ask).await {
                 Ok(ticket) => Some(ticket),
-                Err(after) => return refused(StatusCode::SERVICE_UNAVAILABLE, after),
+                Err(after) => return rejected(StatusCode::SERVICE_UNAVAILABLE, after),
             },
         };
         let reply = self.driver.engine.request(ask, forward, ticket).reply().await;
         match (code(&reply), reply) {
             (_, Reply::Served(answer)) => served(answer),
-            (code, Reply::Rejected(after)) => refused(code, after),
+            (code, Reply::Rejected(after)) => rejected(code, after),
             (code, Reply::Failed) => plain(code),
         }
     }
--- a/proxy/src/http/front/mod.rs
+++ b/proxy/src/http/front/mod.rs
@@ -10,7 +10,7 @@
 use super::Engine;
 use crate::config::Config;
 use crate::features::quota::AdmissionQueues;
-use clients::{Clients, ACCEPT_PAUSE};
+use clients::{Clients, ACCEPT_RETRY_DELAY};
 use connection::ShutdownStage;
 use flaxhead_policy::Access;
 use std::future::Future;
@@ -26,16 +26,16 @@
 /// Connections that may wait to be accepted.
 const BACKLOG: u32 = 1_024;
 /// How long new connections are still taken after the order to stop; they come for up to 0.4 s.
-const STOP_DELAY: Duration = Duration::from_millis(500);
+const STOP_ACCEPT_TIME: Duration = Duration::from_millis(500);
 /// The process may be killed once the longest deadline, and this at the most, and 0.7 s have passed since the order to
 /// stop.
-const STOP_DEADLINE_MOST: Duration = Duration::from_secs(3);
+const MAX_STOP_DEADLINE: Duration = Duration::from_secs(3);
 /// How long after the longest deadline what is still open is answered, so that the answers are out before that.
-const STOP_ANSWERS: Duration = Duration::from_millis(550);
+const STOP_ANSWER_DELAY: Duration = Duration::from_millis(550);
 /// Time for those answers.
-const STOP_FLUSH: Duration = Duration::from_millis(100);
+const STOP_FLUSH_TIMEOUT: Duration = Duration::from_millis(100);
 /// How long another connection that the machine has accepted is looked for: any time at all lets the system tell of it.
-const STOP_ACCEPT: Duration = Duration::from_millis(1);
+const LAST_ACCEPT_TIMEOUT: Duration = Duration::from_millis(1);
 
 /// What a front hands requests to, and what it checks them by.
 #[derive(Clone)]
@@ -66,19 +66,19 @@
     stop: impl Future<Output = ()>,
 ) {
     let access = access.map(Rc::new);
-    let longest = driver.config.longest_deadline().min(STOP_DEADLINE_MOST);
+    let longest = driver.config.longest_deadline().min(MAX_STOP_DEADLINE);
     let engine = driver.engine.clone();
     let mut clients =
         Clients { driver, access, stage: watch::Sender::new(ShutdownStage::Serving), open: Vec::new() };
     let mut stop = pin!(async {
         stop.await;
         let told = Instant::now();
-        sleep(STOP_DELAY).await;
+        sleep(STOP_ACCEPT_TIME).await;
         told
     });
     let told = loop {
         tokio::select! {
-            () = clients.room() => {}
+            () = clients.wait_for_capacity() => {}
             told = &mut stop => break told,
         }
         tokio::select! {
@@ -86,24 +86,24 @@
                 Ok((stream, peer)) => clients.serve(stream, peer.ip()),
                 Err(error) => {
                     tracing::info!("accept: {error}");
-                    sleep(ACCEPT_PAUSE).await;
+                    sleep(ACCEPT_RETRY_DELAY).await;
                 }
             },
             told = &mut stop => break told,
         }
     };
     // What the machine has accepted by now has been taken: closing the listener would reset it.
-    while clients.has_room() {
-        let Ok(Ok((stream, peer))) = timeout(STOP_ACCEPT, listener.accept()).await else { break };
+    while clients.has_capacity() {
+        let Ok(Ok((stream, peer))) = timeout(LAST_ACCEPT_TIMEOUT, listener.accept()).await else { break };
         clients.serve(stream, peer.ip());
     }
     drop(listener);
     clients.stage.send_replace(ShutdownStage::Closing);
     // Nothing that was taken goes without an answer, also where its client would wait for longer than the process lives.
-    if timeout_at(told + longest + STOP_ANSWERS, clients.ended()).await.is_err() {
+    if timeout_at(told + longest + STOP_ANSWER_DELAY, clients.wait_for_all_closed()).await.is_err() {
         clients.stage.send_replace(ShutdownStage::Answered);
         engine.answer_all();
         // Whoever has sent half a request by then, or does not read its answer, must not keep the process.
-        let _ = timeout(STOP_FLUSH, clients.ended()).await;
+        let _ = timeout(STOP_FLUSH_TIMEOUT, clients.wait_for_all_closed()).await;
     }
 }
--- a/proxy/src/http/front/request.rs
+++ b/proxy/src/http/front/request.rs
@@ -2,7 +2,7 @@
 
 use super::Driver;
 use crate::config::Config;
-use crate::http::exchange::BODY_MOST;
+use crate::http::exchange::MAX_BODY_BYTES;
 use crate::http::Forward;
 use flaxhead_engine::CallSpec;
 use flaxhead_policy::{ClassId, Repeat, TenantId};
@@ -14,22 +14,22 @@
 use tokio::time::{timeout_at, Instant};
 
 /// The part of a client's time that is kept for the answer's way back.
-const WAY_BACK: Duration = Duration::from_millis(10);
+const RESPONSE_MARGIN: Duration = Duration::from_millis(10);
 
 /// Reads a request whole. What cannot be used is turned away with a status; the module never sees it.
-pub(super) async fn take_in(
+pub(super) async fn read_request(
     driver: &Driver,
     request: Request<Incoming>,
     arrived: Instant,
 ) -> Result<(CallSpec, Forward), StatusCode> {
     let (head, body) = request.into_parts();
     let (mut ask, budget) =
-        ask(&driver.config, &head.method, &head.headers).ok_or(StatusCode::BAD_REQUEST)?;
-    ask.deadline = arrived + budget.saturating_sub(WAY_BACK);
-    if body.size_hint().lower() > BODY_MOST as u64 {
+        call_spec(&driver.config, &head.method, &head.headers).ok_or(StatusCode::BAD_REQUEST)?;
+    ask.deadline = arrived + budget.saturating_sub(RESPONSE_MARGIN);
+    if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
         return Err(StatusCode::PAYLOAD_TOO_LARGE);
     }
-    let body = match timeout_at(arrived + budget, Limited::new(body, BODY_MOST).collect()).await {
+    let body = match timeout_at(arrived + budget, Limited::new(body, MAX_BODY_BYTES).collect()).await {
         Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(error)) if error.is::<LengthLimitError>() => return Err(StatusCode::PAYLOAD_TOO_LARGE),
         Ok(Err(_)) => return Err(StatusCode::BAD_REQUEST),
@@ -42,9 +42,9 @@
 
 /// What the head says of a request; `None` if its id, class or budget is missing, double or unusable, or its method
 /// is not the class's: no client sends that, and a host would meet a request that is nobody's.
-fn ask(config: &Config, method: &Method, headers: &HeaderMap) -> Option<(CallSpec, Duration)> {
-    single(headers, "x-call-id").filter(|id| !id.is_empty())?;
-    let class = place(&config.classes, single(headers, "x-call-class")?)?;
+fn call_spec(config: &Config, method: &Method, headers: &HeaderMap) -> Option<(CallSpec, Duration)> {
+    single_value(headers, "x-call-id").filter(|id| !id.is_empty())?;
+    let class = position(&config.classes, single_value(headers, "x-call-class")?)?;
     let spec = config.settings.classes.get(class)?;
     let wanted = if spec.repeat == Repeat::Free { Method::GET } else { Method::POST };
     if *method != wanted {
@@ -52,13 +52,14 @@
     }
     // Without its key a keyed request would run again wherever it is sent again.
     if matches!(spec.repeat, Repeat::Guarded { .. }) {
-        single(headers, "idempotency-key").filter(|key| !key.is_empty())?;
+        single_value(headers, "idempotency-key").filter(|key| !key.is_empty())?;
     }
-    let budget = single(headers, "x-budget-ms")?.parse::<u32>().ok().filter(|ms| *ms > 0)?;
+    let budget = single_value(headers, "x-budget-ms")?.parse::<u32>().ok().filter(|ms| *ms > 0)?;
     // No client waits longer than its class: more would let a body that never ends keep its place for weeks.
     let budget = Duration::from_millis(budget.into()).min(Duration::from_micros(spec.deadline));
-    let tenant = single(headers, "x-caller").and_then(|name| place(&config.tenants, name)).map(TenantId);
-    let resent = single(headers, "x-again").is_some_and(|value| value == "1");
+    let tenant =
+        single_value(headers, "x-caller").and_then(|name| position(&config.tenants, name)).map(TenantId);
+    let resent = single_value(headers, "x-again").is_some_and(|value| value == "1");
     let ask = CallSpec {
         class: ClassId(class),
         tenant,
@@ -69,11 +70,11 @@
     Some((ask, budget))
 }
 
-fn place(names: &[String], name: &str) -> Option<usize> {
+fn position(names: &[String], name: &str) -> Option<usize> {
     names.iter().position(|known| known == name)
 }
 
-fn single<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+fn single_value<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     let mut values = headers.get_all(name).iter();
     values.next().filter(|_| values.next().is_none())?.to_str().ok()
 }
--- a/proxy/src/http/transport.rs
+++ b/proxy/src/http/transport.rs
@@ -1,7 +1,7 @@
 //! The transport to hosts: one request at a time on a connection, idle ones kept for the next.
 
-use super::exchange::{exchange, Connection, Done};
-use super::reuse::Reuse;
+use super::exchange::{exchange, Connection, Exchanged};
+use super::reuse::ReuseStats;
 use flaxhead_engine::{AttemptResult, AttemptTarget, Transport, WriteMeter};
 use flaxhead_policy::{Outcome, ServerId};
 use http_body_util::Full;
@@ -18,7 +18,7 @@
 use tokio::time::Instant;
 
 /// Share of the time for which hosts keep an idle connection, after which it is no longer used.
-const IDLE_PART: f64 = 0.9;
+const IDLE_FRACTION: f64 = 0.9;
 
 /// A client's request as hosts get it.
 #[derive(Debug)]
@@ -65,14 +65,14 @@
 #[derive(Debug)]
 struct Pools {
     hosts: HashMap<ServerId, Pool>,
-    reuse: Reuse,
+    reuse: ReuseStats,
     counts: Counts,
     /// One reference for each open connection to a host, and this one.
     slots: Rc<()>,
-    connections_most: usize,
+    max_connections: usize,
     connect_timeout: Duration,
     /// For how long a connection is kept idle: a request must not cross its host's close.
-    keep: Duration,
+    max_idle: Duration,
 }
 
 /// Connections to hosts.
@@ -85,12 +85,12 @@
     pub fn new(connections_most: usize, connect_timeout: Duration, conn_idle: Duration) -> Http {
         Http(Rc::new(RefCell::new(Pools {
             hosts: HashMap::new(),
-            reuse: Reuse::default(),
+            reuse: ReuseStats::default(),
             counts: Counts::default(),
             slots: Rc::default(),
-            connections_most,
+            max_connections: connections_most,
             connect_timeout,
-            keep: conn_idle.mul_f64(IDLE_PART),
+            max_idle: conn_idle.mul_f64(IDLE_FRACTION),
         })))
     }
 
@@ -100,13 +100,13 @@
         kept: Option<(Duration, Connection)>,
         forward: Rc<Forward>,
         meter: WriteMeter,
-    ) -> Done {
+    ) -> Exchanged {
         if let Some((idle, connection)) = kept {
             let done = exchange(connection, forward.request(target.until), &meter).await;
             let broken = done.as_ref().is_none_or(|done| done.outcome == Outcome::Reset);
             let mut pools = self.0.borrow_mut();
             pools.counts.broken_reuse += u64::from(broken);
-            pools.reuse.note(idle, broken);
+            pools.reuse.record(idle, broken);
             if let Some(done) = done {
                 return done;
             }
@@ -116,7 +116,7 @@
             let mut pools = self.0.borrow_mut();
             (pools.slot(), pools.connect_timeout)
         };
-        let Some(slot) = slot else { return Done::without_answer(Outcome::NotSent) };
+        let Some(slot) = slot else { return Exchanged::without_answer(Outcome::NotSent) };
         let opened = Connection::open(target.address, limit, slot).await;
         {
             let counts = &mut self.0.borrow_mut().counts;
@@ -126,7 +126,7 @@
             Ok(connection) => exchange(connection, forward.request(target.until), &meter).await,
             Err(_) => None,
         };
-        done.unwrap_or_else(|| Done::without_answer(Outcome::NoConnection))
+        done.unwrap_or_else(|| Exchanged::without_answer(Outcome::NoConnection))
     }
 }
 
@@ -153,14 +153,14 @@
         forward: &Rc<Forward>,
         meter: &WriteMeter,
     ) -> impl Future<Output = AttemptResult<Response<Bytes>>> + use<> + 'static {
-        let kept = self.0.borrow_mut().kept(&target);
+        let kept = self.0.borrow_mut().take_idle(&target);
         let (http, forward, meter) = (self.clone(), forward.clone(), meter.clone());
         async move {
-            let Done { outcome, load, answer, connection } =
+            let Exchanged { outcome, load, answer, connection } =
                 http.clone().attempt(target, kept, forward, meter).await;
             // Back before the outcome is told: else the call that it lets go would open another.
             if let Some(connection) = connection {
-                http.0.borrow_mut().keep(&target, connection);
+                http.0.borrow_mut().put_idle(&target, connection);
             }
             AttemptResult { outcome, load, answer }
         }
@@ -169,8 +169,11 @@
     /// Closes connections that have stood idle for nearly as long as hosts keep them.
     fn sweep(&self) {
         let pools = &mut *self.0.borrow_mut();
-        pools.reuse.forget();
-        pools.hosts.values_mut().for_each(|pool| pool.idle.retain(|(since, _)| since.elapsed() < pools.keep));
+        pools.reuse.decay();
+        pools
+            .hosts
+            .values_mut()
+            .for_each(|pool| pool.idle.retain(|(since, _)| since.elapsed() < pools.max_idle));
     }
 
     fn stats(&self) -> impl Debug {
@@ -195,18 +198,18 @@
 
 impl Pools {
     /// An idle connection that is fit for an attempt, and for how long it has been idle.
-    fn kept(&mut self, target: &AttemptTarget) -> Option<(Duration, Connection)> {
-        let Pools { hosts, reuse, keep, .. } = self;
+    fn take_idle(&mut self, target: &AttemptTarget) -> Option<(Duration, Connection)> {
+        let Pools { hosts, reuse, max_idle, .. } = self;
         let idle = &mut hosts.get_mut(&target.server)?.idle;
         // Old ones and those closed meanwhile are passed over.
-        idle.retain(|(since, connection)| since.elapsed() < *keep && connection.is_ready());
+        idle.retain(|(since, connection)| since.elapsed() < *max_idle && connection.is_ready());
         // A request that must not go again goes on no connection that may have been dropped without a sign.
         let fit = |since: &Instant| !target.single_shot || !reuse.is_stale(since.elapsed());
         let (since, connection) = idle.pop_if(|(since, _)| fit(since))?;
         Some((since.elapsed(), connection))
     }
 
-    fn keep(&mut self, target: &AttemptTarget, connection: Connection) {
+    fn put_idle(&mut self, target: &AttemptTarget, connection: Connection) {
         let pool = self.hosts.get_mut(&target.server).filter(|pool| pool.dial == Some(target.address));
         if let Some(pool) = pool {
             pool.idle.push((Instant::now(), connection));
@@ -215,7 +218,7 @@
 
     /// A place for one more connection to a host; the oldest idle one makes room when there is none.
     fn slot(&mut self) -> Option<Rc<()>> {
-        if Rc::strong_count(&self.slots) > self.connections_most {
+        if Rc::strong_count(&self.slots) > self.max_connections {
             let oldest = self.hosts.values_mut().filter(|pool| !pool.idle.is_empty());
             oldest.min_by_key(|pool| pool.idle[0].0)?.idle.remove(0);
         }
--- a/proxy/src/output.rs
+++ b/proxy/src/output.rs
@@ -18,9 +18,9 @@
 use tracing_subscriber::registry::LookupSpan;
 
 /// Lines that may wait to be written; further ones are dropped and counted.
-const QUEUE: usize = 256;
+const MAX_QUEUED_ITEMS: usize = 256;
 
-enum Item {
+enum OutputItem {
     /// Whole lines.
     Lines(String),
     /// Tells when all before it is written.
@@ -28,7 +28,7 @@
 }
 
 struct Queue {
-    items: mpsc::Sender<Item>,
+    items: mpsc::Sender<OutputItem>,
     dropped: AtomicU64,
 }
 
@@ -40,13 +40,13 @@
     if THREAD.get().is_some() {
         return Ok(());
     }
-    let (items, mut queued) = mpsc::channel(QUEUE);
+    let (items, mut queued) = mpsc::channel(MAX_QUEUED_ITEMS);
     thread::Builder::new().name("output".to_owned()).spawn(move || {
         while let Some(item) = queued.blocking_recv() {
             match item {
-                Item::Lines(lines) => write(&lines),
+                OutputItem::Lines(lines) => write(&lines),
                 // Whoever waited may have gone.
-                Item::Mark(done) => drop(done.send(())),
+                OutputItem::Mark(done) => drop(done.send(())),
             }
             let dropped = THREAD.get().map_or(0, |queue| queue.dropped.swap(0, Ordering::Relaxed));
             if dropped > 0 {
@@ -175,7 +175,7 @@
 pub fn put(lines: String) {
     match THREAD.get() {
         None => write(&lines),
-        Some(queue) if queue.items.try_send(Item::Lines(lines)).is_err() => {
+        Some(queue) if queue.items.try_send(OutputItem::Lines(lines)).is_err() => {
             queue.dropped.fetch_add(1, Ordering::Relaxed);
         }
         Some(_) => {}
@@ -186,7 +186,7 @@
 pub fn put_and_wait(lines: String) {
     let Some(queue) = THREAD.get() else { return write(&lines) };
     let (done, written) = oneshot::channel();
-    for item in [Item::Lines(lines), Item::Mark(done)] {
+    for item in [OutputItem::Lines(lines), OutputItem::Mark(done)] {
         // The thread lives as long as the process.
         let _ = queue.items.blocking_send(item);
     }
@@ -199,7 +199,7 @@
     let (done, written) = oneshot::channel();
     let all = async {
         // An end without a word means that there is no thread to wait for.
-        if queue.items.send(Item::Mark(done)).await.is_ok() {
+        if queue.items.send(OutputItem::Mark(done)).await.is_ok() {
             let _ = written.await;
         }
     };
