--- a/engine/src/call.rs
+++ b/engine/src/call.rs
@@ -114,6 +114,18 @@
     }
 }
 
+/// Whether a call may have a further attempt.
+pub(crate) enum Permission {
+    Granted,
+    /// The call goes on with the attempts that it has.
+    Denied,
+    /// The call ends.
+    Exhausted {
+        /// Whether one of its attempts may have run.
+        may_run: bool,
+    },
+}
+
 impl AttemptTrace {
     fn record(&mut self, attempt: &Attempt, outcome: Outcome) {
         let seen = attempt.may_have_been_seen();
@@ -159,8 +171,36 @@
         Some(ended)
     }
 
+    /// Whether it may have a further attempt now.
+    pub(crate) fn permission(
+        &mut self,
+        retries: Option<&mut (dyn RetryLimiter + 'static)>,
+        now: Micros,
+    ) -> Permission {
+        let AttemptTrace { attempts, may_run } = self.trace();
+        let may_go = match attempts {
+            0 => true,
+            attempts if attempts >= self.max_attempts => false,
+            _ => retries.is_none_or(|retries| retries.try_acquire(now)),
+        };
+        if !may_go {
+            return Permission::Exhausted { may_run };
+        }
+        match self.may_add_attempt() {
+            true => Permission::Granted,
+            false => Permission::Denied,
+        }
+    }
+
+    /// Counts an attempt that is not sent. Returns its outcome for the module.
+    pub(crate) fn skip_attempt(&mut self, id: CallId, closed: bool) -> Event {
+        let attempt = self.next_attempt();
+        self.attempts.push(None);
+        outcome_event(id, attempt, Outcome::NotSent, Duration::ZERO, closed)
+    }
+
     /// Whether one more attempt may go out now, by the call's permit.
-    pub(crate) fn may_add_attempt(&mut self) -> bool {
+    fn may_add_attempt(&mut self) -> bool {
         let is_extra = self.in_flight().next().is_some();
         match &mut self.permit {
             Some(permit) if is_extra => permit.acquire_extra(),
--- a/engine/src/engine/calls.rs
+++ b/engine/src/engine/calls.rs
@@ -84,10 +84,10 @@
         let AttemptResult { outcome, load, answer } = result;
         let Some(ended) = call.take_attempt(attempt, outcome) else { return };
         let elapsed = micros(ended.sent.elapsed());
+        let closed = answer.is_some() || !call.is_pending();
         if let Some(answer) = answer {
             inner.respond(id, Reply::Served(answer));
         }
-        let closed = inner.calls.get(&id).is_none_or(|call| !call.is_pending());
         inner.events.push_back(Event::Outcome { call: id, attempt, outcome, elapsed, closed, load });
         inner.remove_if_finished(id);
         if inner.hosts.contains_key(&ended.server) {
--- a/proxy/src/features/maintenance/engine_hosts.rs
+++ b/proxy/src/features/maintenance/engine_hosts.rs
@@ -7,6 +7,7 @@
 use flaxhead_maintenance::{DrainEvent, HostFact, HostFacts, HostUsage};
 use flaxhead_maintenance_driver::{ExcludedUntilNotice, Hosts};
 use std::cell::Cell;
+use std::collections::BTreeMap;
 use tokio::time::Instant;
 
 /// Time constant, in seconds, of the mean number of attempts in flight.
@@ -66,10 +67,10 @@
     fn usage(&self) -> HostUsage {
         let in_flight = self.engine.view(|view| {
             let by_host = view.attempts_by_host().into_iter();
-            by_host.map(|(name, attempts)| (name.to_owned(), attempts)).collect::<Vec<_>>()
+            by_host.map(|(name, attempts)| (name.to_owned(), attempts)).collect::<BTreeMap<_, _>>()
         });
-        let load = self.update_load(in_flight.iter().map(|(_, attempts)| attempts).sum());
-        HostUsage { in_flight: in_flight.into_iter().collect(), load: (load * LOAD_SCALE) as u32 }
+        let load = self.update_load(in_flight.values().sum());
+        HostUsage { in_flight, load: (load * LOAD_SCALE) as u32 }
     }
 
     fn exclude(&self, hosts: Vec<ExcludedUntilNotice>) {
--- a/proxy/src/features/quota/settings.rs
+++ b/proxy/src/features/quota/settings.rs
@@ -1,5 +1,6 @@
 //! What `[shares]` configures, and whether it fits the platform's settings.
 
+use super::super::bounds::within;
 use super::super::peers::{list, voters};
 use super::super::sections::{Problem, Section};
 use crate::config::Config;
@@ -47,11 +48,7 @@
         let voters = voters(section)?;
         let defaults = QuotaConfig::default();
         let mut number = |key: &str, (min, max): (u32, u32), default: u32| {
-            let in_range = |value: &u32| match (min..=max).contains(value) {
-                true => Ok(()),
-                false => Err(format!("{min} to {max}")),
-            };
-            Ok::<_, Problem>(section.take_if(key, in_range)?.unwrap_or(default))
+            Ok::<_, Problem>(section.take_if(key, within(min, max))?.unwrap_or(default))
         };
         let lease = Micros::from(number("lease_ms", (500, 60_000), 6_000)?) * MICROS_PER_MILLI;
         let autonomy_timeout = Micros::from(number("alone_s", (1, 3_600), 15)?) * MICROS_PER_SECOND;
