--- a/maintenance/driver/src/lib.rs
+++ b/maintenance/driver/src/lib.rs
@@ -5,5 +5,5 @@
 mod service;
 
 pub use flaxhead_coordination::{OpenedStore, StateStore};
-pub use participant::{ExcludedUntilNotice, Hosts};
+pub use participant::{Hosts, TimedExclusion};
 pub use service::{MaintenanceService, Settings};
--- a/maintenance/driver/src/participant.rs
+++ b/maintenance/driver/src/participant.rs
@@ -9,7 +9,7 @@
 
 /// A host that is excluded until the next notice.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ExcludedUntilNotice {
+pub struct TimedExclusion {
     /// Its name.
     pub host: String,
     /// From when on nothing new is sent to it.
@@ -23,7 +23,7 @@
     /// What is in flight now.
     fn usage(&self) -> HostUsage;
     /// Excludes these hosts, and no others.
-    fn exclude(&self, hosts: Vec<ExcludedUntilNotice>);
+    fn exclude(&self, hosts: Vec<TimedExclusion>);
     /// A drain has progressed. Called at the leader.
     fn event(&self, event: &DrainEvent);
 }
@@ -54,7 +54,7 @@
         if *self.excluded.borrow() == excluded {
             return;
         }
-        let until_notice = |excluded: &ExcludedHost| ExcludedUntilNotice {
+        let until_notice = |excluded: &ExcludedHost| TimedExclusion {
             host: excluded.host.clone(),
             from: clock.moment(excluded.from),
         };
--- a/maintenance/src/application.rs
+++ b/maintenance/src/application.rs
@@ -20,7 +20,7 @@
         let busy = self.usage.in_flight.iter().filter(|(host, calls)| **calls > 0 && is_excluded(host));
         UsageReport {
             busy: busy.map(|(host, calls)| (host.clone(), *calls)).collect(),
-            load: self.usage.load,
+            load_millicalls: self.usage.load_millicalls,
             lost_zones: facts.lost_zones.clone(),
         }
     }
--- a/maintenance/src/application_types.rs
+++ b/maintenance/src/application_types.rs
@@ -14,7 +14,7 @@
     /// Calls in flight, by host.
     pub in_flight: BTreeMap<String, u32>,
     /// All calls in flight, as a mean over the last seconds, in thousandths.
-    pub load: u32,
+    pub load_millicalls: u32,
 }
 
 /// What a process reports with each renewal of its lease.
@@ -23,7 +23,7 @@
     /// Calls in flight at hosts that it sends nothing new to.
     pub busy: BTreeMap<String, u32>,
     /// All calls in flight, as a mean over the last seconds, in thousandths.
-    pub load: u32,
+    pub load_millicalls: u32,
     /// Zones in which it reaches no host.
     pub lost_zones: BTreeSet<String>,
 }
--- a/maintenance/src/config.rs
+++ b/maintenance/src/config.rs
@@ -12,9 +12,9 @@
     /// Maximum number of hosts in a pod.
     pub max_per_pod: u32,
     /// Calls that a warm host of size 1 can have in flight, in thousandths; 0: not known, and the load is ignored.
-    pub calls_per_host: u32,
+    pub millicalls_per_host: u32,
     /// Capacity that must be left beside the load, in thousandths of the load.
-    pub load_margin: u32,
+    pub load_margin_per_mille: u32,
     /// The longest that a host may be out of service.
     pub max_duration: Micros,
 }
@@ -25,8 +25,8 @@
             max_total: 1,
             max_per_zone: 1,
             max_per_pod: 1,
-            calls_per_host: 0,
-            load_margin: 300,
+            millicalls_per_host: 0,
+            load_margin_per_mille: 300,
             max_duration: 4 * 3_600_000_000,
         }
     }
--- a/maintenance/src/facts.rs
+++ b/maintenance/src/facts.rs
@@ -4,7 +4,7 @@
 
 /// A host, as discovery lists it and this process's calls find it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct HostFact {
+pub struct HostStatus {
     /// Its zone.
     pub zone: String,
     /// Its pod.
@@ -19,13 +19,13 @@
     pub weight: u32,
 }
 
-impl HostFact {
+impl HostStatus {
     /// The `warmth` of a host that has warmed up.
     pub(crate) const WARM: u32 = 1_000;
 
     /// Whether it has warmed up.
     pub(crate) fn is_warm(&self) -> bool {
-        self.warmth >= HostFact::WARM
+        self.warmth >= HostStatus::WARM
     }
 }
 
@@ -33,7 +33,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct HostFacts {
     /// By name.
-    pub hosts: BTreeMap<String, HostFact>,
+    pub hosts: BTreeMap<String, HostStatus>,
     /// Zones in which this process reaches no host.
     pub lost_zones: BTreeSet<String>,
 }
--- a/maintenance/src/lib.rs
+++ b/maintenance/src/lib.rs
@@ -23,7 +23,7 @@
 pub use command::{Command, CommandResponse, Rejection};
 pub use config::{Limits, SchedulerConfig};
 pub use exclusion::{excluded_hosts, may_send, ExcludedHost};
-pub use facts::{HostFact, HostFacts};
+pub use facts::{HostFacts, HostStatus};
 pub use request::DrainRequest;
 pub use schedule::{CompletedDrain, Drain, DrainSchedule};
 pub use selection::BlockedReason;
--- a/maintenance/src/schedule.rs
+++ b/maintenance/src/schedule.rs
@@ -61,12 +61,12 @@
     }
 
     /// The open drain of a host.
-    pub fn of_host(&self, host: &str) -> Option<&Drain> {
+    pub fn drain_for_host(&self, host: &str) -> Option<&Drain> {
         self.drains.iter().find(|drain| drain.request.host == host)
     }
 
     /// A drain that has ended, if it is still remembered.
-    pub fn completed(&self, id: u64) -> Option<&CompletedDrain> {
+    pub fn completed_drain(&self, id: u64) -> Option<&CompletedDrain> {
         self.completed.iter().rev().find(|drain| drain.id == id)
     }
 
--- a/maintenance/src/scheduler/commands.rs
+++ b/maintenance/src/scheduler/commands.rs
@@ -33,7 +33,7 @@
         if let Some(drain) = self.schedule().drain(id) {
             return Ok(drain);
         }
-        Err(match self.schedule().completed(id) {
+        Err(match self.schedule().completed_drain(id) {
             Some(completed) => Rejection::Ended { drain: id, outcome: completed.outcome.clone() },
             None => Rejection::UnknownDrain(id),
         })
@@ -42,7 +42,7 @@
     /// Opens a drain. Requested twice, it is one.
     fn request(&mut self, request: DrainRequest) -> Result<CommandResponse, Rejection> {
         request.check(self.config.limits.max_duration)?;
-        let open = self.schedule().of_host(&request.host);
+        let open = self.schedule().drain_for_host(&request.host);
         if let Some(drain) = open.filter(|drain| drain.stage != Stage::Recovering) {
             return Ok(CommandResponse::Drain { id: drain.id, stage: drain.stage });
         }
--- a/maintenance/src/scheduler/scheduling.rs
+++ b/maintenance/src/scheduler/scheduling.rs
@@ -27,7 +27,7 @@
             schedule: self.schedule(),
             facts: &self.leader.facts.application,
             limits: &self.config.limits,
-            load: self.reports().map(|report| u64::from(report.load)).sum(),
+            load_millicalls: self.reports().map(|report| u64::from(report.load_millicalls)).sum(),
             lost_zones: &lost_zones,
             blocked_by: self.blocked_by(),
         };
--- a/maintenance/src/selection/blocked.rs
+++ b/maintenance/src/selection/blocked.rs
@@ -29,7 +29,7 @@
     /// Discovery does not list the host.
     NotListed,
     /// Another drain comes first.
-    Behind(u64),
+    QueuedBehind(u64),
 }
 
 /// The sentences are values of the side port's JSON (`waits_for`), and stay as they are.
@@ -49,7 +49,7 @@
                 write!(f, "the proxies were restarted and do not know what is out")
             }
             BlockedReason::NotListed => write!(f, "discovery does not list it"),
-            BlockedReason::Behind(id) => write!(f, "turn {id} is ahead of it"),
+            BlockedReason::QueuedBehind(id) => write!(f, "turn {id} is ahead of it"),
         }
     }
 }
--- a/maintenance/src/selection/context.rs
+++ b/maintenance/src/selection/context.rs
@@ -2,7 +2,7 @@
 
 use super::blocked::BlockedReason;
 use crate::config::Limits;
-use crate::facts::{HostFact, HostFacts};
+use crate::facts::{HostFacts, HostStatus};
 use crate::schedule::{Drain, DrainSchedule};
 use crate::stage::Stage;
 use std::collections::BTreeSet;
@@ -15,7 +15,7 @@
     pub facts: &'a HostFacts,
     pub limits: &'a Limits,
     /// Calls in flight at all proxies, in thousandths.
-    pub load: u64,
+    pub load_millicalls: u64,
     /// Zones that members report as lost.
     pub lost_zones: &'a BTreeSet<String>,
     /// What blocks every drain.
@@ -68,7 +68,7 @@
             match (self.blocked_reason(drain), selection.next) {
                 (Some(reason), _) => selection.blocked.push(BlockedDrain { id, reason }),
                 (None, Some(next)) => {
-                    selection.blocked.push(BlockedDrain { id, reason: BlockedReason::Behind(next) });
+                    selection.blocked.push(BlockedDrain { id, reason: BlockedReason::QueuedBehind(next) });
                 }
                 (None, None) => selection.next = Some(id),
             }
@@ -76,22 +76,22 @@
         selection
     }
 
-    fn host(&self, drain: &Drain) -> Option<&HostFact> {
+    fn host(&self, drain: &Drain) -> Option<&HostStatus> {
         self.facts.hosts.get(&drain.request.host)
     }
 
     /// Whether a host is out of service, or will be: by its drain, or because discovery does not list it as ready.
-    fn is_out(&self, name: &str, fact: &HostFact) -> bool {
-        !fact.ready || self.schedule.of_host(name).is_some_and(|drain| drain.stage >= Stage::Scheduled)
+    fn is_out(&self, name: &str, fact: &HostStatus) -> bool {
+        !fact.ready || self.schedule.drain_for_host(name).is_some_and(|drain| drain.stage >= Stage::Scheduled)
     }
 
     /// The drains that count as out of service, with what is known of their hosts.
-    fn active(&self) -> impl Iterator<Item = Option<&HostFact>> {
+    fn active(&self) -> impl Iterator<Item = Option<&HostStatus>> {
         let active = self.schedule.drains.iter().filter(|drain| drain.stage >= Stage::Scheduled);
         active.map(|drain| self.host(drain))
     }
 
-    fn count_active(&self, counts: impl Fn(&HostFact) -> bool) -> usize {
+    fn count_active(&self, counts: impl Fn(&HostStatus) -> bool) -> usize {
         self.active().flatten().filter(|fact| counts(fact)).count()
     }
 
@@ -108,11 +108,11 @@
         }
     }
 
-    fn urgency(&self, drain: &Drain, fact: &HostFact) -> Urgency {
+    fn urgency(&self, drain: &Drain, fact: &HostStatus) -> Urgency {
         if fact.failing || !fact.ready {
             return Urgency::Failing;
         }
-        let is_warm_other = |(name, other): (&String, &HostFact)| {
+        let is_warm_other = |(name, other): (&String, &HostStatus)| {
             *name != drain.request.host
                 && other.pod == fact.pod
                 && other.is_warm()
@@ -127,14 +127,14 @@
 
     /// Calls that can be in flight without this host, in thousandths: a cold host counts by its warmth.
     fn capacity_without(&self, drain: &Drain) -> u64 {
-        let stays = |(name, fact): &(&String, &HostFact)| {
+        let stays = |(name, fact): &(&String, &HostStatus)| {
             **name != drain.request.host && !fact.failing && !self.is_out(name, fact)
         };
-        let capacity = |(_, fact): (&String, &HostFact)| {
-            u64::from(fact.weight) * u64::from(fact.warmth.min(HostFact::WARM))
+        let capacity = |(_, fact): (&String, &HostStatus)| {
+            u64::from(fact.weight) * u64::from(fact.warmth.min(HostStatus::WARM))
         };
         let sum: u64 = self.facts.hosts.iter().filter(stays).map(capacity).sum();
-        let calls = u128::from(sum) * u128::from(self.limits.calls_per_host);
+        let calls = u128::from(sum) * u128::from(self.limits.millicalls_per_host);
         u64::try_from(calls / u128::from(THOUSANDTHS * THOUSANDTHS)).unwrap_or(u64::MAX)
     }
 
@@ -163,13 +163,14 @@
         self.insufficient_capacity(drain, fact)
     }
 
-    fn insufficient_capacity(&self, drain: &Drain, fact: &HostFact) -> Option<BlockedReason> {
+    fn insufficient_capacity(&self, drain: &Drain, fact: &HostStatus) -> Option<BlockedReason> {
         // A host that serves nothing takes no capacity away.
         let serves = fact.ready && !fact.failing;
-        if self.limits.calls_per_host == 0 || !serves {
+        if self.limits.millicalls_per_host == 0 || !serves {
             return None;
         }
-        let needed = self.load + self.load * u64::from(self.limits.load_margin) / THOUSANDTHS;
+        let needed = self.load_millicalls
+            + self.load_millicalls * u64::from(self.limits.load_margin_per_mille) / THOUSANDTHS;
         let remaining = self.capacity_without(drain);
         (remaining < needed).then_some(BlockedReason::InsufficientCapacity {
             remaining: remaining / THOUSANDTHS,
--- a/maintenance/src/view.rs
+++ b/maintenance/src/view.rs
@@ -72,7 +72,7 @@
 
 impl ProcessView {
     fn new(process: &Process, peer: &PeerState<Maintenance>, now: Micros) -> ProcessView {
-        let load = peer.report().map_or(0, |report| report.load);
+        let load = peer.report().map_or(0, |report| report.load_millicalls);
         ProcessView {
             name: process.name.to_string(),
             incarnation: format!("{:016x}", process.incarnation),
--- a/maintenance/tests/fleet/mod.rs
+++ b/maintenance/tests/fleet/mod.rs
@@ -10,7 +10,7 @@
 
 use flaxhead_lease::{AdmissionStatus, Config, MemberStatus, Micros, Name, Presence, Process, Voters};
 use flaxhead_maintenance::{
-    may_send, view, Command, Context, Drain, DrainRequest, Effect, Facts, HostFact, HostFacts, HostUsage,
+    may_send, view, Command, Context, Drain, DrainRequest, Effect, Facts, HostFacts, HostStatus, HostUsage,
     Limits, Machine, Maintenance, Message, SchedulerConfig, Stage,
 };
 use rand_core::{RngCore, SeedableRng};
@@ -107,7 +107,7 @@
     places: Vec<Place>,
     names: BTreeMap<Name, usize>,
     random: Pcg64,
-    hosts: BTreeMap<String, HostFact>,
+    hosts: BTreeMap<String, HostStatus>,
     /// Hosts that operators were told are free.
     free: BTreeSet<String>,
     asked: BTreeMap<String, Micros>,
@@ -152,7 +152,7 @@
     pub fn new(plan: Plan) -> Fleet {
         let mut random = Pcg64::seed_from_u64(plan.seed);
         let host = |number: usize| {
-            let fact = HostFact {
+            let fact = HostStatus {
                 zone: format!("z{}", number % 4),
                 pod: (number / 3) as u32,
                 ready: true,
@@ -298,7 +298,7 @@
         let mut in_hand: BTreeMap<String, u32> = BTreeMap::new();
         self.places[place].calls.retain(|(_, until)| *until > now);
         self.places[place].calls.iter().for_each(|(host, _)| *in_hand.entry(host.clone()).or_default() += 1);
-        machine.application_mut().set_usage(HostUsage { in_flight: in_hand, load: 1_000 });
+        machine.application_mut().set_usage(HostUsage { in_flight: in_hand, load_millicalls: 1_000 });
         let mut out = Vec::new();
         let mut around = Context { now: local, facts: &facts, random: &mut self.random };
         act(&mut machine, &mut around, &mut out);
@@ -561,8 +561,12 @@
 
     fn say_done(&mut self, host: &str) {
         let place = self.someone();
-        let turn =
-            self.places.iter().filter_map(|p| p.machine.as_ref()?.state().of_host(host)).map(|t| t.id).max();
+        let turn = self
+            .places
+            .iter()
+            .filter_map(|p| p.machine.as_ref()?.state().drain_for_host(host))
+            .map(|t| t.id)
+            .max();
         if let Some(turn) = turn {
             self.order(place, Command::Complete { drain: turn, by: "ops".to_owned() });
         }
@@ -589,7 +593,7 @@
         let waiting: Vec<String> = self
             .working
             .iter()
-            .filter(|h| !self.free.contains(*h) && board.of_host(h).is_none())
+            .filter(|h| !self.free.contains(*h) && board.drain_for_host(h).is_none())
             .cloned()
             .collect();
         for host in waiting {
--- a/maintenance/tests/model.rs
+++ b/maintenance/tests/model.rs
@@ -11,8 +11,8 @@
     Versioned, VoterRecoveryResponse, Voters,
 };
 use flaxhead_maintenance::{
-    excluded_hosts, may_send, view, Command, Context, DrainRequest, Effect, ExcludedHost, Facts, HostFact,
-    HostFacts, HostUsage, Machine, Maintenance, Message, SchedulerConfig, Stage,
+    excluded_hosts, may_send, view, Command, Context, DrainRequest, Effect, ExcludedHost, Facts, HostFacts,
+    HostStatus, HostUsage, Machine, Maintenance, Message, SchedulerConfig, Stage,
 };
 use flaxhead_rig::{ActiveFault, Bounds, Envelope, FixedRandom, Fleet as _, LastingFault};
 use stateright::{Checker, Model, Property};
@@ -161,7 +161,7 @@
     }
 
     fn facts(&self, world: &World, of: usize) -> Facts {
-        let fact = HostFact {
+        let fact = HostStatus {
             zone: "z".to_owned(),
             pod: 0,
             ready: true,
@@ -326,7 +326,11 @@
         let out: Vec<String> =
             world.model.free.keys().filter(|h| !world.model.back.contains(*h)).cloned().collect();
         for host in &out {
-            if world.nodes[node].state().of_host(host).is_none_or(|turn| turn.stage < Stage::OutOfService) {
+            if world.nodes[node]
+                .state()
+                .drain_for_host(host)
+                .is_none_or(|turn| turn.stage < Stage::OutOfService)
+            {
                 self.order(
                     world,
                     node,
@@ -369,8 +373,10 @@
         }
         for host in world.model.back.clone() {
             for node in 0..world.nodes.len() {
-                let turn =
-                    world.nodes[node].state().of_host(&host).filter(|turn| turn.stage == Stage::OutOfService);
+                let turn = world.nodes[node]
+                    .state()
+                    .drain_for_host(&host)
+                    .filter(|turn| turn.stage == Stage::OutOfService);
                 if let Some(turn) = turn.map(|turn| turn.id).filter(|_| !world.is_frozen(node)) {
                     self.order(world, node, Command::Complete { drain: turn, by: "ops".to_owned() });
                 }
@@ -425,7 +431,7 @@
             (host(number), u32::from(held && self.broken != Broken::Drains))
         };
         let in_hand = (0..2).map(in_hand).collect();
-        world.nodes[node].application_mut().set_usage(HostUsage { in_flight: in_hand, load: 0 });
+        world.nodes[node].application_mut().set_usage(HostUsage { in_flight: in_hand, load_millicalls: 0 });
         match message {
             None => world.nodes[node].tick(&mut around, &mut out),
             Some((from, message)) => {
--- a/maintenance/tests/wire_format.rs
+++ b/maintenance/tests/wire_format.rs
@@ -93,7 +93,7 @@
 fn word() -> UsageReport {
     UsageReport {
         busy: BTreeMap::from([("h1".to_owned(), 2)]),
-        load: 1_500,
+        load_millicalls: 1_500,
         lost_zones: BTreeSet::from(["z1".to_owned()]),
     }
 }
--- a/proxy/src/features/maintenance/engine_hosts.rs
+++ b/proxy/src/features/maintenance/engine_hosts.rs
@@ -4,8 +4,8 @@
 use super::super::hosts::{HostCondition, HostMonitor};
 use crate::http::Engine;
 use flaxhead_engine::Health;
-use flaxhead_maintenance::{DrainEvent, HostFact, HostFacts, HostUsage};
-use flaxhead_maintenance_driver::{ExcludedUntilNotice, Hosts};
+use flaxhead_maintenance::{DrainEvent, HostFacts, HostStatus, HostUsage};
+use flaxhead_maintenance_driver::{Hosts, TimedExclusion};
 use std::cell::Cell;
 use std::collections::BTreeMap;
 use tokio::time::Instant;
@@ -50,7 +50,7 @@
 impl Hosts for EngineHosts {
     fn facts(&self) -> HostFacts {
         let fact = |HostCondition { endpoint, failing, warmth, weight }: HostCondition<'_>| {
-            let fact = HostFact {
+            let fact = HostStatus {
                 zone: endpoint.site.clone(),
                 pod: endpoint.block,
                 ready: endpoint.health == Health::Ready,
@@ -70,10 +70,10 @@
             by_host.map(|(name, attempts)| (name.to_owned(), attempts)).collect::<BTreeMap<_, _>>()
         });
         let load = self.update_load(in_flight.values().sum());
-        HostUsage { in_flight, load: (load * LOAD_SCALE) as u32 }
+        HostUsage { in_flight, load_millicalls: (load * LOAD_SCALE) as u32 }
     }
 
-    fn exclude(&self, hosts: Vec<ExcludedUntilNotice>) {
+    fn exclude(&self, hosts: Vec<TimedExclusion>) {
         self.engine.exclude(hosts.into_iter().map(|excluded| (excluded.host, excluded.from)));
     }
 
--- a/proxy/src/features/maintenance/settings.rs
+++ b/proxy/src/features/maintenance/settings.rs
@@ -46,13 +46,13 @@
     limits.max_total = number("hosts", 1, 1_000)?.unwrap_or(limits.max_total);
     limits.max_per_zone = number("hosts_zone", 1, 1_000)?.unwrap_or(limits.max_per_zone);
     limits.max_per_pod = number("hosts_pod", 1, 1_000)?.unwrap_or(limits.max_per_pod);
-    let calls = number("host_calls", 0, 100_000)?.unwrap_or(limits.calls_per_host);
-    limits.calls_per_host = calls * MILLICALLS_PER_CALL;
+    let calls = number("host_calls", 0, 100_000)?.unwrap_or(limits.millicalls_per_host);
+    limits.millicalls_per_host = calls * MILLICALLS_PER_CALL;
     // A value equal to the default in thousandths counts as not configured.
-    let default_margin = limits.load_margin;
+    let default_margin = limits.load_margin_per_mille;
     let margin = number("margin_percent", 0, 1_000)?.unwrap_or(default_margin);
     if margin != default_margin {
-        limits.load_margin = margin * PER_MILLE_PER_PERCENT;
+        limits.load_margin_per_mille = margin * PER_MILLE_PER_PERCENT;
     }
     Ok(())
 }
--- a/proxy/src/features/tests.rs
+++ b/proxy/src/features/tests.rs
@@ -105,7 +105,7 @@
         (limits.max_duration, limits.max_total, limits.max_per_zone, limits.max_per_pod),
         (16 * second, 3, 4, 5)
     );
-    assert_eq!((limits.calls_per_host, limits.load_margin), (6_000, 700));
+    assert_eq!((limits.millicalls_per_host, limits.load_margin_per_mille), (6_000, 700));
     let shares = features.quota.as_ref().expect("on");
     assert_eq!((shares.lease, shares.autonomy_timeout), (3 * second, 21 * second));
     let quota = &shares.quota;
