--- a/lab/tests/work_orders.rs
+++ b/lab/tests/work_orders.rs
@@ -56,13 +56,13 @@
     assert!(code == 3 && text.contains("do not know what is out"), "{code} {text}");
     // Bad input changes nothing.
     for (order, reason) in [
-        ("ask s-9 --kind kernel --for 30m", "no proxy knows a host s-9"),
+        ("ask s-9 --kind kernel --for 30m", "unknown host s-9"),
         ("ask s-0 --kind kernel --for 99h", "by the limits"),
         ("ask s-0 --kind kernel --for 1h --not-before 2h --not-after 1h", "its time is past"),
-        ("done 1", "turn 1 is asked"),
-        ("withdraw 7", "there is no turn 7"),
-        ("gone n1", "runs: it is heard"),
-        ("gone n9", "no process n9 is waited for"),
+        ("done 1", "drain 1 is at stage asked"),
+        ("withdraw 7", "there is no drain 7"),
+        ("gone n1", "proxy n1 cannot be removed: it is alive"),
+        ("gone n9", "no proxy n9 is on the roster"),
     ] {
         let (code, text) = work(side(2), order);
         assert!(code == 1 && text.contains(reason), "{order}: {code} {text}");
@@ -76,21 +76,24 @@
     let text = until(side(1), "show 1 --wait 20s", 0);
     assert!(text.contains("turn 1 s-0 free"), "{text}");
     let (code, text) = work(side(0), "withdraw 1");
-    assert!(code == 1 && text.contains("turn 1 is out"), "{code} {text}");
+    assert!(code == 1 && text.contains("drain 1 is at stage out"), "{code} {text}");
     let (code, text) = work(side(0), "done 1 --by berta");
-    assert!(code == 1 && text.contains("asked for by anna"), "{code} {text}");
+    assert!(code == 1 && text.contains("drain 1 was requested by anna"), "{code} {text}");
     assert_eq!(work(side(0), "show 1").0, 0, "it is free all the same");
     let (code, text) = work(side(2), "done 1");
     assert!(code == 0 && text.contains("turn 1 is back"), "{code} {text}");
     let ended = until(side(1), "done 1", 1);
-    assert!(ended.contains("turn 1 has ended: done"), "{ended}");
+    assert!(ended.contains("drain 1 has ended: done"), "{ended}");
     // On the smaller side of a cut nothing is settled, and it says so; on the other side all goes on.
     let lone =
         (0..3).find(|&place| work(side(place), "list").1.contains("follows")).expect("one that follows");
     let others: Vec<usize> = (0..3).filter(|place| *place != lone).collect();
     rig.split(&[lone], &others, true);
     let text = until(side(lone), "ask s-0 --kind disk --for 1h", 1);
-    assert!(text.contains("not confirmed in time") || text.contains("nothing is settled now"), "{text}");
+    assert!(
+        text.contains("not confirmed in time") || text.contains("no maintenance leader is reachable"),
+        "{text}"
+    );
     let (code, text) = work(side(others[0]), "ask s-0 --kind disk --for 1h");
     assert!(code == 0 && text.contains("turn 2 is asked"), "{code} {text}");
     // It waits for the one that is cut off, so it can still be taken back.
--- a/maintenance/driver/src/lib.rs
+++ b/maintenance/driver/src/lib.rs
@@ -1,5 +1,5 @@
-//! Host maintenance at one process: what it reports of its hosts, and to which of them it sends nothing new. Timers and
-//! messages are those of [`flaxhead_coordination`], on the thread of the engine.
+//! Host maintenance at one process: reports on its hosts, and excludes those that the schedule names. Timers
+//! and messages are those of [`flaxhead_coordination`].
 
 mod participant;
 mod service;
--- a/maintenance/driver/src/participant.rs
+++ b/maintenance/driver/src/participant.rs
@@ -1,4 +1,4 @@
-//! The hosts of one process, as the drains see them.
+//! The interface to the hosts of one process.
 
 use flaxhead_coordination::{Clock, Participant};
 use flaxhead_lease::{Ballot, Machine};
@@ -7,28 +7,28 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// A host that is excluded until the next notice.
+/// Host that receives no new calls from some time on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TimedExclusion {
-    /// Its name.
+    /// Name of the host.
     pub host: String,
-    /// From when on nothing new is sent to it.
+    /// Time from which no new call is sent to the host.
     pub from: Instant,
 }
 
-/// The hosts, as the process knows and uses them.
+/// Hosts of a process.
 pub trait Hosts {
-    /// All hosts of the list, by name, and the zones in which this process reaches none.
+    /// Returns the state of all listed hosts, and the zones in which this process reaches none.
     fn facts(&self) -> HostFacts;
-    /// What is in flight now.
+    /// Returns the calls in flight.
     fn usage(&self) -> HostUsage;
-    /// Excludes these hosts, and no others.
+    /// Excludes these hosts from new calls, and no others.
     fn exclude(&self, hosts: Vec<TimedExclusion>);
-    /// A drain has progressed. Called at the leader.
+    /// Handles a change of a drain. Called at the leader only.
     fn event(&self, event: &DrainEvent);
 }
 
-/// Excludes hosts as the schedule says: before any other process hears that they are.
+/// Participant that excludes the hosts of the schedule, before any message tells other processes that it has.
 pub(crate) struct HostExclusion {
     hosts: Rc<dyn Hosts>,
     excluded: RefCell<Vec<ExcludedHost>>,
@@ -54,24 +54,24 @@
         if *self.excluded.borrow() == excluded {
             return;
         }
-        let until_notice = |excluded: &ExcludedHost| TimedExclusion {
+        let timed = |excluded: &ExcludedHost| TimedExclusion {
             host: excluded.host.clone(),
             from: clock.moment(excluded.from),
         };
-        self.hosts.exclude(excluded.iter().map(until_notice).collect());
+        self.hosts.exclude(excluded.iter().map(timed).collect());
         self.excluded.replace(excluded);
     }
 
     fn leadership_changed(&self, ballot: Option<&Ballot>) {
         match ballot {
-            Some(ballot) => tracing::info!("work: this proxy hands out turns, as {ballot}"),
-            None => tracing::info!("work: this proxy hands out turns no longer"),
+            Some(ballot) => tracing::info!("maintenance: this proxy became the leader with ballot {ballot}"),
+            None => tracing::info!("maintenance: this proxy is no longer the leader"),
         }
     }
 
     fn event(&self, event: DrainEvent) {
         let DrainEvent { drain, host, change, reason } = &event;
-        tracing::info!("work: turn {drain} of {host}: {change}: {reason}");
+        tracing::info!("maintenance: drain {drain} of host {host}: {change}: {reason}");
         self.hosts.event(&event);
     }
 }
--- a/maintenance/driver/src/service.rs
+++ b/maintenance/driver/src/service.rs
@@ -1,4 +1,4 @@
-//! The drains of one process, and their coordinator.
+//! The maintenance service of one process.
 
 use crate::participant::{HostExclusion, Hosts};
 use flaxhead_coordination::{Coordinator, StateStore};
@@ -11,23 +11,24 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// What `[work]` configures.
+/// Configuration of section `[work]`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Who grants leases.
+    /// Voters of the lease.
     pub voters: Voters,
-    /// The time spans of the lease.
+    /// Timing of the lease.
     pub config: Config,
-    /// The time spans and limits of drains.
+    /// Time limits of drains, and limits on hosts out of service.
     pub scheduler: SchedulerConfig,
 }
 
-/// One process's part in the drains, shared by the tasks of one thread.
+/// Maintenance at one process, shared by the tasks of one thread.
 #[derive(Clone, Debug)]
 pub struct MaintenanceService(Coordinator<Maintenance>);
 
 impl MaintenanceService {
-    /// Runs over these peers, with a store if there is one. `seed` is new with each start.
+    /// Creates the service over these peers. `seed` must differ at each start; `store` persists the state, if
+    /// there is one.
     pub fn start(
         settings: Settings,
         peers: Peers,
@@ -44,26 +45,26 @@
         MaintenanceService(Coordinator::start(settings, peers, seed, store))
     }
 
-    /// Tells when the process may send to hosts.
+    /// Returns a receiver of whether this process may send to hosts.
     pub fn may_serve(&self) -> watch::Receiver<bool> {
         self.0.may_serve()
     }
 
-    /// Takes part, with these hosts, until it is dropped. Runs inside a [`tokio::task::LocalSet`].
+    /// Runs the service with these hosts until the future is dropped. Requires a [`tokio::task::LocalSet`].
     pub async fn serve(&self, hosts: Rc<dyn Hosts>) {
         self.0.serve(Rc::new(HostExclusion::new(hosts))).await;
     }
 
-    /// What operators see.
+    /// Returns the state of maintenance for operators.
     pub fn view(&self) -> MaintenanceView {
         self.0.with_machine(view)
     }
 
-    /// Submits an operator's command, and waits for its result, no longer than `timeout`.
+    /// Submits an operator's command and waits up to `timeout` for its result.
     ///
     /// # Errors
     ///
-    /// Why the command changed nothing.
+    /// The command was rejected or not confirmed in time.
     pub async fn submit(&self, command: Command, timeout: Duration) -> Result<CommandResponse, Rejection> {
         self.0.submit(command, timeout).await
     }
--- a/maintenance/src/application.rs
+++ b/maintenance/src/application.rs
@@ -1,4 +1,4 @@
-//! The drains, as something that the proxies agree upon.
+//! The implementation of the replicated application.
 
 use crate::application_types::{Maintenance, UsageReport};
 use crate::command::{Command, CommandResponse, Rejection};
@@ -7,15 +7,15 @@
 use crate::scheduler::Scheduler;
 use flaxhead_lease::{Application, LeaderContext, Member, Micros, Process};
 
-/// The count of the schedule that a leader begins with.
+/// Sequence number of the first schedule of a leader.
 const INITIAL_SCHEDULE_SEQ: u64 = 1;
 
 impl Application for Maintenance {
-    /// All that the leader must keep is in the schedule, and in the reports of the processes.
+    /// Empty: the schedule and the reports of the processes hold all that a leader needs.
     type LeaderData = ();
 
     fn report(&mut self, _: Micros, member: &Member<Self>, facts: &HostFacts) -> UsageReport {
-        // Only hosts that are excluded, or will be, are of interest.
+        // The leader needs the calls at hosts that are excluded or will be.
         let is_excluded = |host: &str| excluded_from(member, host).is_some();
         let busy = self.usage.in_flight.iter().filter(|(host, calls)| **calls > 0 && is_excluded(host));
         UsageReport {
@@ -27,7 +27,8 @@
 
     fn begin_leadership(&self, context: &mut LeaderContext<'_, Self>) {
         for drain in &mut context.state_mut().drains {
-            // All processes confirm it anew: what was confirmed to another leader is not known here.
+            // A new leader does not know which processes confirmed the drain to its predecessor, so all
+            // confirm it again.
             drain.stage_seq = INITIAL_SCHEDULE_SEQ;
             drain.is_free = false;
         }
--- a/maintenance/src/application_types.rs
+++ b/maintenance/src/application_types.rs
@@ -1,4 +1,4 @@
-//! One process's part in the drains, and what it reports for them.
+//! The application at one process, and the data that it exchanges.
 
 use crate::command::{Command, CommandResponse, Rejection};
 use crate::config::SchedulerConfig;
@@ -8,40 +8,40 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The calls of this process.
+/// Calls in flight of this process.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct HostUsage {
     /// Calls in flight, by host.
     pub in_flight: BTreeMap<String, u32>,
-    /// All calls in flight, as a mean over the last seconds, in thousandths.
+    /// Mean number of calls in flight to all hosts over the last seconds, in thousandths of a call.
     pub load_millicalls: u32,
 }
 
-/// What a process reports with each renewal of its lease.
+/// Report that accompanies each renewal of a process's lease.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct UsageReport {
-    /// Calls in flight at hosts that it sends nothing new to.
+    /// Calls in flight at hosts that are excluded or will be, by host; hosts without any are left out.
     pub busy: BTreeMap<String, u32>,
-    /// All calls in flight, as a mean over the last seconds, in thousandths.
+    /// Mean number of calls in flight to all hosts over the last seconds, in thousandths of a call.
     pub load_millicalls: u32,
-    /// Zones in which it reaches no host.
+    /// Zones in which the process reaches no host.
     pub lost_zones: BTreeSet<String>,
 }
 
-/// A step of a drain, for the audit trail and the log.
+/// Change of a drain, for the audit trail and the log.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct DrainEvent {
-    /// The drain; 0: none.
+    /// Number of the drain; 0: the event concerns no drain.
     pub drain: u64,
-    /// Its host; empty: none.
+    /// Host of the drain; empty: the event concerns no drain.
     pub host: String,
-    /// What became of it, in a word.
+    /// Change, as a single word.
     pub change: String,
-    /// Why.
+    /// Reason, for operators.
     pub reason: String,
 }
 
-/// The drains, as one process takes part in them.
+/// The maintenance application at one process.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Maintenance {
     pub(crate) config: SchedulerConfig,
@@ -49,12 +49,12 @@
 }
 
 impl Maintenance {
-    /// A process with this configuration.
+    /// Creates the application, with no calls in flight.
     pub fn new(config: SchedulerConfig) -> Maintenance {
         Maintenance { config, usage: HostUsage::default() }
     }
 
-    /// Sets what this process has in flight.
+    /// Sets the calls in flight that the next report covers.
     pub fn set_usage(&mut self, usage: HostUsage) {
         self.usage = usage;
     }
@@ -70,9 +70,9 @@
     type Facts = HostFacts;
     type Event = DrainEvent;
 
-    // Some hundred open drains and as many completed ones, with their longest texts and reasons.
+    // Holds some hundred open and completed drains with texts of maximum length.
     const MAX_STATE_BYTES: usize = 1 << 18;
-    // The hosts of all open drains, and zones by their names.
+    // Holds the hosts of all open drains and the names of the lost zones.
     const MAX_REPORT_BYTES: usize = 1 << 16;
     const MAX_GRANT_BYTES: usize = 0;
     const MAX_COMMAND_BYTES: usize = 1 << 12;
--- a/maintenance/src/command.rs
+++ b/maintenance/src/command.rs
@@ -1,132 +1,133 @@
-//! The commands of operators, and the responses to them. Their names in JSON are older than those here.
+//! Commands of operators and the responses to them. `serde` renames keep the names of the JSON format.
 
 use crate::request::DrainRequest;
 use crate::stage::{Outcome, Stage};
 use flaxhead_lease::{CommandError, Micros};
 use serde::{Deserialize, Serialize};
 
-/// Maximum length of a host's name, a kind of work or an operator's name, in bytes.
+/// Maximum length of the texts in a request.
 const MAX_TEXT_BYTES: usize = 64;
 const MICROS_PER_SECOND: Micros = 1_000_000;
 
-/// A command of an operator.
+/// Command of an operator.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Command {
-    /// Drain a host.
+    /// Requests a drain of a host.
     #[serde(rename = "Ask")]
     Request(DrainRequest),
-    /// Withdraw a request.
+    /// Withdraws a drain that is not yet out of service.
     Withdraw {
-        /// The drain.
+        /// Number of the drain.
         #[serde(rename = "turn")]
         drain: u64,
-        /// Who commands it.
+        /// Name of the operator.
         by: String,
     },
-    /// The work is done and the host runs.
+    /// Declares that the maintenance is complete and the host runs.
     #[serde(rename = "Done")]
     Complete {
-        /// The drain.
+        /// Number of the drain.
         #[serde(rename = "turn")]
         drain: u64,
-        /// Who commands it.
+        /// Name of the operator.
         by: String,
     },
-    /// A process does not run any more, though nothing could find that out.
+    /// Removes a process that no longer runs, so that no drain waits for it.
     #[serde(rename = "Gone")]
     RemoveProcess {
-        /// Its name.
+        /// Name of the process.
         name: String,
-        /// Who commands it.
+        /// Name of the operator.
         by: String,
     },
-    /// All hosts that are out of service are in the schedule: nothing needs to be waited for.
+    /// Declares, after a loss of the replicated state, that the schedule lists every host that is out of
+    /// service.
     #[serde(rename = "Known")]
     DeclareRecovered {
-        /// Who commands it.
+        /// Name of the operator.
         by: String,
     },
 }
 
-/// What a command led to.
+/// Response to a command that succeeded.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum CommandResponse {
-    /// The drain, which is new or was there already.
+    /// State of the drain that the command concerns.
     #[serde(rename = "Turn")]
     Drain {
-        /// Its number.
+        /// Number of the drain.
         id: u64,
-        /// How far it has come.
+        /// Stage of the drain.
         stage: Stage,
     },
-    /// It is done.
+    /// The command was executed and concerns no open drain.
     Done,
 }
 
-/// Why a command changed nothing.
+/// Reason why a command failed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, thiserror::Error)]
 pub enum Rejection {
     /// No leader could be reached.
-    #[error("no proxy that hands out turns is reached from here: nothing is settled now")]
+    #[error("no maintenance leader is reachable from this proxy; retry later or through another proxy")]
     #[serde(rename = "NoHolder")]
     NoLeader,
-    /// The command was not committed in time. It may have been executed, and asking again does no harm.
-    #[error("it was not confirmed in time; ask again: asked twice is one request")]
+    /// The command was not committed in time. It may have been executed; repeating it is safe.
+    #[error("the command was not confirmed in time and may have been executed; repeating it is safe")]
     TimedOut,
-    /// The list does not have the host.
-    #[error("no proxy knows a host {0}")]
+    /// Discovery does not list the host.
+    #[error("unknown host {0}: discovery does not list it")]
     UnknownHost(String),
-    /// There is no such drain.
-    #[error("there is no turn {0}")]
+    /// No drain has this number.
+    #[error("there is no drain {0}")]
     #[serde(rename = "UnknownTurn")]
     UnknownDrain(u64),
-    /// There is no such process.
-    #[error("no process {0} is waited for")]
+    /// No process on the roster has this name.
+    #[error("no proxy {0} is on the roster")]
     UnknownProcess(String),
-    /// The process runs.
-    #[error("process {0} runs: it is heard")]
+    /// The process to be removed still runs.
+    #[error("proxy {0} cannot be removed: it is alive or has reported recently")]
     #[serde(rename = "Runs")]
     ProcessRuns(String),
-    /// The drain could never begin.
-    #[error("it could never begin: {0}")]
+    /// The drain could never start.
+    #[error("the drain could never start: {0}")]
     #[serde(rename = "Never")]
     Impossible(String),
     /// A text is empty, too long or not printable.
-    #[error("{0}: 1 to {MAX_TEXT_BYTES} printable characters of ASCII")]
+    #[error("invalid value of {0}: must have 1 to {MAX_TEXT_BYTES} printable ASCII characters")]
     #[serde(rename = "BadText")]
     InvalidText(String),
     /// Another operator requested the drain.
-    #[error("turn {drain} was asked for by {owner}")]
+    #[error("drain {drain} was requested by {owner}, who alone can complete it")]
     #[serde(rename = "NotYours")]
     NotOwner {
-        /// The drain.
+        /// Number of the drain.
         #[serde(rename = "turn")]
         drain: u64,
-        /// Who requested it.
+        /// Operator who requested the drain.
         #[serde(rename = "by")]
         owner: String,
     },
     /// The drain is not at a stage that allows the command.
-    #[error("turn {drain} is {stage}")]
+    #[error("drain {drain} is at stage {stage}, which does not allow the command")]
     WrongStage {
-        /// The drain.
+        /// Number of the drain.
         #[serde(rename = "turn")]
         drain: u64,
-        /// How far it has come.
+        /// Stage of the drain.
         stage: Stage,
     },
     /// The drain has ended.
-    #[error("turn {drain} has ended: {outcome}")]
+    #[error("drain {drain} has ended: {outcome}")]
     Ended {
-        /// The drain.
+        /// Number of the drain.
         #[serde(rename = "turn")]
         drain: u64,
-        /// How it ended.
+        /// Outcome of the drain.
         #[serde(rename = "end")]
         outcome: Outcome,
     },
-    /// Too many drains are open.
-    #[error("{0} turns are open, and no more are kept")]
+    /// The maximum number of open drains or pending commands is reached.
+    #[error("too many open drains or pending commands: the maximum is {0}")]
     TooMany(usize),
 }
 
@@ -140,18 +141,18 @@
     }
 }
 
-/// Whether a text can stand in a table and in the audit trail.
-fn is_valid(text: &str) -> bool {
+/// Returns whether a text is safe to print in a table and in the audit trail.
+fn is_valid_text(text: &str) -> bool {
     let is_printable = |byte: u8| byte.is_ascii_graphic() || byte == b' ';
     (1..=MAX_TEXT_BYTES).contains(&text.len()) && text.bytes().all(is_printable)
 }
 
 impl DrainRequest {
-    /// Checks what holds whatever the state of the fleet.
+    /// Validates the request as far as it does not depend on the state of the fleet.
     pub(crate) fn check(&self, max_duration: Micros) -> Result<(), Rejection> {
-        for (text, what) in [(&self.host, "host"), (&self.kind, "kind of work"), (&self.by, "by")] {
-            if !is_valid(text) {
-                return Err(Rejection::InvalidText(what.to_owned()));
+        for (text, field) in [(&self.host, "host"), (&self.kind, "kind of work"), (&self.by, "by")] {
+            if !is_valid_text(text) {
+                return Err(Rejection::InvalidText(field.to_owned()));
             }
         }
         if self.duration == 0 || self.duration > max_duration {
--- a/maintenance/src/config.rs
+++ b/maintenance/src/config.rs
@@ -1,21 +1,22 @@
-//! How many hosts may be out of service, and how long drains may take.
+//! Limits on hosts out of service, and time limits of drains.
 
 use flaxhead_lease::Micros;
 
-/// What may be out of service at once, as the operators configure it.
+/// Limits on the hosts that are out of service at the same time.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Limits {
-    /// Maximum number of hosts in all.
+    /// Maximum number of hosts in total.
     pub max_total: u32,
     /// Maximum number of hosts in a zone.
     pub max_per_zone: u32,
     /// Maximum number of hosts in a pod.
     pub max_per_pod: u32,
-    /// Calls that a warm host of size 1 can have in flight, in thousandths; 0: not known, and the load is ignored.
+    /// Concurrent calls that a warm host of size 1 can serve, in thousandths of a call; 0: unknown, capacity
+    /// is not checked.
     pub millicalls_per_host: u32,
-    /// Capacity that must be left beside the load, in thousandths of the load.
+    /// Capacity that must remain in excess of the load, in thousandths of the load.
     pub load_margin_per_mille: u32,
-    /// The longest that a host may be out of service.
+    /// Maximum duration that a request may state.
     pub max_duration: Micros,
 }
 
@@ -33,23 +34,24 @@
 }
 
 impl Limits {
-    /// The limit, by its name in the operators' file, that allows no drain at all; `None`: drains are possible.
-    pub(crate) fn forbidding(&self) -> Option<&'static str> {
+    /// Returns the name of a limit of 0, which forbids every drain, as rejections state it; `None`: drains
+    /// are possible.
+    pub(crate) fn zero_limit(&self) -> Option<&'static str> {
         let limits = [(self.max_total, "all"), (self.max_per_zone, "zone"), (self.max_per_pod, "pod")];
         limits.into_iter().find(|(limit, _)| *limit == 0).map(|(_, name)| name)
     }
 }
 
-/// The configuration of the drains, the same at all processes.
+/// Configuration of the scheduler, the same at all processes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct SchedulerConfig {
-    /// How long a host may take to drain before its drain fails.
+    /// Time that a host may take to drain before the drain fails.
     pub max_drain_time: Micros,
-    /// How long a host that is back in service counts as out, if it does not warm up.
+    /// Time after which a recovering host no longer counts as out of service, even if it has not warmed up.
     pub max_recovery_time: Micros,
-    /// What may be out of service.
+    /// Limits on hosts out of service.
     pub limits: Limits,
-    /// Maximum number of drains that are remembered after their end.
+    /// Maximum number of ended drains that are kept.
     pub max_completed: usize,
     /// Maximum number of open drains.
     pub max_open: usize,
--- a/maintenance/src/exclusion.rs
+++ b/maintenance/src/exclusion.rs
@@ -1,32 +1,33 @@
-//! The part of every process: to which hosts it may send.
+//! Hosts that a process sends no new calls to.
 
 use crate::application_types::Maintenance;
 use crate::stage::Stage;
 use flaxhead_lease::{AdmissionStatus, Machine, Member, Micros};
 use std::collections::BTreeSet;
 
-/// A host that nothing new is sent to.
+/// Host that receives no new calls.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ExcludedHost {
-    /// Its name.
+    /// Name of the host.
     pub host: String,
-    /// From when on; 0: now.
+    /// Time from which no new call is sent to the host, by the clock of this process; 0: at once.
     pub from: Micros,
 }
 
-/// From when on nothing new is sent to a host; `None`: it is not excluded.
+/// Returns the time from which no new call is sent to a host; `None`: the host is not excluded.
 pub(crate) fn excluded_from(member: &Member<Maintenance>, host: &str) -> Option<Micros> {
     let drains = &member.state().state.drains;
     let stages = drains.iter().filter(|drain| drain.request.host == host).map(|drain| drain.stage);
     match stages.max()? {
         Stage::Requested | Stage::Recovering => None,
-        // A process that is not admitted confirms nothing, so nobody waits for it.
+        // The leader waits only for admitted processes to confirm the drain, so others exclude the host at
+        // once.
         Stage::Scheduled => Some(if member.is_admitted() { member.lease_expiry() } else { 0 }),
         Stage::Draining | Stage::OutOfService => Some(0),
     }
 }
 
-/// The hosts that are excluded, now or from a moment on.
+/// Returns the hosts that are excluded, now or from a later time.
 pub fn excluded_hosts(machine: &Machine<Maintenance>) -> Vec<ExcludedHost> {
     let member = machine.member();
     let drains = &member.state().state.drains;
@@ -38,7 +39,7 @@
     hosts.into_iter().filter_map(excluded).collect()
 }
 
-/// Whether something new may be sent to a host.
+/// Returns whether a new call may be sent to a host now.
 pub fn may_send(machine: &Machine<Maintenance>, now: Micros, host: &str) -> bool {
     machine.admission_status() != AdmissionStatus::Pending
         && excluded_from(machine.member(), host).is_none_or(|from| now < from)
--- a/maintenance/src/facts.rs
+++ b/maintenance/src/facts.rs
@@ -1,38 +1,36 @@
-//! What a process knows of hosts, from discovery and its own calls.
+//! The state of hosts, from discovery and from the calls of this process.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A host, as discovery lists it and this process's calls find it.
+/// State of a host, from discovery and from the calls of this process.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct HostStatus {
-    /// Its zone.
+    /// Zone of the host.
     pub zone: String,
-    /// Its pod.
+    /// Pod of the host.
     pub pod: u32,
-    /// Discovery lists it as ready.
+    /// Discovery lists the host as ready.
     pub ready: bool,
-    /// Calls to it fail.
+    /// Calls to the host fail.
     pub failing: bool,
-    /// How far it has warmed up, in thousandths.
+    /// Progress of the warm-up, in thousandths; 1000: warm.
     pub warmth: u32,
-    /// Its size relative to the others', in thousandths.
+    /// Capacity relative to a host of size 1, in thousandths.
     pub weight: u32,
 }
 
 impl HostStatus {
-    /// The `warmth` of a host that has warmed up.
-    pub(crate) const WARM: u32 = 1_000;
+    pub(crate) const WARM_PER_MILLE: u32 = 1_000;
 
-    /// Whether it has warmed up.
     pub(crate) fn is_warm(&self) -> bool {
-        self.warmth >= HostStatus::WARM
+        self.warmth >= HostStatus::WARM_PER_MILLE
     }
 }
 
-/// All hosts.
+/// State of all hosts.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct HostFacts {
-    /// By name.
+    /// Hosts, by name.
     pub hosts: BTreeMap<String, HostStatus>,
     /// Zones in which this process reaches no host.
     pub lost_zones: BTreeSet<String>,
--- a/maintenance/src/lib.rs
+++ b/maintenance/src/lib.rs
@@ -1,10 +1,10 @@
-//! Which host is drained for maintenance next, as the client proxies agree upon it: an [`flaxhead_lease::Application`],
-//! without I/O or clock.
+//! Scheduling of host maintenance among the client proxies, as an [`flaxhead_lease::Application`] without I/O
+//! or clock.
 //!
-//! The [`DrainSchedule`] holds all drains. **Every** process on the roster has applied it before operators are told that a
-//! host is free. A drain is requested, scheduled, draining, out of service and free, and recovering; the leader moves it on
-//! ([`Maintenance`]), and each process sends nothing new to the hosts that its schedule excludes ([`excluded_hosts`],
-//! [`may_send`]).
+//! The [`DrainSchedule`] holds all drains and is replicated to every process. The leader ([`Maintenance`])
+//! moves a drain through its stages: requested, scheduled, draining, out of service, recovering. Each process
+//! sends no new calls to the hosts that its schedule excludes ([`excluded_hosts`], [`may_send`]). Operators
+//! are told that a host is free only when no process can still have a call in flight there.
 
 mod application;
 mod application_types;
@@ -30,13 +30,13 @@
 pub use stage::{Outcome, Stage};
 pub use view::{view, DrainView, MaintenanceView, ProcessView};
 
-/// One process's part in the drains.
+/// The protocol state of one process.
 pub type Machine = flaxhead_lease::Machine<Maintenance>;
 /// A message between two processes.
 pub type Message = flaxhead_lease::Message<Maintenance>;
-/// What the driver is to do.
+/// An action for the driver.
 pub type Effect = flaxhead_lease::Effect<Maintenance>;
-/// What a process knows from outside the protocol.
+/// Facts that a process has from outside the protocol: hosts and the membership.
 pub type Facts = flaxhead_lease::Facts<HostFacts>;
-/// What a process is given with everything that happens.
+/// The time, facts and randomness that accompany each input.
 pub type Context<'a> = flaxhead_lease::Context<'a, HostFacts>;
--- a/maintenance/src/request.rs
+++ b/maintenance/src/request.rs
@@ -1,24 +1,24 @@
-//! What operators request.
+//! Requests of operators.
 
 use flaxhead_lease::Micros;
 use serde::{Deserialize, Serialize};
 
-/// A request to drain a host for maintenance.
+/// Request to drain a host for maintenance.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct DrainRequest {
-    /// The host, by its name in discovery.
+    /// Host, by its name in discovery.
     pub host: String,
-    /// The kind of work, in the operators' words.
+    /// Kind of maintenance, as the operator names it.
     pub kind: String,
-    /// Who requests it.
+    /// Name of the operator.
     pub by: String,
-    /// How long the work takes.
+    /// Expected duration of the maintenance.
     #[serde(rename = "lasts")]
     pub duration: Micros,
-    /// The time from now before which it must not begin.
+    /// Earliest start, from now.
     pub not_before: Micros,
-    /// The time from now after which it must not begin; `None`: it may begin at any time.
+    /// Latest start, from now; `None`: no limit.
     pub not_after: Option<Micros>,
-    /// The host is out of service already, as after all proxies have lost their state.
+    /// The host is out of service already, as when the proxies have lost their state.
     pub already_out: bool,
 }
--- a/maintenance/src/schedule.rs
+++ b/maintenance/src/schedule.rs
@@ -1,4 +1,4 @@
-//! The drains, as every process has them.
+//! The replicated schedule of drains.
 
 use crate::request::DrainRequest;
 use crate::stage::{Outcome, Stage};
@@ -6,52 +6,52 @@
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// An open drain. Its times are spans up to now: they mean the same by every clock.
+/// Open drain. Times are relative to now, so that they do not depend on the clock of a process.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Drain {
-    /// Its number; an older drain has a lower one.
+    /// Number of the drain; later drains have higher numbers.
     pub id: u64,
-    /// What was requested. Its times are counted down.
+    /// Request, with its times counted down.
     pub request: DrainRequest,
-    /// How far it has come.
+    /// Current stage.
     pub stage: Stage,
-    /// The leader's count of the schedule with which it came to this stage.
+    /// Sequence number of the schedule in which the drain reached its stage, as its leader counts.
     pub stage_seq: u64,
-    /// How long it has been at this stage.
+    /// Time since the drain reached its stage.
     pub stage_age: Micros,
-    /// It is committed that the host is out of service, so the work may begin: whoever leads next knows it.
+    /// Maintenance may start: the host is out of service, and a majority of voters has stored that.
     pub is_free: bool,
-    /// What it waits for; empty: nothing.
+    /// Condition that the drain waits for; empty: none.
     pub waits_for: String,
 }
 
-/// A drain that has ended.
+/// Drain that has ended.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct CompletedDrain {
-    /// Its number.
+    /// Number of the drain.
     pub id: u64,
-    /// Its host.
+    /// Host, by its name in discovery.
     pub host: String,
-    /// Who requested it.
+    /// Operator who requested the drain.
     pub by: String,
-    /// How it ended.
+    /// Outcome of the drain.
     #[serde(rename = "end")]
     pub outcome: Outcome,
 }
 
-/// All drains.
+/// Schedule of all drains.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct DrainSchedule {
-    /// The number of the latest drain.
+    /// Number of the latest drain.
     pub last_id: u64,
-    /// The open ones, the oldest first.
+    /// Open drains, the oldest first.
     pub drains: Vec<Drain>,
-    /// The last that have ended, the latest last.
+    /// Most recently ended drains, the latest last.
     pub completed: VecDeque<CompletedDrain>,
 }
 
 impl DrainSchedule {
-    /// An open drain, by its number.
+    /// Returns an open drain, by its number.
     pub fn drain(&self, id: u64) -> Option<&Drain> {
         self.drains.iter().find(|drain| drain.id == id)
     }
@@ -60,17 +60,17 @@
         self.drains.iter_mut().find(|drain| drain.id == id)
     }
 
-    /// The open drain of a host.
+    /// Returns the open drain of a host.
     pub fn drain_for_host(&self, host: &str) -> Option<&Drain> {
         self.drains.iter().find(|drain| drain.request.host == host)
     }
 
-    /// A drain that has ended, if it is still remembered.
+    /// Returns an ended drain, by its number, if it is still kept.
     pub fn completed_drain(&self, id: u64) -> Option<&CompletedDrain> {
         self.completed.iter().rev().find(|drain| drain.id == id)
     }
 
-    /// Opens a drain. Returns its number.
+    /// Opens a drain and returns its number.
     pub(crate) fn open(&mut self, request: DrainRequest, stage: Stage) -> u64 {
         self.last_id += 1;
         self.drains.push(Drain {
@@ -85,17 +85,18 @@
         self.last_id
     }
 
-    /// Ends a drain. Of those that have ended, `max_completed` are remembered.
+    /// Ends an open drain, and keeps the latest `max_completed` ended drains.
     pub(crate) fn complete(&mut self, id: u64, outcome: Outcome, max_completed: usize) {
-        let Some(place) = self.drains.iter().position(|drain| drain.id == id) else { return };
-        let DrainRequest { host, by, .. } = self.drains.remove(place).request;
+        let Some(index) = self.drains.iter().position(|drain| drain.id == id) else { return };
+        let DrainRequest { host, by, .. } = self.drains.remove(index).request;
         self.completed.push_back(CompletedDrain { id, host, by, outcome });
         while self.completed.len() > max_completed {
             self.completed.pop_front();
         }
     }
 
-    /// Takes over a drain of another schedule. Returns whether that was new.
+    /// Merges a drain of another schedule into this one; the later stage wins. Returns whether this schedule
+    /// changed.
     fn absorb_drain(&mut self, other: &Drain) -> bool {
         match self.drains.iter_mut().find(|own| own.request.host == other.request.host) {
             Some(own) if own.stage >= other.stage => false,
@@ -105,9 +106,9 @@
                 true
             }
             None => {
-                let is_taken = self.drains.iter().any(|own| own.id == other.id);
-                self.last_id = self.last_id.max(other.id) + u64::from(is_taken);
-                let id = if is_taken { self.last_id } else { other.id };
+                let is_id_taken = self.drains.iter().any(|own| own.id == other.id);
+                self.last_id = self.last_id.max(other.id) + u64::from(is_id_taken);
+                let id = if is_id_taken { self.last_id } else { other.id };
                 self.drains.push(Drain { id, ..other.clone() });
                 self.drains.sort_by_key(|drain| drain.id);
                 true
@@ -126,7 +127,7 @@
         }
     }
 
-    /// Takes over what another schedule has announced.
+    /// Merges the drains of another schedule that have been scheduled; requests are left out.
     fn absorb(&mut self, other: &DrainSchedule) -> bool {
         let mut is_changed = false;
         for drain in other.drains.iter().filter(|drain| drain.stage >= Stage::Scheduled) {
--- a/maintenance/src/scheduler/commands.rs
+++ b/maintenance/src/scheduler/commands.rs
@@ -1,4 +1,4 @@
-//! How the commands of operators are executed.
+//! Execution of operators' commands.
 
 use super::state::Scheduler;
 use crate::command::{Command, CommandResponse, Rejection};
@@ -7,29 +7,33 @@
 use crate::stage::{Outcome, Stage};
 use flaxhead_lease::{Presence, Process};
 
-/// The drain in events that are of none.
+/// Drain number in events that concern no drain.
 const NO_DRAIN: u64 = 0;
 
 impl Scheduler<'_, '_> {
-    /// Executes a command; the response counts once its effect is committed.
+    /// Executes a command. The response is valid once the changed schedule is committed.
     pub(crate) fn execute(&mut self, command: Command) -> Result<CommandResponse, Rejection> {
         match command {
             Command::Request(request) => self.request(request),
             Command::Withdraw { drain, by } => self.withdraw(drain, by),
-            Command::Complete { drain, by } => self.finish_work(drain, &by),
+            Command::Complete { drain, by } => self.complete_maintenance(drain, &by),
             Command::RemoveProcess { name, by } => self.remove_process(&name, &by),
             Command::DeclareRecovered { by } => {
                 if self.leader.declare_recovered() {
                     let reason = format!("all that is out is on the board, by the word of {by}");
-                    self.record(NO_DRAIN, "known", reason);
+                    self.record_event(NO_DRAIN, "known", reason);
                 }
                 Ok(CommandResponse::Done)
             }
         }
     }
 
-    /// An open drain.
-    fn open_drain(&self, id: u64) -> Result<&Drain, Rejection> {
+    /// Finds an open drain.
+    ///
+    /// # Errors
+    ///
+    /// The drain has ended, or there is none of this number.
+    fn find_open_drain(&self, id: u64) -> Result<&Drain, Rejection> {
         if let Some(drain) = self.schedule().drain(id) {
             return Ok(drain);
         }
@@ -39,11 +43,11 @@
         })
     }
 
-    /// Opens a drain. Requested twice, it is one.
+    /// Opens a drain, unless the host has one already that is not recovering.
     fn request(&mut self, request: DrainRequest) -> Result<CommandResponse, Rejection> {
         request.check(self.config.limits.max_duration)?;
-        let open = self.schedule().drain_for_host(&request.host);
-        if let Some(drain) = open.filter(|drain| drain.stage != Stage::Recovering) {
+        let existing = self.schedule().drain_for_host(&request.host);
+        if let Some(drain) = existing.filter(|drain| drain.stage != Stage::Recovering) {
             return Ok(CommandResponse::Drain { id: drain.id, stage: drain.stage });
         }
         if self.schedule().drains.len() >= self.config.max_open {
@@ -51,7 +55,7 @@
         }
         let reason = format!("{}, by {}", request.kind, request.by);
         if request.already_out {
-            // That is so whatever the limits say; by them it keeps the others waiting.
+            // The host is out of service whatever the limits allow, and counts towards them.
             return Ok(self.open(
                 request,
                 Stage::OutOfService,
@@ -59,16 +63,16 @@
                 format!("{reason}: it was out already"),
             ));
         }
-        self.check_possible(&request)?;
+        self.check_feasible(&request)?;
         Ok(self.open(request, Stage::Requested, "asked", reason))
     }
 
-    /// Whether a drain of the host could ever begin.
-    fn check_possible(&self, request: &DrainRequest) -> Result<(), Rejection> {
-        if let Some(limit) = self.config.limits.forbidding() {
+    /// Checks that a drain of the host could start at some time.
+    fn check_feasible(&self, request: &DrainRequest) -> Result<(), Rejection> {
+        if let Some(limit) = self.config.limits.zero_limit() {
             return Err(Rejection::Impossible(format!("the limit {limit} is 0")));
         }
-        // Before the leader has a list itself it can say nothing of hosts.
+        // Without a host list of its own, the leader cannot tell whether the host exists.
         let hosts = &self.leader.facts.application.hosts;
         if hosts.is_empty() {
             return Err(Rejection::NoLeader);
@@ -81,41 +85,41 @@
 
     fn open(&mut self, request: DrainRequest, stage: Stage, change: &str, reason: String) -> CommandResponse {
         let id = self.schedule_mut().open(request, stage);
-        self.record(id, change, reason);
+        self.record_event(id, change, reason);
         self.leader.publish();
         if stage == Stage::OutOfService {
-            self.move_to(id, stage);
+            self.move_to_stage(id, stage);
         }
         CommandResponse::Drain { id, stage }
     }
 
-    /// Withdraws a request. Withdrawn twice by one operator, as where the first response was lost, it is withdrawn.
+    /// Withdraws a drain. Succeeds again for the same operator, whose first response may have been lost.
     fn withdraw(&mut self, id: u64, by: String) -> Result<CommandResponse, Rejection> {
-        let stage = match self.open_drain(id) {
-            Err(Rejection::Ended { outcome: Outcome::Withdrawn { by: before }, .. }) if before == by => {
+        let stage = match self.find_open_drain(id) {
+            Err(Rejection::Ended { outcome: Outcome::Withdrawn { by: earlier }, .. }) if earlier == by => {
                 return Ok(CommandResponse::Done);
             }
-            open => open?.stage,
+            found => found?.stage,
         };
         if stage >= Stage::OutOfService {
             return Err(Rejection::WrongStage { drain: id, stage });
         }
-        self.record(id, "withdrawn", format!("by {by}"));
+        self.record_event(id, "withdrawn", format!("by {by}"));
         self.complete(id, Outcome::Withdrawn { by });
         self.leader.publish();
         Ok(CommandResponse::Done)
     }
 
-    /// The work is done: the host is back in service.
-    fn finish_work(&mut self, id: u64, by: &str) -> Result<CommandResponse, Rejection> {
-        let drain = self.open_drain(id)?;
+    /// Returns the host to service after its maintenance.
+    fn complete_maintenance(&mut self, id: u64, by: &str) -> Result<CommandResponse, Rejection> {
+        let drain = self.find_open_drain(id)?;
         let (stage, owner) = (drain.stage, drain.request.by.clone());
         match stage {
             Stage::Recovering => {}
             Stage::OutOfService if owner != by => return Err(Rejection::NotOwner { drain: id, owner }),
             Stage::OutOfService => {
-                self.record(id, "back", format!("done by {by}"));
-                self.move_to(id, Stage::Recovering);
+                self.record_event(id, "back", format!("done by {by}"));
+                self.move_to_stage(id, Stage::Recovering);
                 self.leader.publish();
             }
             stage => return Err(Rejection::WrongStage { drain: id, stage }),
@@ -123,7 +127,7 @@
         Ok(CommandResponse::Drain { id, stage: Stage::Recovering })
     }
 
-    /// Removes the processes of a name that are not heard and, by the operators' word, do not run.
+    /// Removes the processes of a name, unless the membership lists them as alive or they reported recently.
     fn remove_process(&mut self, name: &str, by: &str) -> Result<CommandResponse, Rejection> {
         let has_name = |process: &Process| process.name.as_str() == name;
         if !self.leader.processes().any(|(process, _)| has_name(process)) {
@@ -138,11 +142,11 @@
         }
         silent.iter().for_each(|process| self.leader.remove_process(process));
         let reason = format!("{name} does not run any more, by the word of {by}");
-        self.record(NO_DRAIN, "gone", reason);
+        self.record_event(NO_DRAIN, "gone", reason);
         Ok(CommandResponse::Done)
     }
 
-    /// Whether a process runs, according to the membership.
+    /// Returns whether a process runs, according to the membership.
     fn is_running(&self, process: &Process) -> bool {
         let member = self.leader.facts.members.get(&process.name);
         member.is_some_and(|member| {
--- a/maintenance/src/scheduler/mod.rs
+++ b/maintenance/src/scheduler/mod.rs
@@ -1,4 +1,4 @@
-//! The part of the leader: it moves drains on, and executes commands.
+//! The leader's scheduler: moves drains through their stages and executes commands.
 
 mod commands;
 mod progress;
--- a/maintenance/src/scheduler/progress.rs
+++ b/maintenance/src/scheduler/progress.rs
@@ -1,4 +1,4 @@
-//! How a drain progresses.
+//! Progress of drains through their stages.
 
 use super::state::Scheduler;
 use crate::application_types::Maintenance;
@@ -6,32 +6,32 @@
 use crate::stage::{Outcome, Stage};
 use flaxhead_lease::{Config, PeerState, Process};
 
-/// What a drain does now.
+/// Next action for a drain.
 enum Progress {
-    /// It moves to the next stage.
+    /// Moves the drain to the next stage.
     Move { to: Stage, change: &'static str, reason: String },
-    /// Operators may begin the work.
+    /// Tells operators that maintenance may start.
     Free,
-    /// It ends.
+    /// Ends the drain.
     End { outcome: Outcome, change: &'static str, reason: String },
-    /// It waits for this; empty: for the operators.
+    /// Waits for a condition; empty: for the operators.
     Wait(String),
-    /// It waits to be selected, which tells what keeps it waiting.
+    /// Waits to be selected; the selection sets the condition that the drain waits for.
     AwaitSelection,
 }
 
 impl Progress {
-    fn moves(to: Stage, change: &'static str, reason: &str) -> Progress {
+    fn move_to(to: Stage, change: &'static str, reason: &str) -> Progress {
         Progress::Move { to, change, reason: reason.to_owned() }
     }
 
-    fn waits(reason: &str) -> Progress {
+    fn wait_for(reason: &str) -> Progress {
         Progress::Wait(reason.to_owned())
     }
 }
 
 impl Scheduler<'_, '_> {
-    /// Does what can be done.
+    /// Advances all drains as far as possible, and selects the next one.
     pub(crate) fn step(&mut self) {
         let ids: Vec<u64> = self.schedule().drains.iter().map(|drain| drain.id).collect();
         let mut has_changed = false;
@@ -44,24 +44,24 @@
         }
     }
 
-    /// Moves a drain on, if it can be. Returns whether the schedule has changed by that.
+    /// Advances a drain if possible. Returns whether the schedule must be replicated.
     fn step_drain(&mut self, id: u64) -> bool {
         let Some(drain) = self.schedule().drain(id) else { return false };
         match self.progress(drain) {
             Progress::Move { to, change, reason } => {
-                self.record(id, change, reason);
-                self.move_to(id, to);
+                self.record_event(id, change, reason);
+                self.move_to_stage(id, to);
                 true
             }
             Progress::Free => {
-                self.record(id, "free", "a majority of voters knows that it is out".to_owned());
+                self.record_event(id, "free", "a majority of voters knows that it is out".to_owned());
                 if let Some(drain) = self.schedule_mut().drain_mut(id) {
                     drain.is_free = true;
                 }
                 true
             }
             Progress::End { outcome, change, reason } => {
-                self.record(id, change, reason);
+                self.record_event(id, change, reason);
                 self.complete(id, outcome);
                 true
             }
@@ -74,9 +74,9 @@
     }
 
     fn progress(&self, drain: &Drain) -> Progress {
-        let is_late = drain.request.not_after == Some(0);
+        let is_past_latest_start = drain.request.not_after == Some(0);
         match drain.stage {
-            Stage::Requested | Stage::Scheduled if is_late => {
+            Stage::Requested | Stage::Scheduled if is_past_latest_start => {
                 let reason = drain.waits_for.clone();
                 let outcome = Outcome::Expired { reason: reason.clone() };
                 Progress::End { outcome, change: "expired", reason }
@@ -89,25 +89,25 @@
         }
     }
 
-    /// A scheduled drain waits until every process knows that it is next.
+    /// Waits until every process has confirmed the drain, then begins draining.
     fn progress_of_scheduled(&self, drain: &Drain) -> Progress {
-        match self.not_announced_to(drain.stage_seq) {
-            None => Progress::moves(Stage::Draining, "draining", "all know that it is next"),
+        match self.unconfirmed_process(drain.stage_seq) {
+            None => Progress::move_to(Stage::Draining, "draining", "all know that it is next"),
             Some(process) => Progress::Wait(format!("{} has not confirmed that it is next", process.name)),
         }
     }
 
-    /// A process that has not applied the schedule of this count.
-    fn not_announced_to(&self, seq: u64) -> Option<&Process> {
+    /// Returns a process that has not applied the schedule of this sequence number; `None`: all have.
+    fn unconfirmed_process(&self, seq: u64) -> Option<&Process> {
         let mut processes = self.leader.processes();
         let process = processes.find(|(_, peer)| !self.leader.has_applied(peer, seq));
         process.map(|(process, _)| process)
     }
 
     fn progress_of_draining(&self, drain: &Drain) -> Progress {
-        match self.not_drained(drain) {
+        match self.drain_blocker(drain) {
             None => {
-                Progress::moves(Stage::OutOfService, "out", "nothing is sent there and nothing runs there")
+                Progress::move_to(Stage::OutOfService, "out", "nothing is sent there and nothing runs there")
             }
             Some(reason) if drain.stage_age >= self.config.max_drain_time => {
                 let outcome = Outcome::Failed { reason: reason.clone() };
@@ -117,15 +117,16 @@
         }
     }
 
-    /// What a draining host waits for; `None`: it is drained.
-    fn not_drained(&self, drain: &Drain) -> Option<String> {
+    /// Returns why a draining host is not yet out of service; `None`: it is drained.
+    fn drain_blocker(&self, drain: &Drain) -> Option<String> {
         let mut processes = self.leader.processes();
-        processes.find_map(|(process, peer)| self.not_drained_by(drain, process, peer))
+        processes.find_map(|(process, peer)| self.drain_blocker_at(drain, process, peer))
     }
 
-    /// A process is done with a host once it has stopped sending and has no call in flight there, or its lease has
-    /// expired, and with it all calls that it can have had in flight.
-    fn not_drained_by(
+    /// Returns why the host is not drained for one process; `None`: it is. A host is drained for a process
+    /// that has confirmed the drain and has no call in flight there, or whose lease expired longer ago than
+    /// any call lasts.
+    fn drain_blocker_at(
         &self,
         drain: &Drain,
         process: &Process,
@@ -150,7 +151,7 @@
         if !drain.is_free && self.leader.is_committed(drain.stage_seq) {
             Progress::Free
         } else if is_overdue {
-            Progress::waits("it is overdue: it should be back")
+            Progress::wait_for("it is overdue: it should be back")
         } else {
             Progress::Wait(String::new())
         }
@@ -164,7 +165,7 @@
         } else if drain.stage_age >= self.config.max_recovery_time {
             "it has not shown itself warm in time"
         } else {
-            return Progress::waits("it is not warm yet");
+            return Progress::wait_for("it is not warm yet");
         };
         Progress::End { outcome: Outcome::Completed, change: "done", reason: reason.to_owned() }
     }
--- a/maintenance/src/scheduler/scheduling.rs
+++ b/maintenance/src/scheduler/scheduling.rs
@@ -1,4 +1,4 @@
-//! Which drain is scheduled next.
+//! Selection of the next drain by the leader.
 
 use super::state::Scheduler;
 use crate::application_types::UsageReport;
@@ -8,15 +8,15 @@
 use std::collections::BTreeSet;
 
 impl Scheduler<'_, '_> {
-    /// Schedules a drain, if one may be. Returns whether one was.
+    /// Schedules the next drain if the limits allow one. Returns whether a drain was scheduled.
     pub(super) fn schedule_next(&mut self) -> bool {
         let Selection { next, blocked } = self.select();
         for drain in blocked {
             self.set_waits_for(drain.id, drain.reason.to_string());
         }
         let Some(id) = next else { return false };
-        self.record(id, "settled", "it is its turn".to_owned());
-        self.move_to(id, Stage::Scheduled);
+        self.record_event(id, "settled", "it is its turn".to_owned());
+        self.move_to_stage(id, Stage::Scheduled);
         true
     }
 
@@ -38,28 +38,27 @@
         self.leader.processes().filter_map(|(_, peer)| peer.report())
     }
 
-    /// What blocks every drain.
+    /// Returns the reason that blocks every drain; `None`: the leader may schedule one.
     fn blocked_by(&self) -> Option<BlockedReason> {
         if self.leader.state_lost_since().is_some() {
             return Some(BlockedReason::StateLost);
         }
-        // Its own report is not enough to know the fleet: it must have heard all processes, or know what became of them.
+        // The load and the lost zones are known only if every process has reported recently.
         let unsettled = |reason: String| Some(BlockedReason::MembershipUnsettled(reason));
         let members = &self.leader.facts.members;
         let is_suspected = |member: &MemberStatus| member.presence == Presence::Suspected;
         if let Some((name, _)) = members.iter().find(|(_, member)| is_suspected(member)) {
             return unsettled(format!("{name} is doubted"));
         }
-        if let Some((name, _)) = members.iter().find(|(name, member)| self.is_outside(name, member)) {
+        if let Some((name, _)) = members.iter().find(|(name, member)| self.is_unenrolled(name, member)) {
             return unsettled(format!("{name} runs and is not let in yet"));
         }
-        let unheard = self.leader.processes().find(|(_, peer)| !self.leader.heard_recently(peer));
-        unheard
-            .and_then(|(process, _)| unsettled(format!("{} is not heard and may still send", process.name)))
+        let silent = self.leader.processes().find(|(_, peer)| !self.leader.heard_recently(peer));
+        silent.and_then(|(process, _)| unsettled(format!("{} is not heard and may still send", process.name)))
     }
 
-    /// Whether a member runs that is not on the roster.
-    fn is_outside(&self, name: &Name, member: &MemberStatus) -> bool {
+    /// Returns whether a member is alive but not on the roster.
+    fn is_unenrolled(&self, name: &Name, member: &MemberStatus) -> bool {
         let is_enrolled = self
             .leader
             .processes()
--- a/maintenance/src/scheduler/state.rs
+++ b/maintenance/src/scheduler/state.rs
@@ -1,4 +1,4 @@
-//! What a step or a command works on.
+//! State that steps and commands of the scheduler operate on.
 
 use crate::application_types::{DrainEvent, Maintenance};
 use crate::config::SchedulerConfig;
@@ -6,7 +6,7 @@
 use crate::stage::{Outcome, Stage};
 use flaxhead_lease::LeaderContext;
 
-/// The leader, with the configuration of the drains.
+/// Scheduler at the leader, for one step or command.
 pub(crate) struct Scheduler<'a, 'b> {
     pub(super) config: &'a SchedulerConfig,
     pub(super) leader: &'a mut LeaderContext<'b, Maintenance>,
@@ -25,14 +25,14 @@
         self.leader.state_mut()
     }
 
-    pub(super) fn record(&mut self, drain: u64, change: &str, reason: String) {
+    pub(super) fn record_event(&mut self, drain: u64, change: &str, reason: String) {
         let host = self.schedule().drain(drain).map(|drain| drain.request.host.clone());
         let host = host.unwrap_or_default();
         self.leader.record_event(DrainEvent { drain, host, change: change.to_owned(), reason });
     }
 
-    /// Moves a drain to a stage. It is there with the schedule that is replicated next.
-    pub(super) fn move_to(&mut self, id: u64, stage: Stage) {
+    /// Moves a drain to a stage, as part of the schedule that is replicated next.
+    pub(super) fn move_to_stage(&mut self, id: u64, stage: Stage) {
         let stage_seq = self.leader.state_seq() + 1;
         if let Some(drain) = self.schedule_mut().drain_mut(id) {
             drain.stage = stage;
@@ -48,7 +48,8 @@
         self.schedule_mut().complete(id, outcome, max_completed);
     }
 
-    /// Sets what a drain waits for. That is replicated along with the next change: it is none by itself.
+    /// Sets the condition that a drain waits for. Does not cause a replication: it goes along with the next
+    /// change.
     pub(super) fn set_waits_for(&mut self, id: u64, reason: String) {
         if let Some(drain) = self.schedule_mut().drain_mut(id) {
             drain.waits_for = reason;
--- a/maintenance/src/selection/blocked.rs
+++ b/maintenance/src/selection/blocked.rs
@@ -1,38 +1,39 @@
-//! Why a drain is not scheduled.
+//! Reasons that block a drain.
 
 use std::fmt;
 
-/// Why a drain is not scheduled now.
+/// Reason why a drain is not scheduled now.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum BlockedReason {
-    /// It must not begin yet.
+    /// The earliest start is not reached.
     TooEarly,
-    /// As many hosts are out of service as may be.
+    /// The maximum number of hosts is out of service.
     MaxTotal(u32),
-    /// As many hosts of its zone are.
+    /// The maximum number of hosts of the zone is out of service.
     MaxPerZone(String),
-    /// As many hosts of its pod are.
+    /// The maximum number of hosts of the pod is out of service.
     MaxPerPod(u32),
-    /// The remaining hosts would not carry the load.
+    /// The remaining hosts could not serve the load with its margin.
     InsufficientCapacity {
-        /// What they can have in flight, in calls.
+        /// Concurrent calls that the remaining hosts can serve.
         remaining: u64,
-        /// What they must be able to have in flight.
+        /// Concurrent calls that they must be able to serve.
         needed: u64,
     },
-    /// A zone is lost.
+    /// Some process reaches no host of this zone.
     LostZone(String),
-    /// A member is suspected, or silent and not accounted for.
+    /// The state of a member is unknown; the text says which and why.
     MembershipUnsettled(String),
-    /// The proxies do not know what is out of service.
+    /// The replicated state was lost, and with it which hosts are out of service.
     StateLost,
     /// Discovery does not list the host.
     NotListed,
-    /// Another drain comes first.
+    /// The drain of this number has precedence.
     QueuedBehind(u64),
 }
 
-/// The sentences are values of the side port's JSON (`waits_for`), and stay as they are.
+/// The texts are values of `waits_for` in the JSON of the status page, which operators' scripts may read:
+/// they don't change.
 impl fmt::Display for BlockedReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
--- a/maintenance/src/selection/context.rs
+++ b/maintenance/src/selection/context.rs
@@ -1,4 +1,4 @@
-//! Which drain is next, and what keeps the others waiting: the same for every leader that knows the same.
+//! Selection of the next drain, as a deterministic function of the schedule and the leader's knowledge.
 
 use super::blocked::BlockedReason;
 use crate::config::Limits;
@@ -7,57 +7,57 @@
 use crate::stage::Stage;
 use std::collections::BTreeSet;
 
-const THOUSANDTHS: u64 = 1_000;
+const PER_MILLE: u64 = 1_000;
 
-/// All that the selection depends on.
+/// Input of the selection.
 pub(crate) struct SchedulingContext<'a> {
     pub schedule: &'a DrainSchedule,
     pub facts: &'a HostFacts,
     pub limits: &'a Limits,
-    /// Calls in flight at all proxies, in thousandths.
+    /// Calls in flight of all proxies, in thousandths of a call.
     pub load_millicalls: u64,
-    /// Zones that members report as lost.
+    /// Zones in which some process reaches no host.
     pub lost_zones: &'a BTreeSet<String>,
-    /// What blocks every drain.
+    /// Reason that blocks every drain.
     pub blocked_by: Option<BlockedReason>,
 }
 
-/// What was selected.
+/// Result of the selection.
 pub(crate) struct Selection {
-    /// The drain that may be scheduled now.
+    /// Number of the drain that may be scheduled now.
     pub next: Option<u64>,
-    /// All other requests.
+    /// The other requested drains, with their reasons.
     pub blocked: Vec<BlockedDrain>,
 }
 
-/// A request that is not scheduled now.
+/// Requested drain that is not scheduled now.
 pub(crate) struct BlockedDrain {
     pub id: u64,
     pub reason: BlockedReason,
 }
 
-/// Which of several requests comes first: the lower one.
+/// Order of requested drains; the lowest comes first.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Rank {
     urgency: Urgency,
-    /// A host of its pod is out of service already.
+    /// Another host of the pod counts as out of service.
     pod_is_affected: bool,
-    /// A host of its zone is out of service already.
+    /// Another host of the zone counts as out of service.
     zone_is_affected: bool,
     id: u64,
 }
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum Urgency {
-    /// The host fails: it serves nothing, so its drain costs nothing.
+    /// The host fails or is not ready, so its drain takes no capacity away.
     Failing,
     Normal,
-    /// It is the last warm host of its pod: calls that are sticky to the pod have nowhere else to go.
+    /// No other warm host is left in the pod for the calls that are sticky to it.
     LastWarmOfPod,
 }
 
 impl SchedulingContext<'_> {
-    /// Selects the drain that may be scheduled now, and tells what keeps each of the others waiting.
+    /// Selects the drain that may be scheduled now, and the reason that blocks each of the others.
     pub(crate) fn select(&self) -> Selection {
         let drains = self.schedule.drains.iter();
         let mut requested: Vec<&Drain> = drains.filter(|drain| drain.stage == Stage::Requested).collect();
@@ -80,19 +80,21 @@
         self.facts.hosts.get(&drain.request.host)
     }
 
-    /// Whether a host is out of service, or will be: by its drain, or because discovery does not list it as ready.
+    /// Returns whether a host is out of service or will be: by its drain, or because discovery does not list
+    /// it as ready.
     fn is_out(&self, name: &str, fact: &HostStatus) -> bool {
         !fact.ready || self.schedule.drain_for_host(name).is_some_and(|drain| drain.stage >= Stage::Scheduled)
     }
 
-    /// The drains that count as out of service, with what is known of their hosts.
-    fn active(&self) -> impl Iterator<Item = Option<&HostStatus>> {
+    /// Returns the hosts of all drains that count as out of service; `None`: discovery does not list the
+    /// host.
+    fn drained_hosts(&self) -> impl Iterator<Item = Option<&HostStatus>> {
         let active = self.schedule.drains.iter().filter(|drain| drain.stage >= Stage::Scheduled);
         active.map(|drain| self.host(drain))
     }
 
-    fn count_active(&self, counts: impl Fn(&HostStatus) -> bool) -> usize {
-        self.active().flatten().filter(|fact| counts(fact)).count()
+    fn count_drained(&self, matches: impl Fn(&HostStatus) -> bool) -> usize {
+        self.drained_hosts().flatten().filter(|fact| matches(fact)).count()
     }
 
     fn rank(&self, drain: &Drain) -> Rank {
@@ -102,8 +104,8 @@
         };
         Rank {
             urgency: self.urgency(drain, fact),
-            pod_is_affected: self.count_active(|other| other.pod == fact.pod) > 0,
-            zone_is_affected: self.count_active(|other| other.zone == fact.zone) > 0,
+            pod_is_affected: self.count_drained(|other| other.pod == fact.pod) > 0,
+            zone_is_affected: self.count_drained(|other| other.zone == fact.zone) > 0,
             id,
         }
     }
@@ -125,20 +127,22 @@
         }
     }
 
-    /// Calls that can be in flight without this host, in thousandths: a cold host counts by its warmth.
+    /// Calls that the other hosts can serve at the same time, in thousandths of a call. A cold host counts by
+    /// its warmth.
     fn capacity_without(&self, drain: &Drain) -> u64 {
-        let stays = |(name, fact): &(&String, &HostStatus)| {
+        let remains = |(name, fact): &(&String, &HostStatus)| {
             **name != drain.request.host && !fact.failing && !self.is_out(name, fact)
         };
         let capacity = |(_, fact): (&String, &HostStatus)| {
-            u64::from(fact.weight) * u64::from(fact.warmth.min(HostStatus::WARM))
+            u64::from(fact.weight) * u64::from(fact.warmth.min(HostStatus::WARM_PER_MILLE))
         };
-        let sum: u64 = self.facts.hosts.iter().filter(stays).map(capacity).sum();
+        let sum: u64 = self.facts.hosts.iter().filter(remains).map(capacity).sum();
         let calls = u128::from(sum) * u128::from(self.limits.millicalls_per_host);
-        u64::try_from(calls / u128::from(THOUSANDTHS * THOUSANDTHS)).unwrap_or(u64::MAX)
+        u64::try_from(calls / u128::from(PER_MILLE * PER_MILLE)).unwrap_or(u64::MAX)
     }
 
-    /// What keeps one drain waiting, were it the next.
+    /// Returns the reason that blocks a drain, other drains in the queue aside; `None`: the drain may be
+    /// scheduled.
     fn blocked_reason(&self, drain: &Drain) -> Option<BlockedReason> {
         if drain.request.not_before > 0 {
             return Some(BlockedReason::TooEarly);
@@ -150,31 +154,31 @@
             return Some(BlockedReason::LostZone(zone.clone()));
         }
         let Limits { max_total, max_per_zone, max_per_pod, .. } = *self.limits;
-        if self.active().count() >= max_total as usize {
+        if self.drained_hosts().count() >= max_total as usize {
             return Some(BlockedReason::MaxTotal(max_total));
         }
         let Some(fact) = self.host(drain) else { return Some(BlockedReason::NotListed) };
-        if self.count_active(|other| other.zone == fact.zone) >= max_per_zone as usize {
+        if self.count_drained(|other| other.zone == fact.zone) >= max_per_zone as usize {
             return Some(BlockedReason::MaxPerZone(fact.zone.clone()));
         }
-        if self.count_active(|other| other.pod == fact.pod) >= max_per_pod as usize {
+        if self.count_drained(|other| other.pod == fact.pod) >= max_per_pod as usize {
             return Some(BlockedReason::MaxPerPod(fact.pod));
         }
         self.insufficient_capacity(drain, fact)
     }
 
     fn insufficient_capacity(&self, drain: &Drain, fact: &HostStatus) -> Option<BlockedReason> {
-        // A host that serves nothing takes no capacity away.
+        // The drain of a host that does not serve takes no capacity away.
         let serves = fact.ready && !fact.failing;
         if self.limits.millicalls_per_host == 0 || !serves {
             return None;
         }
         let needed = self.load_millicalls
-            + self.load_millicalls * u64::from(self.limits.load_margin_per_mille) / THOUSANDTHS;
+            + self.load_millicalls * u64::from(self.limits.load_margin_per_mille) / PER_MILLE;
         let remaining = self.capacity_without(drain);
         (remaining < needed).then_some(BlockedReason::InsufficientCapacity {
-            remaining: remaining / THOUSANDTHS,
-            needed: needed.div_ceil(THOUSANDTHS),
+            remaining: remaining / PER_MILLE,
+            needed: needed.div_ceil(PER_MILLE),
         })
     }
 }
--- a/maintenance/src/selection/mod.rs
+++ b/maintenance/src/selection/mod.rs
@@ -1,4 +1,4 @@
-//! Which drain is next, and what keeps the others waiting.
+//! Selection of the next drain, and the reasons that block the others.
 
 mod blocked;
 mod context;
--- a/maintenance/src/stage.rs
+++ b/maintenance/src/stage.rs
@@ -1,24 +1,25 @@
-//! The stages of a drain, and how it ends. Their names in JSON and in the command's output are older than those here.
+//! Stages and outcomes of a drain. `serde` renames and `Display` keep the names of JSON and of the command
+//! line.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// How far an open drain has come.
+/// Stage of an open drain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Stage {
-    /// It waits to be scheduled.
+    /// The drain waits to be scheduled.
     #[serde(rename = "asked")]
     Requested,
-    /// It is next. A proxy sends to the host only as long as its lease lasts.
+    /// The drain was selected; a proxy sends to the host only while its lease lasts.
     #[serde(rename = "settled")]
     Scheduled,
-    /// Nothing new is sent to the host; the calls in flight there end by themselves.
+    /// Proxies send no new calls to the host; calls in flight run to their end.
     #[serde(rename = "draining")]
     Draining,
-    /// No call is in flight there.
+    /// No call is in flight at the host.
     #[serde(rename = "out")]
     OutOfService,
-    /// The host takes calls again, and counts as out until it has warmed up.
+    /// The host receives calls again, and counts as out of service until it has warmed up.
     #[serde(rename = "back")]
     Recovering,
 }
@@ -35,29 +36,29 @@
     }
 }
 
-/// How a drain ended.
+/// Outcome of a drain.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Outcome {
-    /// The work was done and the host serves.
+    /// Maintenance was completed and the host serves.
     #[serde(rename = "done")]
     Completed,
-    /// It was withdrawn.
+    /// An operator withdrew the drain.
     #[serde(rename = "withdrawn")]
     Withdrawn {
-        /// By whom.
+        /// Name of the operator.
         by: String,
     },
-    /// It could not begin in time.
+    /// The drain did not start before its latest start.
     #[serde(rename = "expired")]
     Expired {
-        /// What it last waited for.
+        /// Condition that the drain last waited for.
         #[serde(rename = "why")]
         reason: String,
     },
-    /// It could not be carried out; the host serves.
+    /// The host could not be drained in time and serves on.
     #[serde(rename = "failed")]
     Failed {
-        /// Why.
+        /// Condition that the drain last waited for.
         #[serde(rename = "why")]
         reason: String,
     },
--- a/maintenance/src/view.rs
+++ b/maintenance/src/view.rs
@@ -1,4 +1,4 @@
-//! What operators see. The names of the keys in JSON are those of the side port.
+//! The state of maintenance as the status page shows it. `serde` renames keep the keys of the JSON format.
 
 use crate::application_types::Maintenance;
 use crate::schedule::{CompletedDrain, Drain};
@@ -7,31 +7,31 @@
 use serde::{Deserialize, Serialize};
 
 const MICROS_PER_MILLI: Micros = 1_000;
-const THOUSANDTHS: f64 = 1_000.0;
+const MILLICALLS_PER_CALL: f64 = 1_000.0;
 
-/// An open drain.
+/// Open drain, as operators see it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DrainView {
-    /// Its number.
+    /// Number of the drain.
     pub id: u64,
-    /// Its host.
+    /// Host, by its name in discovery.
     pub host: String,
-    /// The kind of work.
+    /// Kind of maintenance, as the operator named it.
     pub kind: String,
-    /// Who requested it.
+    /// Operator who requested the drain.
     pub by: String,
-    /// How far it has come.
+    /// Current stage.
     pub stage: Stage,
-    /// The work may begin.
+    /// The host is out of service, and maintenance may start.
     #[serde(rename = "free")]
     pub is_free: bool,
-    /// How long it has been at its stage, in milliseconds.
+    /// Time since the drain reached its stage, in milliseconds.
     #[serde(rename = "for_ms")]
     pub stage_age_ms: u64,
-    /// How long the work takes, in milliseconds.
+    /// Requested duration of the maintenance, in milliseconds.
     #[serde(rename = "lasts_ms")]
     pub duration_ms: u64,
-    /// What it waits for; empty: nothing.
+    /// Condition that the drain waits for; empty: none.
     pub waits_for: String,
 }
 
@@ -51,21 +51,21 @@
     }
 }
 
-/// A process on the roster, as the leader sees it.
+/// Process on the roster, as the leader sees it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ProcessView {
-    /// Its name.
+    /// Name of the process.
     pub name: String,
-    /// Its incarnation, in hexadecimal digits.
+    /// Incarnation, in hexadecimal digits.
     #[serde(rename = "life")]
     pub incarnation: String,
-    /// The version of the schedule that it has applied.
+    /// Version of the schedule that the process has applied.
     #[serde(rename = "confirmed")]
     pub applied: String,
-    /// How long ago it last reported, in milliseconds; `None`: it has not reported to this leader.
+    /// Time since the last report, in milliseconds; `None`: no report to this leader.
     #[serde(rename = "heard_ms")]
     pub reported_ms: Option<u64>,
-    /// Calls in flight.
+    /// Mean number of calls in flight over the last seconds.
     #[serde(rename = "in_hand")]
     pub in_flight: f64,
 }
@@ -78,34 +78,34 @@
             incarnation: format!("{:016x}", process.incarnation),
             applied: peer.version().to_string(),
             reported_ms: peer.last_report_at().map(|at| now.saturating_sub(at) / MICROS_PER_MILLI),
-            in_flight: f64::from(load) / THOUSANDTHS,
+            in_flight: f64::from(load) / MILLICALLS_PER_CALL,
         }
     }
 }
 
-/// All that a process knows of the drains.
+/// State of maintenance at one process.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MaintenanceView {
-    /// Its lease, and who leads.
+    /// Lease of the process, and the leader.
     #[serde(flatten)]
     pub lease: LeaseStatus,
-    /// The open drains.
+    /// Open drains, the oldest first.
     #[serde(rename = "turns")]
     pub drains: Vec<DrainView>,
-    /// The last that have ended.
+    /// Most recently ended drains, the latest last.
     #[serde(rename = "past")]
     pub completed: Vec<CompletedDrain>,
-    /// At the leader: the processes on the roster.
+    /// Processes on the roster; empty at processes other than the leader.
     #[serde(rename = "members")]
     pub processes: Vec<ProcessView>,
 }
 
-/// What a process knows of the drains.
+/// Returns the state of maintenance as this process knows it.
 pub fn view(machine: &Machine<Maintenance>, now: Micros) -> MaintenanceView {
     let leader = machine.leader_state(now);
     let mut schedule = machine.member().current_state(now).state;
     if let Some(leader) = leader {
-        // What its drains wait for is replicated with the next change only.
+        // A change of `waits_for` alone is not replicated, so the leader's own values are the latest.
         for drain in &mut schedule.drains {
             let own = leader.state().state.drain(drain.id).map(|own| own.waits_for.clone());
             drain.waits_for = own.unwrap_or_default();
--- a/maintenance/src/view/tests.rs
+++ b/maintenance/src/view/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn the_json_has_one_level_and_keeps_its_keys_and_their_order() {
+fn json_is_flat_and_keeps_the_order_of_its_keys() {
     let text = "{\"me\":\"n1\",\"holder\":\"n0\",\"fence\":\"1.n0\",\"holds\":false,\"forgotten\":false,\
                     \"serving\":\"admitted\",\"reason\":\"let in by the holder\",\"permitted_ms\":5000,\"version\":\"1.n0.4\",\"voter\":\"sure\",\
                     \"turns\":[{\"id\":1,\"host\":\"h\",\"kind\":\"kernel\",\"by\":\"ops\",\"stage\":\"settled\",\
