--- a/maintenance/tests/disks/mod.rs
+++ b/maintenance/tests/disks/mod.rs
@@ -1,133 +1,141 @@
-//! Processes that go by disks, each of which is a step behind: all crash at once, and find what they had, nothing, or what
-//! somebody put back.
+//! Model check of processes that persist their state to disks, where all restart at once and find the latest
+//! state, no state, or a restored backup.
 
 use super::*;
 use flaxhead_snapshot::validation::validate;
 use flaxhead_snapshot::{AgeLimits, ClockReading, Header, Identity, Snapshot};
 
-/// What processes that start again find on their disks.
+/// Content of the disks when all processes restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub(crate) enum Found {
-    /// What was written last.
-    Last,
-    /// The first of them nothing, the others what was written last.
-    OneLost,
-    Lost,
-    /// What was there before anything was settled, which somebody put back.
-    Old,
-    /// The same at the first of them alone, within the bound of age: nobody can tell. The others find what was written
-    /// last.
-    OneOldYetFresh,
+pub(crate) enum DiskState {
+    /// All find the state written last.
+    Latest,
+    /// The first finds nothing, the others the state written last.
+    FirstLost,
+    AllLost,
+    /// All find a backup from before the first drain was scheduled.
+    Outdated,
+    /// The first finds that backup with a current time stamp, so that it looks fresh; the others find the
+    /// state written last.
+    FirstUndetectablyOutdated,
 }
 
-impl Found {
-    /// All.
-    pub(crate) const ALL: &[Found] =
-        &[Found::Last, Found::OneLost, Found::Lost, Found::Old, Found::OneOldYetFresh];
+impl DiskState {
+    pub(crate) const ALL: &[DiskState] = &[
+        DiskState::Latest,
+        DiskState::FirstLost,
+        DiskState::AllLost,
+        DiskState::Outdated,
+        DiskState::FirstUndetectablyOutdated,
+    ];
 }
 
 impl Fleet {
-    /// What a start takes of what is on its disk. What was written last is no older than a step.
-    pub(crate) fn judged(
+    /// Returns the state that a restarted process accepts from its disk: no older than a step.
+    pub(crate) fn load_snapshot(
         &self,
         world: &World,
         on_disk: Option<(u8, PersistentState<Maintenance>)>,
     ) -> Option<PersistentState<Maintenance>> {
-        let moment = |step: u8| ClockReading { wall_ms: now(step), ..ClockReading::default() };
-        let (written, memory) = on_disk?;
-        let (header, parts) = (Header { written: moment(written), ..Header::default() }, Vec::new());
-        let mine = Identity { cluster: header.cluster.clone(), proxy: header.proxy.clone() };
-        let old_ms = if self.broken == Broken::Age { u64::MAX } else { STEP };
-        let limits = AgeLimits { max_age_ms: old_ms, max_ahead_ms: 0 };
-        validate(Snapshot { header, parts }, &mine, moment(world.step), limits).ok().map(|_| memory)
+        let clock_at = |step: u8| ClockReading { wall_ms: time_at(step), ..ClockReading::default() };
+        let (written_step, state) = on_disk?;
+        let (header, parts) = (Header { written: clock_at(written_step), ..Header::default() }, Vec::new());
+        let identity = Identity { cluster: header.cluster.clone(), proxy: header.proxy.clone() };
+        let max_age = if self.mutation == Mutation::IgnoreSnapshotAge { u64::MAX } else { STEP };
+        let limits = AgeLimits { max_age_ms: max_age, max_ahead_ms: 0 };
+        validate(Snapshot { header, parts }, &identity, clock_at(world.step), limits).ok().map(|_| state)
     }
 
-    /// What a node knew at the step's beginning is on its disk.
-    pub(crate) fn write(&self, world: &mut World, node: usize) -> Vec<Envelope<Maintenance>> {
+    /// Writes the state of a node to its disk, at the beginning of a step.
+    pub(crate) fn write_snapshot(&self, world: &mut World, node: usize) -> Vec<Envelope<Maintenance>> {
         let mut out = Vec::new();
-        if self.disks {
+        if self.has_disks {
             world.model.disks[node] =
-                Some((world.step, world.nodes[node].persistent_state(self.time(world, node))));
-            self.confirm(world, node, &mut out);
+                Some((world.step, world.nodes[node].persistent_state(self.local_time(world, node))));
+            self.confirm_write(world, node, &mut out);
         }
-        self.sent(world, node, out)
+        self.check_and_send(world, node, out)
     }
 
-    /// It hears that this is so.
-    pub(crate) fn confirm(&self, world: &mut World, node: usize, out: &mut Vec<Effect>) {
-        let (facts, now) = (self.facts(world, node), self.time(world, node));
+    /// Tells a node that its state is on the disk.
+    pub(crate) fn confirm_write(&self, world: &mut World, node: usize, out: &mut Vec<Effect>) {
+        let (facts, now) = (self.facts(world, node), self.local_time(world, node));
         let mut random = FixedRandom::of(node);
-        let mut around = Context { now, facts: &facts, random: &mut random };
+        let mut context = Context { now, facts: &facts, random: &mut random };
         if let Some(mark) = world.nodes[node].persistence_mark() {
-            world.nodes[node].persisted(&mut around, mark, out);
+            world.nodes[node].persisted(&mut context, mark, out);
         }
     }
 
-    /// What becomes of what a node said: who is sent what.
-    pub(crate) fn sent(
+    /// Checks the invariants and returns the messages among a node's effects.
+    pub(crate) fn check_and_send(
         &self,
         world: &mut World,
         node: usize,
         out: Vec<Effect>,
     ) -> Vec<Envelope<Maintenance>> {
-        self.judge(world);
+        self.check_invariants(world);
         world.sent(node, out)
     }
 }
 
 #[test]
-fn with_disks_all_may_start_again_at_once_with_what_they_had_or_without_it() {
-    for (faults, fine) in [(1, true), (2, false)] {
-        let (states, found) = check_from(Fleet::new(Broken::Nothing, faults, fine, true));
+fn a_restart_of_all_processes_with_any_disk_state_violates_no_invariant() {
+    for (max_faults, is_fine) in [(1, true), (2, false)] {
+        let (states, violated) = check_fleet(Fleet::new(Mutation::Unmodified, max_faults, is_fine, true));
         println!("{states} states");
-        assert!(found.is_empty() && states > 10_000, "{states} {found:?}");
+        assert!(violated.is_empty() && states > 10_000, "{states} {violated:?}");
     }
-    for broken in [Broken::Durable, Broken::Age] {
-        let (states, found) = check_from(Fleet::new(broken, 1, true, true));
-        println!("{broken:?}: {states} states, {found:?}");
-        assert!(found.contains(&"nothing is wrong"), "{broken:?}");
+    for mutation in [Mutation::ConfirmBeforeWrite, Mutation::IgnoreSnapshotAge] {
+        let (states, violated) = check_fleet(Fleet::new(mutation, 1, true, true));
+        println!("{mutation:?}: {states} states, {violated:?}");
+        assert!(violated.contains(&"all invariants hold"), "{mutation:?}");
     }
 }
 
-/// Steps from a restart of all until all are let in, and whether anybody had forgotten meanwhile.
-fn back_after(found: Found) -> (u8, bool) {
-    let mut fleet = Fleet::new(Broken::Nothing, 0, true, true);
-    // Longer than all take to be let in again.
-    fleet.works = 40;
+/// Returns the steps from a restart of all until all are admitted, and whether any process reported a lost
+/// state.
+fn recovery_after_restart(found: DiskState) -> (u8, bool) {
+    let mut fleet = Fleet::new(Mutation::Unmodified, 0, true, true);
+    // Longer than the admission of all takes.
+    fleet.duration_steps = 40;
     let mut world = (0..6).fold(fleet.first.clone(), |world, _| fleet.next(&world, Fault::Nothing));
-    // It falls before a message: there must be one.
+    // A fault strikes before a message, so the step must have one.
     while fleet.run(&world, Fault::Nothing).messages == 0 {
         world = fleet.next(&world, Fault::Nothing);
     }
-    assert!(world.model.free.contains_key(&host(0)) && world.model.back.is_empty(), "one is out");
+    assert!(
+        world.model.free_since.contains_key(&host_name(0)) && world.model.returned.is_empty(),
+        "one host is out of service"
+    );
     let at = world.step;
     world = fleet.next(&world, Fault::RestartAll { found, place: 0 });
     assert!(
         world.nodes.iter().all(|node| node.admission_status() == AdmissionStatus::Pending),
-        "all were started again"
+        "all processes have restarted"
     );
-    let (mut forgot, mut spared_all) = (false, true);
+    let (mut state_lost, mut excluded_by_all) = (false, true);
     while !world.nodes.iter().all(|node| node.admission_status() == AdmissionStatus::Admitted) {
-        spared_all &= world
+        excluded_by_all &= world
             .nodes
             .iter()
-            .all(|node| excluded_hosts(node).contains(&ExcludedHost { host: host(0), from: 0 }));
-        forgot |= world.nodes.iter().any(|node| view(node, now(world.step)).lease.is_state_lost);
-        assert!(world.step < at + ENDS, "{world:?}");
+            .all(|node| excluded_hosts(node).contains(&ExcludedHost { host: host_name(0), from: 0 }));
+        state_lost |= world.nodes.iter().any(|node| view(node, time_at(world.step)).lease.is_state_lost);
+        assert!(world.step < at + HISTORY_STEPS, "{world:?}");
         world = fleet.next(&world, Fault::Nothing);
     }
     assert_eq!(
-        spared_all,
-        found == Found::Last,
-        "what was out is left alone from the start, where it is known"
+        excluded_by_all,
+        found == DiskState::Latest,
+        "a process excludes the host from its start on if its disk has the schedule"
     );
-    (world.step - at, forgot)
+    (world.step - at, state_lost)
 }
 
 #[test]
-fn all_that_start_again_with_their_disks_know_what_is_out_without_being_told() {
-    // The silence of a lease, and a bid.
-    let (steps, forgot) = back_after(Found::Last);
-    assert!(!forgot && steps <= 12, "{steps}");
-    assert!(back_after(Found::Lost).1 && back_after(Found::Old).1);
+fn a_restart_of_all_processes_with_intact_disks_keeps_hosts_excluded() {
+    // The quarantine of a voter lasts for a lease; an election follows.
+    let (steps, state_lost) = recovery_after_restart(DiskState::Latest);
+    assert!(!state_lost && steps <= 12, "{steps}");
+    assert!(recovery_after_restart(DiskState::AllLost).1 && recovery_after_restart(DiskState::Outdated).1);
 }
--- a/maintenance/tests/model.rs
+++ b/maintenance/tests/model.rs
@@ -1,11 +1,11 @@
-//! Three voters, two hosts, one of which may be out at a time: checked exhaustively on the real machines over every
-//! place at which a message is lost or comes again later, a process crashes and forgets, freezes for longer than its
-//! lease, or is cut off in one direction or both. A step is a sixth of a lease in which all that is sent arrives, but for
-//! what the fault takes; so a fault falls between any two messages.
+//! Exhaustive model check of three voters and two hosts, of which one may be out of service at a time, under
+//! loss and duplication of messages, crashes with loss of state, pauses longer than a lease, and partitions
+//! in one or both directions. A step lasts a sixth of a lease, and messages arrive within the step unless a
+//! fault prevents that.
 
 mod disks;
 
-use disks::Found;
+use disks::DiskState;
 use flaxhead_lease::{
     AdmissionStatus, Ballot, Config, Micros, Name, PersistentState, Presence, Process, RecoveryState, Roster,
     Versioned, VoterRecoveryResponse, Voters,
@@ -19,143 +19,158 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-const VOTERS: usize = 3;
+const VOTER_COUNT: usize = 3;
 const LEASE: Micros = 600;
 const STEP: Micros = 100;
-/// Steps of a fault that lasts: longer than a lease, and than the silence of a restarted voter.
-const LASTS: u8 = 9;
-/// Steps in which faults may begin, and those after which both hosts must have been out and back.
-const FAULTY: u8 = 14;
-const ENDS: u8 = 80;
-/// A rule that is taken out, to see that the check sees it.
+/// Duration of a lasting fault: longer than a lease and than the quarantine of a restarted voter.
+const FAULT_STEPS: u8 = 9;
+/// Number of steps in which faults may begin.
+const FAULT_WINDOW_STEPS: u8 = 14;
+/// Number of steps after which both drains must be complete.
+const HISTORY_STEPS: u8 = 80;
+
+/// Rule of the protocol that is disabled, to show that the check detects the violation.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Broken {
-    Nothing,
-    /// A restarted voter votes at once, as if it had forgotten nothing: it neither stays silent nor asks the others.
-    Silence,
-    /// The holder takes everybody's word for confirmed.
-    AllConfirm,
-    /// A proxy that hears nobody sends on.
-    PermissionEnds,
-    /// A restarted proxy sends before it is let in.
-    AsksFirst,
-    /// The holder is not told what is in hand.
-    Drains,
-    /// A holder's clock stands still while it is frozen.
-    LeaseEnds,
-    /// The proxies go by other limits than the operators.
-    Limits,
-    /// An older board counts where it comes late.
-    Newest,
-    /// What is on a disk is believed however old it is.
-    Age,
-    /// A board is confirmed before it is on the disk.
-    Durable,
-    /// Nobody says that there are others that know what is out.
-    Named,
-    /// One that waits goes by no board of another.
-    Shown,
-    /// After a while one that waits serves, whoever it hears.
-    Alone,
+enum Mutation {
+    Unmodified,
+    /// A restarted voter votes at once: it neither waits nor asks the other voters for their state.
+    SkipQuarantine,
+    /// The leader takes every process to have applied its latest schedule.
+    AssumeConfirmed,
+    /// A process sends to a scheduled host after its lease has expired.
+    IgnoreLeaseExpiry,
+    /// A restarted process sends before it is admitted.
+    SendBeforeAdmission,
+    /// Processes do not report their calls in flight.
+    HideCallsInFlight,
+    /// The clock of a frozen process stops.
+    StopFrozenClock,
+    /// The processes are configured with higher limits than the check allows.
+    RaiseLimits,
+    /// A process applies a state older than its own.
+    AcceptOldState,
+    /// A snapshot is loaded whatever its age.
+    IgnoreSnapshotAge,
+    /// A state is confirmed before it is written to the disk.
+    ConfirmBeforeWrite,
+    /// Recovery replies do not name the peers that have the state.
+    HidePeers,
+    /// Recovery replies carry an empty state, declared complete.
+    ForgeEmptyState,
+    /// Recovery replies do not tell that the sender has a lease or the state.
+    HideRecoveryStatus,
 }
 
-/// What there is beside the processes.
+/// State of the model beside the processes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Work {
-    /// Calls in hand, by node and host, until a step.
-    in_hand: BTreeMap<(usize, String), u8>,
-    /// Hosts that an operator was told are free, and with which step.
-    free: BTreeMap<String, u8>,
-    back: BTreeSet<String>,
-    fences: BTreeSet<Ballot>,
-    /// What is on each disk, and since which step: what a process knew at the step's beginning.
+struct ModelState {
+    /// Step at which a call ends, counted from the initial state, by node and host.
+    in_flight: BTreeMap<(usize, String), u8>,
+    /// Step at which operators were told that a host is free, by host.
+    free_since: BTreeMap<String, u8>,
+    returned: BTreeSet<String>,
+    leader_ballots: BTreeSet<Ballot>,
+    /// Content of each disk and the step at which it was written; a process writes at the beginning of each
+    /// step.
     disks: Vec<Option<(u8, PersistentState<Maintenance>)>>,
-    alone_after: Micros,
-    known_wait: Micros,
+    autonomy_delay: Micros,
+    declaration_wait: Micros,
 }
 
-type World = flaxhead_rig::World<Maintenance, Work>;
-type Fault = flaxhead_rig::Fault<Found>;
+type World = flaxhead_rig::World<Maintenance, ModelState>;
+type Fault = flaxhead_rig::Fault<DiskState>;
 
 struct Fleet {
-    broken: Broken,
-    /// Faults in one history.
-    faults: u8,
-    /// Faults fall between any two messages, not only between steps.
-    fine: bool,
-    /// Processes go by disks.
-    disks: bool,
-    /// Steps that work takes.
-    works: u8,
-    kinds: &'static [LastingFault],
-    /// Nodes that faults befall.
-    hit: Vec<usize>,
-    /// One that nobody hears, though the membership has it that it runs.
-    mute: Option<usize>,
+    mutation: Mutation,
+    /// Maximum number of faults in one history.
+    max_faults: u8,
+    /// Faults occur between any two messages, not only between steps.
+    is_fine: bool,
+    /// Processes persist their state.
+    has_disks: bool,
+    /// Duration of a maintenance, in steps.
+    duration_steps: u8,
+    fault_kinds: &'static [LastingFault],
+    /// Nodes that faults strike.
+    faulty_nodes: Vec<usize>,
+    /// Node whose messages reach nobody, though the membership lists it as alive.
+    mute_node: Option<usize>,
     first: World,
 }
 
-fn name(node: usize) -> Name {
+fn node_name(node: usize) -> Name {
     Name::new(&format!("n{node}")).expect("a name")
 }
 
-fn host(number: usize) -> String {
+fn host_name(number: usize) -> String {
     format!("h{number}")
 }
 
-fn ask(host: String) -> DrainRequest {
+fn drain_request(host: String) -> DrainRequest {
     let (kind, by) = ("kernel".to_owned(), "ops".to_owned());
     DrainRequest { host, kind, by, duration: 1_000, not_before: 0, not_after: None, already_out: false }
 }
 
-fn at(node: usize) -> SocketAddr {
+fn address(node: usize) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, u8::try_from(node + 1).expect("few nodes")], 7_000))
 }
 
-fn now(step: u8) -> Micros {
+fn time_at(step: u8) -> Micros {
     10 * LEASE + Micros::from(step) * STEP
 }
 
 impl Fleet {
-    fn new(broken: Broken, faults: u8, fine: bool, disks: bool) -> Fleet {
-        Fleet::of(VOTERS, broken, faults, fine, disks)
+    fn new(mutation: Mutation, max_faults: u8, is_fine: bool, has_disks: bool) -> Fleet {
+        Fleet::with_nodes(VOTER_COUNT, mutation, max_faults, is_fine, has_disks)
     }
 
-    fn of(nodes: usize, broken: Broken, faults: u8, fine: bool, disks: bool) -> Fleet {
-        let mut first = World::new(Work {
-            in_hand: BTreeMap::new(),
-            free: BTreeMap::new(),
-            back: BTreeSet::new(),
-            fences: BTreeSet::new(),
+    fn with_nodes(nodes: usize, mutation: Mutation, max_faults: u8, is_fine: bool, has_disks: bool) -> Fleet {
+        let mut first = World::new(ModelState {
+            in_flight: BTreeMap::new(),
+            free_since: BTreeMap::new(),
+            returned: BTreeSet::new(),
+            leader_ballots: BTreeSet::new(),
             disks: vec![None; nodes],
-            alone_after: Micros::MAX,
-            // With disks all may forget at once: then the operators are waited for.
-            known_wait: if disks { Micros::MAX } else { 0 },
+            autonomy_delay: Micros::MAX,
+            // A fault may erase all disks at once, after which operators must declare the hosts out of
+            // service.
+            declaration_wait: if has_disks { Micros::MAX } else { 0 },
         });
         for node in 0..nodes {
-            let machine = machine(broken, node, &mut first, true);
-            let time = now(first.step);
-            first.nodes.push(if disks { machine.with_disk(time, None, 0) } else { machine });
+            let machine = machine(mutation, node, &mut first, true);
+            let time = time_at(first.step);
+            first.nodes.push(if has_disks { machine.with_disk(time, None, 0) } else { machine });
         }
-        let (works, kinds, hit, mute) =
-            (if disks { 12 } else { 3 }, LastingFault::ALL, (0..nodes).collect(), None);
-        let mut fleet = Fleet { broken, faults, fine, disks, works, kinds, hit, mute, first };
+        let (duration_steps, fault_kinds, faulty_nodes, mute_node) =
+            (if has_disks { 12 } else { 3 }, LastingFault::ALL, (0..nodes).collect(), None);
+        let mut fleet = Fleet {
+            mutation,
+            max_faults,
+            is_fine,
+            has_disks,
+            duration_steps,
+            fault_kinds,
+            faulty_nodes,
+            mute_node,
+            first,
+        };
         let mut world = fleet.first.clone();
-        // Until one holds, all are let in and the operators have said that nothing is out yet.
+        // Runs until there is a leader, operators have declared the empty schedule complete, and all are
+        // admitted.
         for _ in 0..30 {
             world = fleet.next(&world, Fault::Nothing);
-            if let Some(holder) =
-                (0..world.nodes.len()).find(|n| world.nodes[*n].leading_ballot(now(world.step)).is_some())
+            if let Some(leader) =
+                (0..world.nodes.len()).find(|n| world.nodes[*n].leading_ballot(time_at(world.step)).is_some())
             {
-                fleet.order(&mut world, holder, Command::DeclareRecovered { by: "ops".to_owned() });
+                fleet.submit_command(&mut world, leader, Command::DeclareRecovered { by: "ops".to_owned() });
             }
         }
         assert!(world.nodes.iter().all(|n| n.admission_status() == AdmissionStatus::Admitted), "{world:?}");
         for number in 0..2 {
-            fleet.order(&mut world, number, Command::Request(ask(host(number))));
+            fleet.submit_command(&mut world, number, Command::Request(drain_request(host_name(number))));
         }
-        let held = |node| ((node, host(0)), 3);
-        world.model.in_hand = BTreeMap::from([held(1), held(2)]);
+        let call_at = |node| ((node, host_name(0)), 3);
+        world.model.in_flight = BTreeMap::from([call_at(1), call_at(2)]);
         fleet.first = world;
         fleet
     }
@@ -174,50 +189,50 @@
             members: world.members(of, presence),
             participates: true,
             application: HostFacts {
-                hosts: (0..2).map(|number| (host(number), fact.clone())).collect(),
+                hosts: (0..2).map(|number| (host_name(number), fact.clone())).collect(),
                 lost_zones: BTreeSet::new(),
             },
         }
     }
 
-    fn order(&self, world: &mut World, node: usize, order: Command) {
-        let (facts, time) = (self.facts(world, node), now(world.step));
+    fn submit_command(&self, world: &mut World, node: usize, command: Command) {
+        let (facts, time) = (self.facts(world, node), time_at(world.step));
         let mut random = FixedRandom::of(node);
-        let mut around = Context { now: time, facts: &facts, random: &mut random };
-        // What it sends is lost; it is sent again.
-        world.nodes[node].submit(&mut around, time + node as u64, order, 20 * LEASE, &mut Vec::new());
+        let mut context = Context { now: time, facts: &facts, random: &mut random };
+        // The first transmission is lost; the process sends the command again.
+        world.nodes[node].submit(&mut context, time + node as u64, command, 20 * LEASE, &mut Vec::new());
     }
 
-    /// The time as a node sees it.
-    fn time(&self, world: &World, node: usize) -> Micros {
+    /// Returns the time by a node's clock.
+    fn local_time(&self, world: &World, node: usize) -> Micros {
         match world.active_fault {
             Some(ActiveFault { node: frozen, kind: LastingFault::Frozen, steps_left })
-                if frozen == node && self.broken == Broken::LeaseEnds =>
+                if frozen == node && self.mutation == Mutation::StopFrozenClock =>
             {
-                now(world.step.saturating_sub(LASTS - steps_left))
+                time_at(world.step.saturating_sub(FAULT_STEPS - steps_left))
             }
-            _ => now(world.step),
+            _ => time_at(world.step),
         }
     }
 
-    /// What a broken rule makes of a message.
-    fn tampered(&self, world: &World, to: usize, mut message: Message) -> Message {
-        match (&mut message, self.broken) {
-            (Message::Renew(renewal), Broken::AllConfirm) => {
+    /// Alters a message as the mutation demands.
+    fn mutate_message(&self, world: &World, to: usize, mut message: Message) -> Message {
+        match (&mut message, self.mutation) {
+            (Message::Renew(renewal), Mutation::AssumeConfirmed) => {
                 renewal.version = world.nodes[to].member().state().version.clone();
             }
-            (Message::StateUpdate { state }, Broken::Newest) => {
+            (Message::StateUpdate { state }, Mutation::AcceptOldState) => {
                 let own = &world.nodes[to].member().state().version;
                 if state.version < *own {
                     state.version = own.clone();
                 }
             }
-            (Message::RecoveryReply(reply), Broken::Named) => reply.status.informed_peers.clear(),
-            (Message::RecoveryReply(reply), Broken::Shown) => {
+            (Message::RecoveryReply(reply), Mutation::HidePeers) => reply.status.informed_peers.clear(),
+            (Message::RecoveryReply(reply), Mutation::ForgeEmptyState) => {
                 reply.state = reply.state.take().map(|_| Versioned::default());
                 reply.status.has_complete_state = true;
             }
-            (Message::RecoveryReply(reply), Broken::Alone) => {
+            (Message::RecoveryReply(reply), Mutation::HideRecoveryStatus) => {
                 let status = &mut reply.status;
                 (status.voter, status.has_complete_state, status.has_lease) = (None, false, false);
                 status.informed_peers.clear();
@@ -227,77 +242,80 @@
         message
     }
 
-    fn judge(&self, world: &mut World) {
-        let mut wrong = None;
+    fn check_invariants(&self, world: &mut World) {
+        let mut violation = None;
         for node in 0..world.nodes.len() {
-            for turn in &world.nodes[node].state().drains {
-                if turn.is_free
-                    && turn.stage == Stage::OutOfService
-                    && !world.model.back.contains(&turn.request.host)
+            for drain in &world.nodes[node].state().drains {
+                if drain.is_free
+                    && drain.stage == Stage::OutOfService
+                    && !world.model.returned.contains(&drain.request.host)
                 {
-                    world.model.free.entry(turn.request.host.clone()).or_insert(world.step);
+                    world.model.free_since.entry(drain.request.host.clone()).or_insert(world.step);
                 }
             }
         }
-        let holding: Vec<&Ballot> = (0..world.nodes.len())
-            .filter_map(|n| world.nodes[n].leading_ballot(self.time(world, n)))
+        let leading: Vec<&Ballot> = (0..world.nodes.len())
+            .filter_map(|n| world.nodes[n].leading_ballot(self.local_time(world, n)))
             .collect();
-        if holding.len() > 1 {
-            wrong = Some("two hold at once");
+        if leading.len() > 1 {
+            violation = Some("two processes lead at the same time");
         }
-        let highest = world.model.fences.last();
-        if holding.iter().any(|b| !world.model.fences.contains(b) && highest.is_some_and(|h| h > b)) {
-            wrong = Some("a fence went back");
+        let highest_ballot = world.model.leader_ballots.last();
+        if leading
+            .iter()
+            .any(|b| !world.model.leader_ballots.contains(b) && highest_ballot.is_some_and(|h| h > b))
+        {
+            violation = Some("a new leader has a lower ballot than an earlier one");
         }
-        world.model.fences.extend(holding.into_iter().cloned().collect::<Vec<_>>());
-        let out = world.model.free.keys().filter(|host| !world.model.back.contains(*host));
+        world.model.leader_ballots.extend(leading.into_iter().cloned().collect::<Vec<_>>());
+        let out = world.model.free_since.keys().filter(|host| !world.model.returned.contains(*host));
         if out.clone().count() > 1 {
-            wrong = Some("more out than may be");
+            violation = Some("more hosts are out of service than the limit");
         }
         for host in out {
             for node in (0..world.nodes.len()).filter(|node| !world.is_frozen(*node)) {
-                if self.sends(world, node, host) {
-                    wrong = Some("something new is sent to a host that was told free");
+                if self.may_send_to(world, node, host) {
+                    violation = Some("a call may be sent to a host that was reported free");
                 }
-                let until = world.model.in_hand.get(&(node, host.clone())).copied().unwrap_or(0);
+                let until = world.model.in_flight.get(&(node, host.clone())).copied().unwrap_or(0);
                 if world.step < until + self.first.step && until > 0 {
-                    wrong = Some("something runs at a host that was told free");
+                    violation = Some("a call is in flight at a host that was reported free");
                 }
             }
         }
-        world.violation = world.violation.or(wrong);
+        world.violation = world.violation.or(violation);
     }
 
-    fn sends(&self, world: &World, node: usize, host: &str) -> bool {
-        let (machine, time) = (&world.nodes[node], now(world.step));
+    fn may_send_to(&self, world: &World, node: usize, host: &str) -> bool {
+        let (machine, time) = (&world.nodes[node], time_at(world.step));
         let may = |from: Option<Micros>| from.is_none_or(|from| time < from);
         let from = excluded_hosts(machine)
             .into_iter()
             .find(|excluded| excluded.host == host)
             .map(|excluded| excluded.from);
-        match self.broken {
-            Broken::PermissionEnds => {
+        match self.mutation {
+            Mutation::IgnoreLeaseExpiry => {
                 machine.admission_status() != AdmissionStatus::Pending && from != Some(0)
             }
-            Broken::AsksFirst => may(from),
+            Mutation::SendBeforeAdmission => may(from),
             _ => may_send(machine, time, host),
         }
     }
 
-    fn start_again(&self, world: &mut World, node: usize, found: Found) {
-        let fresh = machine(self.broken, node, world, false);
-        let on_disk = world.model.disks[node].clone().filter(|_| found != Found::Lost);
+    fn restart(&self, world: &mut World, node: usize, found: DiskState) {
+        let fresh = machine(self.mutation, node, world, false);
+        let on_disk = world.model.disks[node].clone().filter(|_| found != DiskState::AllLost);
         let on_disk = match found {
-            Found::Old => self.first.model.disks[node].clone(),
-            Found::OneLost if node == 0 => None,
-            Found::OneOldYetFresh if node == 0 => {
+            DiskState::Outdated => self.first.model.disks[node].clone(),
+            DiskState::FirstLost if node == 0 => None,
+            DiskState::FirstUndetectablyOutdated if node == 0 => {
                 self.first.model.disks[node].clone().map(|(_, memory)| (world.step, memory))
             }
             _ => on_disk,
         };
-        let (taken, time) = (self.judged(world, on_disk), now(world.step));
-        world.nodes[node] = if self.disks { fresh.with_disk(time, taken, 0) } else { fresh };
-        if self.broken == Broken::Silence {
+        let (loaded, time) = (self.load_snapshot(world, on_disk), time_at(world.step));
+        world.nodes[node] = if self.has_disks { fresh.with_disk(time, loaded, 0) } else { fresh };
+        if self.mutation == Mutation::SkipQuarantine {
             self.react(world, node, None);
             for other in (0..world.nodes.len()).filter(|other| *other != node) {
                 let forged = Message::VoterRecoveryResponse(Box::new(VoterRecoveryResponse {
@@ -311,74 +329,81 @@
                 self.react(world, node, Some((other, forged)));
             }
         }
-        // What it had in hand is gone with it.
-        world.model.in_hand.retain(|(who, _), _| *who != node);
+        // The calls of the crashed process end with it.
+        world.model.in_flight.retain(|(who, _), _| *who != node);
     }
 
-    /// Where the proxies have forgotten and all of them are there again, the operators say what is out, and that it is
-    /// all.
-    fn remember(&self, world: &mut World) {
-        let time = now(world.step);
-        let forgot = |node: &usize| view(&world.nodes[*node], time).lease.is_state_lost;
-        let Some(node) = (0..world.nodes.len()).find(forgot).filter(|_| world.active_fault.is_none()) else {
+    /// Where the processes have lost their state and no fault is active, operators request the drains of the
+    /// hosts that are out, and declare the schedule complete.
+    fn restore_schedule(&self, world: &mut World) {
+        let time = time_at(world.step);
+        let state_lost = |node: &usize| view(&world.nodes[*node], time).lease.is_state_lost;
+        let Some(node) = (0..world.nodes.len()).find(state_lost).filter(|_| world.active_fault.is_none())
+        else {
             return;
         };
         let out: Vec<String> =
-            world.model.free.keys().filter(|h| !world.model.back.contains(*h)).cloned().collect();
+            world.model.free_since.keys().filter(|h| !world.model.returned.contains(*h)).cloned().collect();
         for host in &out {
             if world.nodes[node]
                 .state()
                 .drain_for_host(host)
-                .is_none_or(|turn| turn.stage < Stage::OutOfService)
+                .is_none_or(|drain| drain.stage < Stage::OutOfService)
             {
-                self.order(
+                self.submit_command(
                     world,
                     node,
-                    Command::Request(DrainRequest { already_out: true, ..ask(host.clone()) }),
+                    Command::Request(DrainRequest { already_out: true, ..drain_request(host.clone()) }),
                 );
             }
         }
-        self.order(world, node, Command::DeclareRecovered { by: "ops".to_owned() });
+        self.submit_command(world, node, Command::DeclareRecovered { by: "ops".to_owned() });
     }
 
-    /// Steps in which faults may begin: where a word is not held back, up to a turn that takes no longer than a write.
-    fn faulty(&self) -> u8 {
-        if self.broken == Broken::Durable {
-            2 * FAULTY
+    /// Number of steps in which faults may begin. Confirmation before the write harms only after a drain that
+    /// is faster than a write, which comes later.
+    fn fault_window_steps(&self) -> u8 {
+        if self.mutation == Mutation::ConfirmBeforeWrite {
+            2 * FAULT_WINDOW_STEPS
         } else {
-            FAULTY
+            FAULT_WINDOW_STEPS
         }
     }
 
-    /// Work that was told free is done some steps later, wherever that is heard.
-    fn operators(&self, world: &mut World) {
-        self.remember(world);
-        // Whoever waits asks again.
-        for (node, host) in (0..2).map(|n| (n, host(n))) {
-            let unseen = !world.model.free.contains_key(&host) && world.step.is_multiple_of(10);
-            if unseen && !world.is_frozen(node) {
-                self.order(world, node, Command::Request(ask(host)));
+    /// Acts for the operators: repeats requests, and completes the maintenance of free hosts after its
+    /// duration.
+    fn run_operators(&self, world: &mut World) {
+        self.restore_schedule(world);
+        // A request may have been lost, so operators repeat it.
+        for (node, host) in (0..2).map(|n| (n, host_name(n))) {
+            let is_not_free = !world.model.free_since.contains_key(&host) && world.step.is_multiple_of(10);
+            if is_not_free && !world.is_frozen(node) {
+                self.submit_command(world, node, Command::Request(drain_request(host)));
             }
         }
-        let ready: Vec<String> = world
+        let finished_hosts: Vec<String> = world
             .model
-            .free
+            .free_since
             .iter()
-            .filter(|(h, at)| world.step >= **at + self.works && !world.model.back.contains(*h))
+            .filter(|(h, at)| world.step >= **at + self.duration_steps && !world.model.returned.contains(*h))
             .map(|(h, _)| h.clone())
             .collect();
-        for host in ready {
-            // The host serves from here on, whenever the proxies hear of it.
-            world.model.back.insert(host);
+        for host in finished_hosts {
+            // The host serves from now on, even before the processes learn of it.
+            world.model.returned.insert(host);
         }
-        for host in world.model.back.clone() {
+        for host in world.model.returned.clone() {
             for node in 0..world.nodes.len() {
-                let turn = world.nodes[node]
+                let drain = world.nodes[node]
                     .state()
                     .drain_for_host(&host)
-                    .filter(|turn| turn.stage == Stage::OutOfService);
-                if let Some(turn) = turn.map(|turn| turn.id).filter(|_| !world.is_frozen(node)) {
-                    self.order(world, node, Command::Complete { drain: turn, by: "ops".to_owned() });
+                    .filter(|drain| drain.stage == Stage::OutOfService);
+                if let Some(drain_id) = drain.map(|drain| drain.id).filter(|_| !world.is_frozen(node)) {
+                    self.submit_command(
+                        world,
+                        node,
+                        Command::Complete { drain: drain_id, by: "ops".to_owned() },
+                    );
                 }
             }
         }
@@ -391,23 +416,23 @@
 
 impl flaxhead_rig::Fleet for Fleet {
     type Application = Maintenance;
-    type Model = Work;
-    type Found = Found;
+    type Model = ModelState;
+    type Found = DiskState;
 
-    fn bounds(&self) -> Bounds<'_, Found> {
-        let Fleet { faults, fine, hit, kinds, .. } = self;
-        let (first, faulty) = (self.first.step, self.faulty());
-        let found = if self.disks { Found::ALL } else { &[] };
+    fn bounds(&self) -> Bounds<'_, DiskState> {
+        let Fleet { max_faults, is_fine, faulty_nodes, fault_kinds, .. } = self;
+        let (first, faulty) = (self.first.step, self.fault_window_steps());
+        let found = if self.has_disks { DiskState::ALL } else { &[] };
         Bounds {
             first_step: first,
-            max_faults: *faults,
-            is_fine: *fine,
-            nodes: hit,
-            lasting_kinds: kinds,
-            lasting_steps: LASTS,
+            max_faults: *max_faults,
+            is_fine: *is_fine,
+            nodes: faulty_nodes,
+            lasting_kinds: fault_kinds,
+            lasting_steps: FAULT_STEPS,
             found,
             faulty_steps: faulty,
-            steps: ENDS,
+            steps: HISTORY_STEPS,
         }
     }
 
@@ -418,90 +443,96 @@
         message: Option<(usize, Message)>,
     ) -> Vec<Envelope<Maintenance>> {
         let facts = self.facts(world, node);
-        let time = self.time(world, node);
+        let time = self.local_time(world, node);
         let mut random = FixedRandom::of(node);
-        let mut around = Context { now: time, facts: &facts, random: &mut random };
+        let mut context = Context { now: time, facts: &facts, random: &mut random };
         let mut out = Vec::new();
-        let in_hand = |number: usize| {
-            let held = world
+        let host_usage = |number: usize| {
+            let is_busy = world
                 .model
-                .in_hand
-                .get(&(node, host(number)))
+                .in_flight
+                .get(&(node, host_name(number)))
                 .is_some_and(|until| world.step < *until + self.first.step);
-            (host(number), u32::from(held && self.broken != Broken::Drains))
+            (host_name(number), u32::from(is_busy && self.mutation != Mutation::HideCallsInFlight))
         };
-        let in_hand = (0..2).map(in_hand).collect();
-        world.nodes[node].application_mut().set_usage(HostUsage { in_flight: in_hand, load_millicalls: 0 });
+        let calls_in_flight = (0..2).map(host_usage).collect();
+        world.nodes[node]
+            .application_mut()
+            .set_usage(HostUsage { in_flight: calls_in_flight, load_millicalls: 0 });
         match message {
-            None => world.nodes[node].tick(&mut around, &mut out),
+            None => world.nodes[node].tick(&mut context, &mut out),
             Some((from, message)) => {
-                let message = self.tampered(world, node, message);
-                world.nodes[node].receive(&mut around, &name(from), message, &mut out);
+                let message = self.mutate_message(world, node, message);
+                world.nodes[node].receive(&mut context, &node_name(from), message, &mut out);
             }
         }
-        if self.broken == Broken::Durable {
-            self.confirm(world, node, &mut out);
+        if self.mutation == Mutation::ConfirmBeforeWrite {
+            self.confirm_write(world, node, &mut out);
         }
-        self.sent(world, node, out)
+        self.check_and_send(world, node, out)
     }
 
     fn crash(&self, world: &mut World, node: usize) {
-        self.start_again(world, node, Found::Last);
+        self.restart(world, node, DiskState::Latest);
     }
 
-    fn restart_all(&self, world: &mut World, found: Found) {
-        (0..world.nodes.len()).for_each(|node| self.start_again(world, node, found));
-        if matches!(found, Found::Lost | Found::Old) {
-            // Nobody is left that knows of any number.
-            world.model.fences.clear();
+    fn restart_all(&self, world: &mut World, found: DiskState) {
+        (0..world.nodes.len()).for_each(|node| self.restart(world, node, found));
+        if matches!(found, DiskState::AllLost | DiskState::Outdated) {
+            // No process remembers any ballot, so numbering may start again.
+            world.model.leader_ballots.clear();
         }
     }
 
     fn resume(&self, world: &mut World, _: usize) {
-        self.judge(world);
+        self.check_invariants(world);
     }
 
     fn act(&self, world: &mut World, node: usize) -> Vec<Envelope<Maintenance>> {
-        let mut out = self.write(world, node);
+        let mut out = self.write_snapshot(world, node);
         out.extend(self.react(world, node, None));
         out
     }
 
     fn after_acting(&self, world: &mut World) {
         if self.first.step > 0 {
-            self.operators(world);
+            self.run_operators(world);
         }
     }
 
     fn is_received(&self, world: &World, node: usize) -> bool {
-        world.is_received(node) && self.mute != Some(node)
+        world.is_received(node) && self.mute_node != Some(node)
     }
 }
 
-fn machine(broken: Broken, node: usize, world: &mut World, first: bool) -> Machine {
+fn machine(mutation: Mutation, node: usize, world: &mut World, first: bool) -> Machine {
     world.starts += 1;
-    let voters = Voters::new((0..VOTERS).map(name).collect(), Vec::new()).expect("voters");
-    let Work { alone_after, known_wait, .. } = world.model;
+    let voters = Voters::new((0..VOTER_COUNT).map(node_name).collect(), Vec::new()).expect("voters");
+    let ModelState { autonomy_delay, declaration_wait, .. } = world.model;
     let config = Config {
         lease: LEASE,
         max_call_duration: 2 * STEP,
-        autonomy_timeout: alone_after,
-        operator_wait: known_wait,
+        autonomy_timeout: autonomy_delay,
+        operator_wait: declaration_wait,
         ..Config::default()
     };
-    let mut rules = SchedulerConfig {
+    let mut scheduler = SchedulerConfig {
         max_recovery_time: STEP,
         max_drain_time: 100 * LEASE,
         ..SchedulerConfig::default()
     };
-    if broken == Broken::Limits {
-        rules.limits.max_total = 2;
-        (rules.limits.max_per_zone, rules.limits.max_per_pod) = (2, 2);
-    }
-    let me = Process { name: name(node), incarnation: 100 * world.starts + node as u64, address: at(node) };
-    let time = now(world.step);
-    let begun = if broken == Broken::Silence && !first { time - 3 * LEASE } else { time };
-    Machine::new(config, Maintenance::new(rules), voters, me, begun)
+    if mutation == Mutation::RaiseLimits {
+        scheduler.limits.max_total = 2;
+        (scheduler.limits.max_per_zone, scheduler.limits.max_per_pod) = (2, 2);
+    }
+    let me = Process {
+        name: node_name(node),
+        incarnation: 100 * world.starts + node as u64,
+        address: address(node),
+    };
+    let time = time_at(world.step);
+    let started_at = if mutation == Mutation::SkipQuarantine && !first { time - 3 * LEASE } else { time };
+    Machine::new(config, Maintenance::new(scheduler), voters, me, started_at)
 }
 
 impl Model for Fleet {
@@ -522,34 +553,34 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("nothing is wrong", |_, world: &World| world.violation.is_none()),
+            Property::always("all invariants hold", |_, world: &World| world.violation.is_none()),
             Property::always(
-                "both hosts had their turn once faults ended",
+                "both drains complete once the faults have ended",
                 |fleet: &Fleet, world: &World| {
-                    world.step < fleet.first.step + ENDS || world.model.back.len() == 2
+                    world.step < fleet.first.step + HISTORY_STEPS || world.model.returned.len() == 2
                 },
             ),
         ]
     }
 }
 
-fn check(broken: Broken, faults: u8, fine: bool) -> (u64, Vec<&'static str>) {
-    check_from(Fleet::new(broken, faults, fine, false))
+fn check_model(mutation: Mutation, max_faults: u8, is_fine: bool) -> (u64, Vec<&'static str>) {
+    check_fleet(Fleet::new(mutation, max_faults, is_fine, false))
 }
 
-fn check_from(fleet: Fleet) -> (u64, Vec<&'static str>) {
-    let broken = fleet.broken;
+fn check_fleet(fleet: Fleet) -> (u64, Vec<&'static str>) {
+    let mutation = fleet.mutation;
     let threads = std::thread::available_parallelism().map_or(1, usize::from);
     let checker = fleet.checker().threads(threads).spawn_bfs().join();
     for (name, path) in checker.discoveries() {
-        if broken == Broken::Nothing {
+        if mutation == Mutation::Unmodified {
             let faults: Vec<Fault> = path.clone().into_actions();
             let last = path.last_state().clone();
             let faults: Vec<(usize, &Fault)> =
                 faults.iter().enumerate().filter(|(_, a)| **a != Fault::Nothing).collect();
-            println!("{name}: {faults:?}\n{:?}, {:?}", last.violation, last.model.free);
+            println!("{name}: {faults:?}\n{:?}, {:?}", last.violation, last.model.free_since);
             for node in &last.nodes {
-                println!("{:?}", view(node, now(last.step)));
+                println!("{:?}", view(node, time_at(last.step)));
             }
         }
     }
@@ -557,132 +588,136 @@
 }
 
 #[test]
-fn one_fault_between_any_two_messages_breaks_nothing_and_both_hosts_get_their_turn() {
-    let (states, found) = check(Broken::Nothing, 1, true);
+fn one_fault_between_any_two_messages_violates_no_invariant_and_both_drains_complete() {
+    let (states, violated) = check_model(Mutation::Unmodified, 1, true);
     println!("{states} states");
-    assert!(found.is_empty() && states > 10_000, "{states} {found:?}");
+    assert!(violated.is_empty() && states > 10_000, "{states} {violated:?}");
 }
 
 #[test]
-fn two_faults_between_any_two_steps_break_nothing_and_both_hosts_get_their_turn() {
-    let (states, found) = check(Broken::Nothing, 2, false);
+fn two_faults_between_any_two_steps_violate_no_invariant_and_both_drains_complete() {
+    let (states, violated) = check_model(Mutation::Unmodified, 2, false);
     println!("{states} states");
-    assert!(found.is_empty() && states > 10_000, "{states} {found:?}");
+    assert!(violated.is_empty() && states > 10_000, "{states} {violated:?}");
 }
 
 #[test]
-fn a_rule_that_is_taken_out_is_missed() {
-    let rules = [
-        (Broken::AllConfirm, 1, false),
-        (Broken::PermissionEnds, 1, true),
-        (Broken::AsksFirst, 1, false),
-        (Broken::Drains, 0, false),
-        (Broken::LeaseEnds, 1, false),
-        (Broken::Limits, 0, false),
-        (Broken::Newest, 1, true),
+fn every_mutation_violates_an_invariant() {
+    let mutations = [
+        (Mutation::AssumeConfirmed, 1, false),
+        (Mutation::IgnoreLeaseExpiry, 1, true),
+        (Mutation::SendBeforeAdmission, 1, false),
+        (Mutation::HideCallsInFlight, 0, false),
+        (Mutation::StopFrozenClock, 1, false),
+        (Mutation::RaiseLimits, 0, false),
+        (Mutation::AcceptOldState, 1, true),
     ];
-    let mut missed = Vec::new();
-    for (broken, faults, fine) in rules {
-        let (states, found) = check(broken, faults, fine);
-        println!("{broken:?}: {states} states, {found:?}");
-        missed.extend((!found.contains(&"nothing is wrong")).then_some(broken));
+    let mut undetected = Vec::new();
+    for (mutation, max_faults, is_fine) in mutations {
+        let (states, violated) = check_model(mutation, max_faults, is_fine);
+        println!("{mutation:?}: {states} states, {violated:?}");
+        undetected.extend((!violated.contains(&"all invariants hold")).then_some(mutation));
     }
-    assert_eq!(missed, []);
+    assert_eq!(undetected, []);
 }
 
-/// A voter that hears nobody for longer than its lease lasts, and one that forgets meanwhile: then one more fault.
-fn after_two_faults(broken: Broken, disks: bool) -> (u64, Vec<&'static str>) {
-    let mut fleet = Fleet::new(broken, 3, true, disks);
-    let holder = (0..VOTERS)
-        .find(|n| fleet.first.nodes[*n].leading_ballot(now(fleet.first.step)).is_some())
-        .expect("a holder");
-    let others: Vec<usize> = (0..VOTERS).filter(|node| *node != holder).collect();
+/// Checks one more fault after one voter received nothing for longer than its lease and another crashed
+/// meanwhile.
+fn check_after_two_faults(mutation: Mutation, has_disks: bool) -> (u64, Vec<&'static str>) {
+    let mut fleet = Fleet::new(mutation, 3, true, has_disks);
+    let leader = (0..VOTER_COUNT)
+        .find(|n| fleet.first.nodes[*n].leading_ballot(time_at(fleet.first.step)).is_some())
+        .expect("a leader");
+    let others: Vec<usize> = (0..VOTER_COUNT).filter(|node| *node != leader).collect();
     let mut world =
         fleet.next(&fleet.first, Fault::Begin { node: others[0], kind: LastingFault::Deaf, place: 0 });
     while world.active_fault.is_some_and(|fault| fault.steps_left > 2) {
         world = fleet.next(&world, Fault::Nothing);
     }
     fleet.first = fleet.next(&world, Fault::Crash { node: others[1], place: 0 });
-    check_from(fleet)
+    check_fleet(fleet)
 }
 
 #[test]
-fn a_voter_that_forgot_its_promise_is_silent_until_it_has_run_out() {
-    // One that remembers all else from its disk, too.
+fn a_restarted_voter_abstains_until_its_lost_promise_has_expired() {
+    // The promise is lost even with a disk, from which the voter restores the rest of its state.
     for disks in [false, true] {
-        let (states, found) = after_two_faults(Broken::Nothing, disks);
+        let (states, violated) = check_after_two_faults(Mutation::Unmodified, disks);
         println!("{states} states");
-        assert!(found.is_empty() && states > 10_000, "{states} {found:?}");
-        let (states, found) = after_two_faults(Broken::Silence, disks);
-        assert!(found.contains(&"nothing is wrong"), "{states} states");
+        assert!(violated.is_empty() && states > 10_000, "{states} {violated:?}");
+        let (states, violated) = check_after_two_faults(Mutation::SkipQuarantine, disks);
+        assert!(violated.contains(&"all invariants hold"), "{states} states");
     }
 }
 
-/// All voters forget in one step while a host is out, and processes that are no voters live on: then one more fault.
-fn after_all_voters_forgot(nodes: usize, broken: Broken, faults: u8) -> Fleet {
-    let mut fleet = Fleet::of(nodes, broken, faults, true, false);
-    fleet.works = 30;
-    fleet.first.model.in_hand.clear();
+/// Creates a fleet in which all voters have lost their state in one step while a host is out of service.
+fn fleet_without_voter_state(nodes: usize, mutation: Mutation, max_faults: u8) -> Fleet {
+    let mut fleet = Fleet::with_nodes(nodes, mutation, max_faults, true, false);
+    fleet.duration_steps = 30;
+    fleet.first.model.in_flight.clear();
     let mut world = fleet.first.clone();
-    while world.model.free.is_empty() {
+    while world.model.free_since.is_empty() {
         world = fleet.next(&world, Fault::Nothing);
     }
-    for voter in 0..VOTERS {
-        fleet.start_again(&mut world, voter, Found::Lost);
+    for voter in 0..VOTER_COUNT {
+        fleet.restart(&mut world, voter, DiskState::AllLost);
     }
-    // The only one that knows what is out must be heard.
-    fleet.hit = (0..if nodes == VOTERS + 1 { VOTERS } else { nodes }).collect();
+    // Spares the only process that still has the schedule.
+    fleet.faulty_nodes = (0..if nodes == VOTER_COUNT + 1 { VOTER_COUNT } else { nodes }).collect();
     fleet.first = world;
     fleet
 }
 
 #[test]
-fn what_is_out_is_kept_by_those_that_are_no_voters_where_all_voters_forgot() {
-    for nodes in [VOTERS + 1, VOTERS + 2] {
-        let (states, found) = check_from(after_all_voters_forgot(nodes, Broken::Nothing, 1));
+fn non_voters_preserve_the_schedule_when_all_voters_lose_their_state() {
+    for nodes in [VOTER_COUNT + 1, VOTER_COUNT + 2] {
+        let (states, violated) = check_fleet(fleet_without_voter_state(nodes, Mutation::Unmodified, 1));
         println!("{nodes}: {states} states");
-        assert!(found.is_empty() && states > 10_000, "{states} {found:?}");
+        assert!(violated.is_empty() && states > 10_000, "{states} {violated:?}");
     }
-    for broken in [Broken::Named, Broken::Shown] {
-        let (states, found) = check_from(after_all_voters_forgot(VOTERS + 1, broken, 1));
-        assert!(found.contains(&"nothing is wrong"), "{broken:?}: {states} states");
+    for mutation in [Mutation::HidePeers, Mutation::ForgeEmptyState] {
+        let (states, violated) = check_fleet(fleet_without_voter_state(VOTER_COUNT + 1, mutation, 1));
+        assert!(violated.contains(&"all invariants hold"), "{mutation:?}: {states} states");
     }
 }
 
-/// One that is let in late, as the holder is frozen, where waiting has its end before that.
-fn let_in_late(broken: Broken) -> Fleet {
-    let mut fleet = Fleet::of(VOTERS, broken, 2, false, false);
-    fleet.works = 30;
-    fleet.kinds = &[LastingFault::Frozen];
-    fleet.first.model.in_hand.clear();
+/// Creates a fleet in which a frozen leader delays an admission beyond the autonomy timeout.
+fn fleet_with_delayed_admission(mutation: Mutation) -> Fleet {
+    let mut fleet = Fleet::with_nodes(VOTER_COUNT, mutation, 2, false, false);
+    fleet.duration_steps = 30;
+    fleet.fault_kinds = &[LastingFault::Frozen];
+    fleet.first.model.in_flight.clear();
     let mut world = fleet.first.clone();
-    while world.model.free.is_empty() {
+    while world.model.free_since.is_empty() {
         world = fleet.next(&world, Fault::Nothing);
     }
-    world.model.alone_after = 8 * STEP;
+    world.model.autonomy_delay = 8 * STEP;
     fleet.first = world;
     fleet
 }
 
 #[test]
-fn one_that_waits_sends_nothing_to_what_is_out_while_others_live_that_know_it() {
-    let (states, found) = check_from(let_in_late(Broken::Nothing));
+fn a_process_awaiting_admission_sends_nothing_to_hosts_that_others_know_to_be_out() {
+    let (states, violated) = check_fleet(fleet_with_delayed_admission(Mutation::Unmodified));
     println!("{states} states");
-    assert!(found.is_empty() && states > 1_000, "{states} {found:?}");
-    for broken in [Broken::Alone, Broken::Shown] {
-        let (states, found) = check_from(let_in_late(broken));
-        assert!(found.contains(&"nothing is wrong"), "{broken:?}: {states} states");
+    assert!(violated.is_empty() && states > 1_000, "{states} {violated:?}");
+    for mutation in [Mutation::HideRecoveryStatus, Mutation::ForgeEmptyState] {
+        let (states, violated) = check_fleet(fleet_with_delayed_admission(mutation));
+        assert!(violated.contains(&"all invariants hold"), "{mutation:?}: {states} states");
     }
 }
 
 #[test]
-fn the_next_host_waits_for_a_process_that_runs_and_is_not_let_in() {
-    let both_went = |mute: Option<usize>| {
-        let mut fleet = after_all_voters_forgot(VOTERS + 1, Broken::Nothing, 0);
-        (fleet.works, fleet.mute) = (1, mute);
-        let end = (0..ENDS).fold(fleet.first.clone(), |world, _| fleet.next(&world, Fault::Nothing));
-        end.model.back.len() == 2
+fn the_next_drain_waits_for_a_running_process_that_is_not_admitted() {
+    let both_drains_complete = |mute_node: Option<usize>| {
+        let mut fleet = fleet_without_voter_state(VOTER_COUNT + 1, Mutation::Unmodified, 0);
+        (fleet.duration_steps, fleet.mute_node) = (1, mute_node);
+        let end = (0..HISTORY_STEPS).fold(fleet.first.clone(), |world, _| fleet.next(&world, Fault::Nothing));
+        end.model.returned.len() == 2
     };
-    assert!(both_went(None));
-    assert!(!both_went(Some(VOTERS)), "nobody has heard from it whether it sends to the next host");
+    assert!(both_drains_complete(None));
+    assert!(
+        !both_drains_complete(Some(VOTER_COUNT)),
+        "the process may send to the next host, and has not confirmed otherwise"
+    );
 }
