--- a/maintenance/benches/week.rs
+++ b/maintenance/benches/week.rs
@@ -1,5 +1,5 @@
-//! Turns at fleets of several sizes, in virtual time: how long until a host is free, how long nobody hands out turns,
-//! what is sent; and a week of 300 processes and 200 hosts with faults.
+//! Simulations of drains at fleets of several sizes in virtual time, and of a week at 300 processes and 200
+//! hosts with faults: time until a host is free, time without a leader, and messages.
 #![expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
@@ -9,72 +9,74 @@
 #[path = "../tests/fleet/mod.rs"]
 mod fleet;
 
-use fleet::{Fleet, Plan, Seen, HOUR, SECOND};
+use fleet::{Fleet, Metrics, Scenario, HOUR, SECOND};
 use std::time::Instant;
 
-fn at(sorted: &mut [u64], share: f64) -> f64 {
-    sorted.sort_unstable();
-    let place = (sorted.len() as f64 * share).ceil().max(1.0) as usize - 1;
-    sorted.get(place).map_or(0.0, |micros| *micros as f64 / 1e6)
+fn quantile_seconds(times: &mut [u64], quantile: f64) -> f64 {
+    times.sort_unstable();
+    let index = (times.len() as f64 * quantile).ceil().max(1.0) as usize - 1;
+    times.get(index).map_or(0.0, |micros| *micros as f64 / 1e6)
 }
 
-fn say(what: &str, plan: &Plan, seen: &Seen, start: Instant) {
-    let (mut took, mut without) = (seen.took.clone(), seen.without.clone());
-    let seconds = plan.lasts as f64 / 1e6;
+fn report(label: &str, scenario: &Scenario, metrics: &Metrics, start: Instant) {
+    let (mut times_to_free, mut leaderless_times) =
+        (metrics.times_to_free.clone(), metrics.leaderless_times.clone());
+    let seconds = scenario.duration as f64 / 1e6;
     println!(
-        "{what}: {} asked, {} free, p50 {:.2} s, p99 {:.2} s; {} holders, without one p50 {:.1} s, most {:.1} s; \
-         {:.2} messages a process and second; {} faults, forgotten {} times, {} out at once; {:.0} s to play",
-        seen.asked,
-        seen.freed,
-        at(&mut took, 0.5),
-        at(&mut took, 0.99),
-        seen.holders,
-        at(&mut without, 0.5),
-        at(&mut without, 1.0),
-        seen.messages as f64 / seconds / plan.processes as f64,
-        seen.faults,
-        seen.forgotten,
-        seen.out_most,
+        "{label}: {} requested, {} free, p50 {:.2} s, p99 {:.2} s; {} leader changes, leaderless p50 {:.1} s, \
+         max {:.1} s; {:.2} messages per process and second; {} faults, {} losses of state, {} out at once; \
+         {:.0} s of run time",
+        metrics.requested,
+        metrics.freed,
+        quantile_seconds(&mut times_to_free, 0.5),
+        quantile_seconds(&mut times_to_free, 0.99),
+        metrics.leader_changes,
+        quantile_seconds(&mut leaderless_times, 0.5),
+        quantile_seconds(&mut leaderless_times, 1.0),
+        metrics.messages as f64 / seconds / scenario.process_count as f64,
+        metrics.faults,
+        metrics.state_losses,
+        metrics.peak_hosts_out,
         start.elapsed().as_secs_f64()
     );
 }
 
 fn main() {
-    let base = Plan {
-        processes: 5,
-        hosts: 200,
-        voters: 5,
-        lasts: HOUR,
+    let base = Scenario {
+        process_count: 5,
+        host_count: 200,
+        voter_count: 5,
+        duration: HOUR,
         lease: 6 * SECOND,
-        asks_every: 30 * SECOND,
-        work_most: 5 * SECOND,
-        fault_every: 0,
-        limit: 3,
-        loss: 0.01,
+        request_interval: 30 * SECOND,
+        max_maintenance_time: 5 * SECOND,
+        fault_interval: 0,
+        max_hosts_out: 3,
+        loss_ratio: 0.01,
         seed: 1,
     };
-    for processes in [5, 50, 300] {
-        for (what, fault_every, asks_every) in [
+    for process_count in [5, 50, 300] {
+        for (label, fault_interval, request_interval) in [
             ("idle", 0, 100 * HOUR),
-            ("turns", 0, 30 * SECOND),
-            ("turns and faults", 120 * SECOND, 30 * SECOND),
+            ("drains", 0, 30 * SECOND),
+            ("drains and faults", 120 * SECOND, 30 * SECOND),
         ] {
-            let plan = Plan { processes, fault_every, asks_every, ..base.clone() };
+            let scenario = Scenario { process_count, fault_interval, request_interval, ..base.clone() };
             let start = Instant::now();
-            let seen = Fleet::new(plan.clone()).play();
-            say(&format!("{processes} processes, {what}, an hour"), &plan, &seen, start);
+            let metrics = Fleet::new(scenario.clone()).run();
+            report(&format!("{process_count} processes, {label}, an hour"), &scenario, &metrics, start);
         }
     }
-    let plan = Plan {
-        processes: 300,
-        lasts: 7 * 24 * HOUR,
+    let scenario = Scenario {
+        process_count: 300,
+        duration: 7 * 24 * HOUR,
         lease: 60 * SECOND,
-        asks_every: 1_800 * SECOND,
-        work_most: 600 * SECOND,
-        fault_every: 600 * SECOND,
+        request_interval: 1_800 * SECOND,
+        max_maintenance_time: 600 * SECOND,
+        fault_interval: 600 * SECOND,
         ..base
     };
     let start = Instant::now();
-    let seen = Fleet::new(plan.clone()).play();
-    say("300 processes, a week", &plan, &seen, start);
+    let metrics = Fleet::new(scenario.clone()).run();
+    report("300 processes, a week", &scenario, &metrics, start);
 }
--- a/maintenance/tests/fleet/mod.rs
+++ b/maintenance/tests/fleet/mod.rs
@@ -1,11 +1,12 @@
-//! A fleet of processes in virtual time: messages that take time and are lost, processes that crash and forget, freeze
-//! and are cut off, clocks that run apart, operators who ask for hosts one after the other. One seed gives one run.
-#![allow(dead_code, reason = "the bench uses other parts than the tests")]
+//! Simulation of a fleet in virtual time: messages are delayed and lost, processes crash without persisted
+//! state, freeze and are partitioned, clocks drift, and operators request drains. A run is determined by its
+//! seed.
+#![allow(dead_code, reason = "each test and the bench use a part of the module")]
 #![expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
     clippy::too_many_lines,
-    reason = "the counts and times of a simulation are small, and its parts are read in one piece"
+    reason = "the counts and times of a simulation are small, and its events are handled in one match"
 )]
 
 use flaxhead_lease::{AdmissionStatus, Config, MemberStatus, Micros, Name, Presence, Process, Voters};
@@ -20,139 +21,140 @@
 use std::net::SocketAddr;
 
 pub const SECOND: Micros = 1_000_000;
-/// How old what is known of hosts and members may be.
-const FRESH: Micros = 200_000;
+/// Maximum age of the facts that a process decides by.
+const MAX_FACTS_AGE: Micros = 200_000;
 pub const HOUR: Micros = 3_600 * SECOND;
 
-/// What a run is made of.
+/// Parameters of a run.
 #[derive(Clone, Debug)]
-pub struct Plan {
-    pub processes: usize,
-    pub hosts: usize,
-    pub voters: usize,
-    pub lasts: Micros,
+pub struct Scenario {
+    pub process_count: usize,
+    pub host_count: usize,
+    pub voter_count: usize,
+    pub duration: Micros,
     pub lease: Micros,
-    /// Time between two requests for a host; 0: there are none.
-    pub asks_every: Micros,
-    /// How long work takes at the most.
-    pub work_most: Micros,
-    /// Mean time between two faults; 0: there are none.
-    pub fault_every: Micros,
-    pub limit: u32,
-    /// Share of messages that are lost.
-    pub loss: f64,
+    /// Mean time between two requests of operators; 0: no requests.
+    pub request_interval: Micros,
+    /// Upper bound on the random part of a maintenance, which takes a second more.
+    pub max_maintenance_time: Micros,
+    /// Mean time between two faults; 0: no faults.
+    pub fault_interval: Micros,
+    pub max_hosts_out: u32,
+    /// Ratio of messages that are lost.
+    pub loss_ratio: f64,
     pub seed: u64,
 }
 
-/// What came of it.
+/// Results of a run.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Seen {
-    pub asked: usize,
+pub struct Metrics {
+    pub requested: usize,
     pub freed: usize,
-    pub done: usize,
-    /// From asked to free where the turn was at once the next, in microseconds.
-    pub took: Vec<Micros>,
+    pub completed: usize,
+    /// Times from a request until its host was free, in microseconds.
+    pub times_to_free: Vec<Micros>,
     pub messages: u64,
-    pub bytes_boards: u64,
-    /// How often another came to hold, and how long nobody did.
-    pub holders: usize,
-    pub without: Vec<Micros>,
-    pub out_most: usize,
+    pub state_bytes: u64,
+    pub leader_changes: usize,
+    /// Periods without a leader.
+    pub leaderless_times: Vec<Micros>,
+    pub peak_hosts_out: usize,
     pub faults: usize,
-    /// Cold starts that operators had to end.
-    pub forgotten: usize,
+    /// Losses of the replicated state, each of which operators had to resolve.
+    pub state_losses: usize,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum What {
+enum EventKind {
     Wake(usize, u64),
-    Arrive {
+    Deliver {
         to: usize,
-        number: u64,
+        message_id: u64,
     },
     Fault,
-    Heal(usize),
-    Ask,
-    Done(String),
-    /// All have forgotten, and the operators find that out.
-    Remember,
-    /// All but so many of the last are killed at once.
+    Recover(usize),
+    Request,
+    Complete(String),
+    /// Operators resolve a loss of state and repeat their commands.
+    RunOperators,
+    /// All processes but the last ones, of this number, are killed.
     KillAll(usize),
-    /// They are started at once.
+    /// All killed processes start.
     StartAll,
 }
 
-struct Place {
+struct Node {
     machine: Option<Machine>,
-    /// Its clock: how far ahead, and by how many parts in ten thousand it runs fast.
-    ahead: Micros,
-    fast: i64,
-    frozen: bool,
-    apart: bool,
-    since: Micros,
-    wake: Micros,
-    life: u64,
-    /// Calls at hosts, with their ends.
+    /// Offset of the local clock.
+    clock_offset: Micros,
+    /// Drift of the local clock; positive: it runs fast.
+    drift_per_10k: i64,
+    is_frozen: bool,
+    is_partitioned: bool,
+    changed_at: Micros,
+    next_wake_at: Micros,
+    incarnation: u64,
+    /// Hosts of the calls in flight, with the times at which they end.
     calls: Vec<(String, Micros)>,
-    /// What it last looked up, and when.
+    /// Cached facts, with the time at which they were read.
     facts: Option<(Micros, Facts)>,
 }
 
 pub struct Fleet {
-    plan: Plan,
+    scenario: Scenario,
     now: Micros,
-    queue: BinaryHeap<Reverse<(Micros, u64, What)>>,
-    order: u64,
-    letters: BTreeMap<u64, (usize, Message)>,
-    places: Vec<Place>,
-    names: BTreeMap<Name, usize>,
+    events: BinaryHeap<Reverse<(Micros, u64, EventKind)>>,
+    sequence: u64,
+    messages: BTreeMap<u64, (usize, Message)>,
+    nodes: Vec<Node>,
+    indices: BTreeMap<Name, usize>,
     random: Pcg64,
     hosts: BTreeMap<String, HostStatus>,
     /// Hosts that operators were told are free.
-    free: BTreeSet<String>,
-    asked: BTreeMap<String, Micros>,
-    working: BTreeSet<String>,
+    free_hosts: BTreeSet<String>,
+    requested_at: BTreeMap<String, Micros>,
+    open_requests: BTreeSet<String>,
     next_host: usize,
-    lives: u64,
-    held: Option<(usize, u64)>,
-    unheld_since: Option<Micros>,
-    orders: u64,
-    /// What was sent since all were started, and when, and when each served again.
-    together: Option<Together>,
-    pub seen: Seen,
+    last_incarnation: u64,
+    leader: Option<(usize, u64)>,
+    leaderless_since: Option<Micros>,
+    last_command_id: u64,
+    /// Present once all killed processes were started.
+    restart_metrics: Option<RestartMetrics>,
+    pub metrics: Metrics,
 }
 
-/// What came of a start of all.
+/// Results of a restart of all processes.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Together {
-    pub started: Micros,
-    /// By kind of message, in each tenth of a second.
-    pub sent: BTreeMap<&'static str, Vec<u32>>,
-    /// How long after the start each served, in the order of their doing so.
-    pub serving: Vec<Micros>,
+pub struct RestartMetrics {
+    pub started_at: Micros,
+    /// Counts of sent messages per tenth of a second, by kind.
+    pub sent_by_kind: BTreeMap<&'static str, Vec<u32>>,
+    /// Times from the start until a process served, in ascending order.
+    pub times_to_serve: Vec<Micros>,
     served: BTreeSet<usize>,
 }
 
-/// What a message is, for counting.
-fn kind(message: &Message) -> Option<&'static str> {
+/// Returns the kind under which a message is counted; `None`: it is not.
+fn message_kind(message: &Message) -> Option<&'static str> {
     match message {
-        Message::Prepare { .. } => Some("bids"),
-        Message::VoterRecoveryRequest { .. } => Some("recalls"),
-        Message::Renew(_) => Some("leaves asked for"),
-        Message::RecoveryQuery { .. } => Some("questions of those that wait"),
+        Message::Prepare { .. } => Some("prepare requests"),
+        Message::VoterRecoveryRequest { .. } => Some("voter recovery requests"),
+        Message::Renew(_) => Some("lease renewals"),
+        Message::RecoveryQuery { .. } => Some("recovery queries"),
         _ => None,
     }
 }
 
-fn name(place: usize) -> Name {
-    Name::new(&format!("p{place:03}")).expect("a name")
+fn node_name(index: usize) -> Name {
+    Name::new(&format!("p{index:03}")).expect("a name")
 }
 
 impl Fleet {
-    pub fn new(plan: Plan) -> Fleet {
-        let mut random = Pcg64::seed_from_u64(plan.seed);
+    pub fn new(scenario: Scenario) -> Fleet {
+        let mut random = Pcg64::seed_from_u64(scenario.seed);
         let host = |number: usize| {
-            let fact = HostStatus {
+            let status = HostStatus {
                 zone: format!("z{}", number % 4),
                 pod: (number / 3) as u32,
                 ready: true,
@@ -160,382 +162,403 @@
                 warmth: 1_000,
                 weight: 1_000,
             };
-            (format!("h{number:03}"), fact)
+            (format!("h{number:03}"), status)
         };
-        let places = (0..plan.processes)
-            .map(|_| Place {
+        let nodes = (0..scenario.process_count)
+            .map(|_| Node {
                 machine: None,
-                ahead: u64::from(random.next_u32()),
-                // Within what is borne: one part in 64 between two.
-                fast: i64::from(random.next_u32() % 140) - 70,
-                frozen: false,
-                apart: false,
-                since: 0,
-                wake: 0,
-                life: 0,
+                clock_offset: u64::from(random.next_u32()),
+                // The protocol tolerates a drift of one part in 64 between two clocks.
+                drift_per_10k: i64::from(random.next_u32() % 140) - 70,
+                is_frozen: false,
+                is_partitioned: false,
+                changed_at: 0,
+                next_wake_at: 0,
+                incarnation: 0,
                 calls: Vec::new(),
                 facts: None,
             })
             .collect();
         let mut fleet = Fleet {
             now: SECOND,
-            queue: BinaryHeap::new(),
-            order: 0,
-            letters: BTreeMap::new(),
-            places,
-            names: (0..plan.processes).map(|place| (name(place), place)).collect(),
+            events: BinaryHeap::new(),
+            sequence: 0,
+            messages: BTreeMap::new(),
+            nodes,
+            indices: (0..scenario.process_count).map(|index| (node_name(index), index)).collect(),
             random,
-            hosts: (0..plan.hosts).map(host).collect(),
-            free: BTreeSet::new(),
-            asked: BTreeMap::new(),
-            working: BTreeSet::new(),
+            hosts: (0..scenario.host_count).map(host).collect(),
+            free_hosts: BTreeSet::new(),
+            requested_at: BTreeMap::new(),
+            open_requests: BTreeSet::new(),
             next_host: 0,
-            lives: 0,
-            held: None,
-            unheld_since: Some(SECOND),
-            orders: 0,
-            together: None,
-            seen: Seen::default(),
-            plan,
+            last_incarnation: 0,
+            leader: None,
+            leaderless_since: Some(SECOND),
+            last_command_id: 0,
+            restart_metrics: None,
+            metrics: Metrics::default(),
+            scenario,
         };
-        (0..fleet.plan.processes).for_each(|place| fleet.launch(place));
-        fleet.push(4 * fleet.plan.lease, What::Remember);
-        if fleet.plan.asks_every > 0 {
-            fleet.push(6 * fleet.plan.lease, What::Ask);
+        (0..fleet.scenario.process_count).for_each(|index| fleet.start_node(index));
+        fleet.schedule_event(4 * fleet.scenario.lease, EventKind::RunOperators);
+        if fleet.scenario.request_interval > 0 {
+            fleet.schedule_event(6 * fleet.scenario.lease, EventKind::Request);
         }
-        if fleet.plan.fault_every > 0 {
-            fleet.push(8 * fleet.plan.lease, What::Fault);
+        if fleet.scenario.fault_interval > 0 {
+            fleet.schedule_event(8 * fleet.scenario.lease, EventKind::Fault);
         }
         fleet
     }
 
-    fn push(&mut self, after: Micros, what: What) {
-        self.order += 1;
-        self.queue.push(Reverse((self.now + after, self.order, what)));
+    fn schedule_event(&mut self, after: Micros, event: EventKind) {
+        self.sequence += 1;
+        self.events.push(Reverse((self.now + after, self.sequence, event)));
     }
 
-    fn below(&mut self, bound: u64) -> u64 {
+    fn random_below(&mut self, bound: u64) -> u64 {
         self.random.next_u64() % bound.max(1)
     }
 
-    fn local(&self, place: usize) -> Micros {
-        let Place { ahead, fast, .. } = self.places[place];
-        ahead + (self.now as i64 + self.now as i64 / 10_000 * fast) as Micros
+    fn local_time(&self, index: usize) -> Micros {
+        let Node { clock_offset, drift_per_10k, .. } = self.nodes[index];
+        clock_offset + (self.now as i64 + self.now as i64 / 10_000 * drift_per_10k) as Micros
     }
 
-    fn launch(&mut self, place: usize) {
-        self.lives += 1;
-        let voters = (0..self.plan.voters).map(name).collect();
+    fn start_node(&mut self, index: usize) {
+        self.last_incarnation += 1;
+        let voters = (0..self.scenario.voter_count).map(node_name).collect();
         let voters = Voters::new(voters, Vec::new()).expect("voters");
         let limits = Limits {
-            max_total: self.plan.limit,
-            max_per_zone: self.plan.limit,
+            max_total: self.scenario.max_hosts_out,
+            max_per_zone: self.scenario.max_hosts_out,
             max_per_pod: 1,
             ..Limits::default()
         };
         let config = Config {
-            lease: self.plan.lease,
+            lease: self.scenario.lease,
             max_call_duration: 2 * SECOND,
             autonomy_timeout: Micros::MAX,
             ..Config::default()
         };
-        let rules = SchedulerConfig { limits, max_recovery_time: 10 * SECOND, ..SchedulerConfig::default() };
-        let at = SocketAddr::from(([10, 0, (place / 250) as u8, (place % 250) as u8], 7_946));
-        let me = Process { name: name(place), incarnation: self.lives, address: at };
-        let now = self.local(place);
-        let (lives, since) = (self.lives, self.now);
-        let of = &mut self.places[place];
-        of.machine = Some(Machine::new(config, Maintenance::new(rules), voters, me, now));
-        (of.life, of.since, of.frozen, of.apart) = (lives, since, false, false);
-        of.calls.clear();
-        self.wake(place);
+        let scheduler =
+            SchedulerConfig { limits, max_recovery_time: 10 * SECOND, ..SchedulerConfig::default() };
+        let at = SocketAddr::from(([10, 0, (index / 250) as u8, (index % 250) as u8], 7_946));
+        let me = Process { name: node_name(index), incarnation: self.last_incarnation, address: at };
+        let now = self.local_time(index);
+        let (incarnation, changed_at) = (self.last_incarnation, self.now);
+        let node = &mut self.nodes[index];
+        node.machine = Some(Machine::new(config, Maintenance::new(scheduler), voters, me, now));
+        (node.incarnation, node.changed_at, node.is_frozen, node.is_partitioned) =
+            (incarnation, changed_at, false, false);
+        node.calls.clear();
+        self.schedule_wake(index);
     }
 
-    fn wake(&mut self, place: usize) {
-        let local = self.local(place);
-        let Some(machine) = &self.places[place].machine else { return };
-        let after = machine.next_wake().saturating_sub(local).max(1_000);
+    fn schedule_wake(&mut self, index: usize) {
+        let local_now = self.local_time(index);
+        let Some(machine) = &self.nodes[index].machine else { return };
+        let after = machine.next_wake().saturating_sub(local_now).max(1_000);
         let at = self.now + after;
-        self.places[place].wake = at;
-        self.push(after, What::Wake(place, at));
+        self.nodes[index].next_wake_at = at;
+        self.schedule_event(after, EventKind::Wake(index, at));
     }
 
-    /// What the membership knows, some time after it is so.
-    fn facts(&self, of: usize) -> Facts {
-        let fact = |place: usize| {
-            let Place { life, since, frozen, apart, .. } = &self.places[place];
-            let away = self.now.saturating_sub(*since);
-            let gone = self.places[place].machine.is_none();
-            let cut = *frozen || *apart || self.places[of].apart;
-            let presence = match (gone, cut) {
-                (true, _) if away > 2 * SECOND => Presence::Exited,
-                (_, true) if away > 10 * SECOND => Presence::Unreachable,
-                (_, true) if away > 3 * SECOND => Presence::Suspected,
+    /// Returns the facts as the membership reports them, with a delay.
+    fn facts(&self, observer: usize) -> Facts {
+        let member = |index: usize| {
+            let Node { incarnation, changed_at, is_frozen, is_partitioned, .. } = &self.nodes[index];
+            let time_since_change = self.now.saturating_sub(*changed_at);
+            let is_stopped = self.nodes[index].machine.is_none();
+            let is_cut_off = *is_frozen || *is_partitioned || self.nodes[observer].is_partitioned;
+            let presence = match (is_stopped, is_cut_off) {
+                (true, _) if time_since_change > 2 * SECOND => Presence::Exited,
+                (_, true) if time_since_change > 10 * SECOND => Presence::Unreachable,
+                (_, true) if time_since_change > 3 * SECOND => Presence::Suspected,
                 _ => Presence::Alive,
             };
-            let at = SocketAddr::from(([10, 0, (place / 250) as u8, (place % 250) as u8], 7_946));
-            (name(place), MemberStatus { incarnation: *life, address: at, presence, since: 0 })
+            let at = SocketAddr::from(([10, 0, (index / 250) as u8, (index % 250) as u8], 7_946));
+            (node_name(index), MemberStatus { incarnation: *incarnation, address: at, presence, since: 0 })
         };
         Facts {
             application: HostFacts { hosts: self.hosts.clone(), lost_zones: BTreeSet::new() },
-            members: (0..self.places.len()).filter(|place| *place != of).map(fact).collect(),
-            participates: !self.places[of].apart
-                || self.now.saturating_sub(self.places[of].since) < 3 * SECOND,
+            members: (0..self.nodes.len()).filter(|index| *index != observer).map(member).collect(),
+            participates: !self.nodes[observer].is_partitioned
+                || self.now.saturating_sub(self.nodes[observer].changed_at) < 3 * SECOND,
         }
     }
 
-    fn act(&mut self, place: usize, act: impl FnOnce(&mut Machine, &mut Context<'_>, &mut Vec<Effect>)) {
-        // Only voters look at facts: for the others they need not be made.
-        let old = self.places[place].facts.take().filter(|(at, _)| self.now < at + FRESH);
-        let (looked, facts) = match old {
-            Some(fresh) => fresh,
-            None if place < self.plan.voters => (self.now, self.facts(place)),
+    fn with_machine(
+        &mut self,
+        index: usize,
+        act: impl FnOnce(&mut Machine, &mut Context<'_>, &mut Vec<Effect>),
+    ) {
+        // Only voters read facts, and building them is costly.
+        let old = self.nodes[index].facts.take().filter(|(at, _)| self.now < at + MAX_FACTS_AGE);
+        let (read_at, facts) = match old {
+            Some(cached) => cached,
+            None if index < self.scenario.voter_count => (self.now, self.facts(index)),
             None => (self.now, Facts::default()),
         };
-        let local = self.local(place);
-        let Some(mut machine) = self.places[place].machine.take() else { return };
+        let local_now = self.local_time(index);
+        let Some(mut machine) = self.nodes[index].machine.take() else { return };
         let now = self.now;
-        let mut in_hand: BTreeMap<String, u32> = BTreeMap::new();
-        self.places[place].calls.retain(|(_, until)| *until > now);
-        self.places[place].calls.iter().for_each(|(host, _)| *in_hand.entry(host.clone()).or_default() += 1);
-        machine.application_mut().set_usage(HostUsage { in_flight: in_hand, load_millicalls: 1_000 });
-        let mut out = Vec::new();
-        let mut around = Context { now: local, facts: &facts, random: &mut self.random };
-        act(&mut machine, &mut around, &mut out);
-        if place < self.plan.voters {
-            self.holding(place, machine.leading_ballot(local).map(|ballot| ballot.round));
+        let mut calls_in_flight: BTreeMap<String, u32> = BTreeMap::new();
+        self.nodes[index].calls.retain(|(_, until)| *until > now);
+        self.nodes[index]
+            .calls
+            .iter()
+            .for_each(|(host, _)| *calls_in_flight.entry(host.clone()).or_default() += 1);
+        machine.application_mut().set_usage(HostUsage { in_flight: calls_in_flight, load_millicalls: 1_000 });
+        let mut effects = Vec::new();
+        let mut context = Context { now: local_now, facts: &facts, random: &mut self.random };
+        act(&mut machine, &mut context, &mut effects);
+        if index < self.scenario.voter_count {
+            self.record_leadership(index, machine.leading_ballot(local_now).map(|ballot| ballot.round));
         }
-        if let Some(together) = &mut self.together {
-            if machine.admission_status() != AdmissionStatus::Pending && together.served.insert(place) {
-                together.serving.push(self.now - together.started);
+        if let Some(metrics) = &mut self.restart_metrics {
+            if machine.admission_status() != AdmissionStatus::Pending && metrics.served.insert(index) {
+                metrics.times_to_serve.push(self.now - metrics.started_at);
             }
         }
-        let turns: Vec<(String, bool)> = machine
+        let drains: Vec<(String, bool)> = machine
             .state()
             .drains
             .iter()
-            .map(|t| (t.request.host.clone(), t.is_free && t.stage == Stage::OutOfService))
+            .map(|drain| (drain.request.host.clone(), drain.is_free && drain.stage == Stage::OutOfService))
             .collect();
-        self.places[place].facts = Some((looked, facts));
-        self.places[place].machine = Some(machine);
-        for (host, free) in turns {
-            if free && self.working.contains(&host) && self.free.insert(host.clone()) {
-                self.told_free(&host);
+        self.nodes[index].facts = Some((read_at, facts));
+        self.nodes[index].machine = Some(machine);
+        for (host, free) in drains {
+            if free && self.open_requests.contains(&host) && self.free_hosts.insert(host.clone()) {
+                self.record_free_host(&host);
             }
         }
-        self.judge(place);
-        for effect in out {
+        self.check_invariants(index);
+        for effect in effects {
             if let Effect::Send { to, message } = effect {
-                self.send(place, &to, message);
+                self.send_message(index, &to, message);
             }
         }
-        self.wake(place);
+        self.schedule_wake(index);
     }
 
-    fn holding(&mut self, place: usize, round: Option<u64>) {
-        match (round, self.held) {
-            (Some(round), held) if held != Some((place, round)) => {
-                self.held = Some((place, round));
-                self.seen.holders += 1;
-                if let Some(since) = self.unheld_since.take() {
-                    self.seen.without.push(self.now - since);
+    fn record_leadership(&mut self, index: usize, round: Option<u64>) {
+        match (round, self.leader) {
+            (Some(round), leader) if leader != Some((index, round)) => {
+                self.leader = Some((index, round));
+                self.metrics.leader_changes += 1;
+                if let Some(since) = self.leaderless_since.take() {
+                    self.metrics.leaderless_times.push(self.now - since);
                 }
             }
-            (None, Some((holder, _))) if holder == place => {
-                (self.held, self.unheld_since) = (None, Some(self.now));
+            (None, Some((leader, _))) if leader == index => {
+                (self.leader, self.leaderless_since) = (None, Some(self.now));
             }
             _ => {}
         }
     }
 
-    fn told_free(&mut self, host: &str) {
-        self.seen.freed += 1;
-        if let Some(asked) = self.asked.get(host) {
-            self.seen.took.push(self.now - asked);
+    fn record_free_host(&mut self, host: &str) {
+        self.metrics.freed += 1;
+        if let Some(requested) = self.requested_at.get(host) {
+            self.metrics.times_to_free.push(self.now - requested);
         }
-        self.seen.out_most = self.seen.out_most.max(self.free.len());
-        assert!(self.free.len() <= self.plan.limit as usize, "{:?} are out at once", self.free);
-        (0..self.places.len()).for_each(|place| self.judge(place));
-        let work = SECOND + self.below(self.plan.work_most);
-        self.push(work, What::Done(host.to_owned()));
+        self.metrics.peak_hosts_out = self.metrics.peak_hosts_out.max(self.free_hosts.len());
+        assert!(
+            self.free_hosts.len() <= self.scenario.max_hosts_out as usize,
+            "too many hosts are out of service: {:?}",
+            self.free_hosts
+        );
+        (0..self.nodes.len()).for_each(|index| self.check_invariants(index));
+        let maintenance_time = SECOND + self.random_below(self.scenario.max_maintenance_time);
+        self.schedule_event(maintenance_time, EventKind::Complete(host.to_owned()));
     }
 
-    /// Nothing goes to a host that was told free, and nothing runs there.
-    fn judge(&self, place: usize) {
-        let of = &self.places[place];
-        let Some(machine) = of.machine.as_ref().filter(|_| !of.frozen) else { return };
-        let local = self.local(place);
-        for host in &self.free {
-            assert!(!may_send(machine, local, host), "p{place} sends to {host} at {}", self.now);
-            let runs = of.calls.iter().any(|(at, until)| at == host && *until > self.now);
-            assert!(!runs, "a call of p{place} runs at {host} at {}", self.now);
+    /// Asserts that a process neither sends to a free host nor has a call in flight there.
+    fn check_invariants(&self, index: usize) {
+        let node = &self.nodes[index];
+        let Some(machine) = node.machine.as_ref().filter(|_| !node.is_frozen) else { return };
+        let local_now = self.local_time(index);
+        for host in &self.free_hosts {
+            assert!(
+                !may_send(machine, local_now, host),
+                "p{index} may send to the free host {host} at {}",
+                self.now
+            );
+            let runs = node.calls.iter().any(|(at, until)| at == host && *until > self.now);
+            assert!(!runs, "p{index} has a call in flight at the free host {host} at {}", self.now);
         }
     }
 
-    fn send(&mut self, from: usize, to: &Name, message: Message) {
-        self.seen.messages += 1;
-        if let (Some(together), Some(kind)) = (&mut self.together, kind(&message)) {
-            let tenth = ((self.now - together.started) / (SECOND / 10)) as usize;
-            let counts = together.sent.entry(kind).or_default();
-            counts.resize(counts.len().max(tenth + 1), 0);
-            counts[tenth] += 1;
+    fn send_message(&mut self, from: usize, to: &Name, message: Message) {
+        self.metrics.messages += 1;
+        if let (Some(metrics), Some(kind)) = (&mut self.restart_metrics, message_kind(&message)) {
+            let bucket = ((self.now - metrics.started_at) / (SECOND / 10)) as usize;
+            let counts = metrics.sent_by_kind.entry(kind).or_default();
+            counts.resize(counts.len().max(bucket + 1), 0);
+            counts[bucket] += 1;
         }
-        let Some(&to) = self.names.get(to) else { return };
-        let lost = (self.random.next_u32() as f64) < self.plan.loss * f64::from(u32::MAX);
-        if lost || self.places[from].apart || self.places[to].apart {
+        let Some(&to) = self.indices.get(to) else { return };
+        let lost = (self.random.next_u32() as f64) < self.scenario.loss_ratio * f64::from(u32::MAX);
+        if lost || self.nodes[from].is_partitioned || self.nodes[to].is_partitioned {
             return;
         }
-        self.order += 1;
-        let number = self.order;
-        self.letters.insert(number, (from, message));
-        let way = 1_000 + self.below(20_000);
-        self.push(way, What::Arrive { to, number });
+        self.sequence += 1;
+        let message_id = self.sequence;
+        self.messages.insert(message_id, (from, message));
+        let delay = 1_000 + self.random_below(20_000);
+        self.schedule_event(delay, EventKind::Deliver { to, message_id });
     }
 
-    /// All but so many are killed at once at a time, and started together a second later; then it is played to its end.
-    pub fn restart(mut self, at: Micros, but: usize) -> Together {
-        self.push(at - self.now, What::KillAll(but));
-        self.run();
-        self.together.unwrap_or_default()
+    /// Kills all processes but `survivors` at a time, starts them together a second later, and runs to the
+    /// end.
+    pub fn kill_and_restart(mut self, at: Micros, survivors: usize) -> RestartMetrics {
+        self.schedule_event(at - self.now, EventKind::KillAll(survivors));
+        self.process_events();
+        self.restart_metrics.unwrap_or_default()
     }
 
-    /// Plays it to its end.
-    pub fn play(mut self) -> Seen {
-        self.run();
-        self.seen
+    /// Runs to the end of the scenario.
+    pub fn run(mut self) -> Metrics {
+        self.process_events();
+        self.metrics
     }
 
-    fn run(&mut self) {
-        let end = self.plan.lasts;
-        while let Some(Reverse((at, _, what))) = self.queue.pop() {
+    fn process_events(&mut self) {
+        let end = self.scenario.duration;
+        while let Some(Reverse((at, _, event))) = self.events.pop() {
             if at > end {
                 break;
             }
             self.now = at;
-            self.happen(what);
+            self.handle_event(event);
         }
     }
 
-    fn happen(&mut self, what: What) {
-        match what {
-            What::Wake(place, at) if self.places[place].wake == at && !self.places[place].frozen => {
-                self.call(place);
-                self.act(place, |machine, around, out| machine.tick(around, out));
+    fn handle_event(&mut self, event: EventKind) {
+        match event {
+            EventKind::Wake(index, at)
+                if self.nodes[index].next_wake_at == at && !self.nodes[index].is_frozen =>
+            {
+                self.start_call(index);
+                self.with_machine(index, |machine, context, out| machine.tick(context, out));
             }
-            What::Wake(..) => {}
-            What::Arrive { to, number } => {
-                let Some((from, message)) = self.letters.remove(&number) else { return };
-                if self.places[to].frozen {
-                    // It waits in the socket.
-                    self.letters.insert(number, (from, message));
-                    return self.push(SECOND, What::Arrive { to, number });
+            EventKind::Wake(..) => {}
+            EventKind::Deliver { to, message_id } => {
+                let Some((from, message)) = self.messages.remove(&message_id) else { return };
+                if self.nodes[to].is_frozen {
+                    // The message waits in the socket until the process runs again.
+                    self.messages.insert(message_id, (from, message));
+                    return self.schedule_event(SECOND, EventKind::Deliver { to, message_id });
                 }
-                let from = name(from);
-                self.act(to, |machine, around, out| machine.receive(around, &from, message, out));
+                let from = node_name(from);
+                self.with_machine(to, |machine, context, out| machine.receive(context, &from, message, out));
             }
-            What::Fault => self.fault(),
-            What::Heal(place) => {
-                let gone = self.places[place].machine.is_none();
-                let frozen = std::mem::take(&mut self.places[place].frozen);
-                self.places[place].apart = false;
-                self.places[place].since = self.now;
-                if gone {
-                    self.launch(place);
-                } else if frozen {
-                    // What it sends first it sends before it looks at the time.
-                    self.judge(place);
-                    self.call(place);
-                    self.wake(place);
+            EventKind::Fault => self.inject_fault(),
+            EventKind::Recover(index) => {
+                let is_stopped = self.nodes[index].machine.is_none();
+                let is_frozen = std::mem::take(&mut self.nodes[index].is_frozen);
+                self.nodes[index].is_partitioned = false;
+                self.nodes[index].changed_at = self.now;
+                if is_stopped {
+                    self.start_node(index);
+                } else if is_frozen {
+                    // A resumed process may send a call before it reads its clock.
+                    self.check_invariants(index);
+                    self.start_call(index);
+                    self.schedule_wake(index);
                 }
             }
-            What::Ask => {
-                self.ask();
-                let every = self.plan.asks_every;
-                let after = every / 2 + self.below(every);
-                self.push(after, What::Ask);
+            EventKind::Request => {
+                self.request_next_drain();
+                let every = self.scenario.request_interval;
+                let after = every / 2 + self.random_below(every);
+                self.schedule_event(after, EventKind::Request);
             }
-            What::Done(host) => {
-                self.free.remove(&host);
-                self.working.remove(&host);
-                self.asked.remove(&host);
-                self.seen.done += 1;
-                self.say_done(&host);
+            EventKind::Complete(host) => {
+                self.free_hosts.remove(&host);
+                self.open_requests.remove(&host);
+                self.requested_at.remove(&host);
+                self.metrics.completed += 1;
+                self.complete_drain(&host);
             }
-            What::KillAll(but) => {
-                for place in 0..self.places.len() - but {
-                    self.places[place].machine = None;
-                    self.places[place].calls.clear();
-                    self.holding(place, None);
+            EventKind::KillAll(survivors) => {
+                for index in 0..self.nodes.len() - survivors {
+                    self.nodes[index].machine = None;
+                    self.nodes[index].calls.clear();
+                    self.record_leadership(index, None);
                 }
-                self.push(SECOND, What::StartAll);
+                self.schedule_event(SECOND, EventKind::StartAll);
             }
-            What::StartAll => {
-                self.together = Some(Together { started: self.now, ..Together::default() });
-                let gone: Vec<usize> =
-                    (0..self.places.len()).filter(|place| self.places[*place].machine.is_none()).collect();
-                gone.into_iter().for_each(|place| self.launch(place));
+            EventKind::StartAll => {
+                self.restart_metrics =
+                    Some(RestartMetrics { started_at: self.now, ..RestartMetrics::default() });
+                let stopped: Vec<usize> =
+                    (0..self.nodes.len()).filter(|index| self.nodes[*index].machine.is_none()).collect();
+                stopped.into_iter().for_each(|index| self.start_node(index));
             }
-            What::Remember => {
-                self.remember();
-                self.push(self.plan.lease, What::Remember);
+            EventKind::RunOperators => {
+                self.run_operators();
+                self.schedule_event(self.scenario.lease, EventKind::RunOperators);
             }
         }
     }
 
-    /// A process sends a call, if it may.
-    fn call(&mut self, place: usize) {
-        let number = self.below(self.plan.hosts as u64);
+    /// Starts a call to a random host if the process may send to it.
+    fn start_call(&mut self, index: usize) {
+        let number = self.random_below(self.scenario.host_count as u64);
         let host = format!("h{number:03}");
-        let local = self.local(place);
-        let may =
-            |m: &Machine| m.admission_status() == AdmissionStatus::Admitted && may_send(m, local, &host);
-        if self.places[place].machine.as_ref().is_some_and(may) {
-            let until = self.now + self.below(2 * SECOND);
-            self.places[place].calls.push((host, until));
+        let local_now = self.local_time(index);
+        let may_call =
+            |m: &Machine| m.admission_status() == AdmissionStatus::Admitted && may_send(m, local_now, &host);
+        if self.nodes[index].machine.as_ref().is_some_and(may_call) {
+            let until = self.now + self.random_below(2 * SECOND);
+            self.nodes[index].calls.push((host, until));
         }
     }
 
-    fn fault(&mut self) {
-        let place = self.below(self.plan.processes as u64) as usize;
-        let of = &mut self.places[place];
-        if of.machine.is_some() && !of.frozen && !of.apart {
-            of.since = self.now;
-            self.seen.faults += 1;
-            let lasts = 2 * SECOND + self.below(4 * self.plan.lease);
-            match self.below(3) {
+    fn inject_fault(&mut self) {
+        let index = self.random_below(self.scenario.process_count as u64) as usize;
+        let node = &mut self.nodes[index];
+        if node.machine.is_some() && !node.is_frozen && !node.is_partitioned {
+            node.changed_at = self.now;
+            self.metrics.faults += 1;
+            let duration = 2 * SECOND + self.random_below(4 * self.scenario.lease);
+            match self.random_below(3) {
                 0 => {
-                    self.places[place].machine = None;
-                    self.places[place].calls.clear();
-                    self.holding(place, None);
+                    self.nodes[index].machine = None;
+                    self.nodes[index].calls.clear();
+                    self.record_leadership(index, None);
                 }
-                1 => self.places[place].frozen = true,
-                _ => self.places[place].apart = true,
+                1 => self.nodes[index].is_frozen = true,
+                _ => self.nodes[index].is_partitioned = true,
             }
-            self.push(lasts, What::Heal(place));
+            self.schedule_event(duration, EventKind::Recover(index));
         }
-        let every = self.plan.fault_every;
-        let after = every / 2 + self.below(every);
-        self.push(after, What::Fault);
+        let every = self.scenario.fault_interval;
+        let after = every / 2 + self.random_below(every);
+        self.schedule_event(after, EventKind::Fault);
     }
 
-    fn order(&mut self, place: usize, order: Command) {
-        self.orders += 1;
-        let id = self.orders;
-        let patience = 60 * self.plan.lease;
-        self.act(place, |machine, around, out| machine.submit(around, id, order, patience, out));
+    fn submit_command(&mut self, index: usize, command: Command) {
+        self.last_command_id += 1;
+        let id = self.last_command_id;
+        let timeout = 60 * self.scenario.lease;
+        self.with_machine(index, |machine, context, out| machine.submit(context, id, command, timeout, out));
     }
 
-    fn someone(&mut self) -> usize {
+    fn random_running_node(&mut self) -> usize {
         loop {
-            let place = self.below(self.plan.processes as u64) as usize;
-            let of = &self.places[place];
-            if of.machine.is_some() && !of.frozen && !of.apart {
-                return place;
+            let index = self.random_below(self.scenario.process_count as u64) as usize;
+            let node = &self.nodes[index];
+            if node.machine.is_some() && !node.is_frozen && !node.is_partitioned {
+                return index;
             }
         }
     }
 
-    fn request(&self, host: &str, already_out: bool) -> Command {
+    fn drain_command(&self, host: &str, already_out: bool) -> Command {
         Command::Request(DrainRequest {
             host: host.to_owned(),
             kind: "kernel".to_owned(),
@@ -547,73 +570,77 @@
         })
     }
 
-    fn ask(&mut self) {
-        let host = format!("h{:03}", self.next_host % self.plan.hosts);
+    fn request_next_drain(&mut self) {
+        let host = format!("h{:03}", self.next_host % self.scenario.host_count);
         self.next_host += 1;
-        if self.working.insert(host.clone()) {
-            self.seen.asked += 1;
-            self.asked.insert(host.clone(), self.now);
-            let place = self.someone();
-            let order = self.request(&host, false);
-            self.order(place, order);
+        if self.open_requests.insert(host.clone()) {
+            self.metrics.requested += 1;
+            self.requested_at.insert(host.clone(), self.now);
+            let index = self.random_running_node();
+            let command = self.drain_command(&host, false);
+            self.submit_command(index, command);
         }
     }
 
-    fn say_done(&mut self, host: &str) {
-        let place = self.someone();
-        let turn = self
-            .places
+    fn complete_drain(&mut self, host: &str) {
+        let index = self.random_running_node();
+        let drain_id = self
+            .nodes
             .iter()
-            .filter_map(|p| p.machine.as_ref()?.state().drain_for_host(host))
-            .map(|t| t.id)
+            .filter_map(|node| node.machine.as_ref()?.state().drain_for_host(host))
+            .map(|drain| drain.id)
             .max();
-        if let Some(turn) = turn {
-            self.order(place, Command::Complete { drain: turn, by: "ops".to_owned() });
+        if let Some(drain_id) = drain_id {
+            self.submit_command(index, Command::Complete { drain: drain_id, by: "ops".to_owned() });
         }
     }
 
-    /// Where all have forgotten, the operators say what is out, and that it is all; and whoever waits asks again.
-    fn remember(&mut self) {
-        let forgot = |place: &usize| {
-            let of = &self.places[*place];
-            of.machine.as_ref().is_some_and(|m| view(m, self.local(*place)).lease.is_state_lost) && !of.frozen
+    /// Acts for the operators: after a loss of state, requests the drains of hosts that are out and declares
+    /// the schedule complete; repeats requests and completions that were lost.
+    fn run_operators(&mut self) {
+        let has_lost_state = |index: &usize| {
+            let node = &self.nodes[*index];
+            node.machine.as_ref().is_some_and(|m| view(m, self.local_time(*index)).lease.is_state_lost)
+                && !node.is_frozen
         };
-        let whole = self.places.iter().all(|p| p.machine.is_some() && !p.frozen && !p.apart);
-        let holder = (0..self.plan.voters).find(forgot).filter(|_| whole);
-        if let Some(place) = holder {
-            self.seen.forgotten += 1;
-            for host in self.free.clone() {
-                let order = self.request(&host, true);
-                self.order(place, order);
+        let all_running =
+            self.nodes.iter().all(|node| node.machine.is_some() && !node.is_frozen && !node.is_partitioned);
+        let stateless = (0..self.scenario.voter_count).find(has_lost_state).filter(|_| all_running);
+        if let Some(index) = stateless {
+            self.metrics.state_losses += 1;
+            for host in self.free_hosts.clone() {
+                let command = self.drain_command(&host, true);
+                self.submit_command(index, command);
             }
-            self.order(place, Command::DeclareRecovered { by: "ops".to_owned() });
+            self.submit_command(index, Command::DeclareRecovered { by: "ops".to_owned() });
         }
-        let Some((holder, _)) = self.held else { return };
-        let Some(board) = self.places[holder].machine.as_ref().map(|m| m.state().clone()) else { return };
-        let waiting: Vec<String> = self
-            .working
+        let Some((leader, _)) = self.leader else { return };
+        let Some(schedule) = self.nodes[leader].machine.as_ref().map(|m| m.state().clone()) else { return };
+        let unanswered: Vec<String> = self
+            .open_requests
             .iter()
-            .filter(|h| !self.free.contains(*h) && board.drain_for_host(h).is_none())
+            .filter(|h| !self.free_hosts.contains(*h) && schedule.drain_for_host(h).is_none())
             .cloned()
             .collect();
-        for host in waiting {
-            let place = self.someone();
-            let order = self.request(&host, false);
-            self.order(place, order);
+        for host in unanswered {
+            let index = self.random_running_node();
+            let command = self.drain_command(&host, false);
+            self.submit_command(index, command);
         }
-        // What is back and still shown as out is said again.
-        let back =
-            |turn: &&Drain| turn.stage == Stage::OutOfService && !self.free.contains(&turn.request.host);
-        let back: Vec<(u64, bool)> = board
+        // The completion was lost if the host has returned and its drain is still out of service.
+        let is_returned = |drain: &&Drain| {
+            drain.stage == Stage::OutOfService && !self.free_hosts.contains(&drain.request.host)
+        };
+        let returned: Vec<(u64, bool)> = schedule
             .drains
             .iter()
-            .filter(back)
-            .map(|t| (t.id, self.working.contains(&t.request.host)))
+            .filter(is_returned)
+            .map(|drain| (drain.id, self.open_requests.contains(&drain.request.host)))
             .collect();
-        for (turn, working) in back {
-            if !working {
-                let place = self.someone();
-                self.order(place, Command::Complete { drain: turn, by: "ops".to_owned() });
+        for (drain_id, is_requested) in returned {
+            if !is_requested {
+                let index = self.random_running_node();
+                self.submit_command(index, Command::Complete { drain: drain_id, by: "ops".to_owned() });
             }
         }
     }
