--- a/adapter/src/fault.rs
+++ b/adapter/src/fault.rs
@@ -24,7 +24,7 @@
     },
     /// A proxy's settings cannot be used.
     #[error("facts: {0}")]
-    Facts(#[from] flaxhead_settings::Unreadable),
+    Facts(#[from] flaxhead_settings::SettingsError),
     /// A proxy that no CREATE made, or that was detached.
     #[error("{verb} for unknown proxy {proxy}")]
     Proxy {
--- a/adapter/src/main.rs
+++ b/adapter/src/main.rs
@@ -85,7 +85,7 @@
         if verb == "CREATE" {
             let facts = need(input.facts, verb, "facts")?;
             let seed = need(input.seed, verb, "seed")?;
-            let (settings, classes, tenants) = flaxhead_settings::read(&facts)?;
+            let (settings, classes, tenants) = flaxhead_settings::parse(&facts)?;
             let balancer = Balancer::new(seed, settings);
             let (numbers, names) = (HashMap::new(), HashMap::new());
             let instance = Instance { balancer, classes, tenants, numbers, names, next: 0 };
@@ -154,7 +154,7 @@
                             attempt: need(input.seq_no, verb, "seq_no")?,
                             outcome,
                             elapsed: input.elapsed_us.unwrap_or(0),
-                            closed: input.terminal,
+                            complete: input.terminal,
                             load: input.stats.map(|s| s.load()).unwrap_or_default(),
                         }
                     }
@@ -163,7 +163,7 @@
                         if let Some(name) = instance.names.get_mut(&call) {
                             name.ended = true;
                         }
-                        Event::Gone { call }
+                        Event::ClientCancelled { call }
                     }
                 }
             }
@@ -186,12 +186,12 @@
 fn command(proxy: i64, instance: &mut Instance, action: Action) -> Option<Command> {
     let word = |id: CallId, names: &HashMap<CallId, Name>| names.get(&id).map(|n| n.word.clone());
     Some(match action {
-        Action::Send { call, server, until, .. } => {
+        Action::Send { call, server, deadline, .. } => {
             let name = instance.names.get_mut(&call)?;
             name.out += 1;
-            Command::Route { proxy, call: name.word.clone(), host: server.0, stop_at_us: until }
+            Command::Route { proxy, call: name.word.clone(), host: server.0, stop_at_us: deadline }
         }
-        Action::Refuse { call, retry_after } => {
+        Action::Reject { call, retry_after } => {
             let name = instance.names.get_mut(&call)?;
             name.ended = true;
             let command = Command::Bounce { proxy, call: name.word.clone(), hold_off_us: retry_after };
--- a/adapter/src/wire.rs
+++ b/adapter/src/wire.rs
@@ -1,8 +1,8 @@
 //! Messages of the wire, as they are read and written.
 
 use crate::fault::Fault;
-use flaxhead_policy::{CellId, Entry, Load, Outcome, ServerId, State};
-use flaxhead_settings::{model, zone};
+use flaxhead_policy::{CellId, Entry, LoadReport, Outcome, ServerId, State};
+use flaxhead_settings::{model_id, zone_id};
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
 
@@ -51,8 +51,8 @@
 }
 
 impl Stats {
-    pub fn load(&self) -> Load {
-        Load { in_hand: self.active, waiting: self.waiting, busy: self.cpu }
+    pub fn load(&self) -> LoadReport {
+        LoadReport { active_requests: self.active, queued_requests: self.waiting, cpu_utilization: self.cpu }
     }
 }
 
@@ -77,16 +77,16 @@
         let state = match self.state {
             0 => State::Draining,
             1 => State::Ready,
-            2 => State::Gone,
+            2 => State::Removed,
             other => return Err(Fault::State { host: self.host, state: other }),
         };
         Ok(Entry {
             server: ServerId(self.host),
             state,
-            zone: zone(&self.az),
-            model: model(&self.shape),
+            zone: zone_id(&self.az),
+            model: model_id(&self.shape),
             cell: CellId(self.cohort),
-            started: self.last_start_us,
+            started_at: self.last_start_us,
             weight: self.weight,
         })
     }
@@ -96,11 +96,11 @@
     match code {
         "served" => Outcome::Served,
         "server_error" => Outcome::Error,
-        "turned_away" => Outcome::TurnedAway,
+        "turned_away" => Outcome::Rejected,
         "no_answer" => Outcome::TimedOut,
         "no_connection" => Outcome::NoConnection,
         "connection_lost" => Outcome::Reset,
-        "called_off" => Outcome::CalledOff,
+        "called_off" => Outcome::Cancelled,
         "not_sent" => Outcome::NotSent,
         _ => Outcome::Unknown,
     }
--- a/engine/src/call.rs
+++ b/engine/src/call.rs
@@ -3,7 +3,7 @@
 use crate::clock::micros;
 use crate::task::Task;
 use crate::transport::{Transport, WriteMeter};
-use flaxhead_policy::{CallId, ClassId, Event, Load, Micros, Outcome, ServerId, TenantId};
+use flaxhead_policy::{CallId, ClassId, Event, LoadReport, Micros, Outcome, ServerId, TenantId};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -163,7 +163,7 @@
     pub(crate) fn take_attempt(&mut self, attempt: u32, outcome: Outcome) -> Option<Attempt> {
         let ended = self.attempts.get_mut(attempt as usize)?.take()?;
         self.ended_trace.record(&ended, outcome);
-        let abandoned = matches!(outcome, Outcome::CalledOff | Outcome::TimedOut);
+        let abandoned = matches!(outcome, Outcome::Cancelled | Outcome::TimedOut);
         if let Some(permit) = self.permit.as_mut().filter(|_| abandoned && ended.may_have_been_seen()) {
             permit.attempt_abandoned();
         }
@@ -193,10 +193,10 @@
     }
 
     /// Counts an attempt that is not sent. Returns its outcome for the module.
-    pub(crate) fn skip_attempt(&mut self, id: CallId, closed: bool) -> Event {
+    pub(crate) fn skip_attempt(&mut self, id: CallId, complete: bool) -> Event {
         let attempt = self.next_attempt();
         self.attempts.push(None);
-        outcome_event(id, attempt, Outcome::NotSent, Duration::ZERO, closed)
+        outcome_event(id, attempt, Outcome::NotSent, Duration::ZERO, complete)
     }
 
     /// Whether one more attempt may go out now, by the call's permit.
@@ -225,7 +225,7 @@
         events: &mut VecDeque<Event>,
         is_unwanted: impl Fn(&Attempt) -> bool,
     ) {
-        let closed = !self.is_pending();
+        let complete = !self.is_pending();
         let mut ended = 0;
         for (attempt, slot) in (0..).zip(&mut self.attempts) {
             if let Some(unsent) =
@@ -233,7 +233,13 @@
             {
                 unsent.meter.withdraw();
                 ended += 1;
-                events.push_back(outcome_event(id, attempt, Outcome::NotSent, unsent.sent.elapsed(), closed));
+                events.push_back(outcome_event(
+                    id,
+                    attempt,
+                    Outcome::NotSent,
+                    unsent.sent.elapsed(),
+                    complete,
+                ));
             }
         }
         self.release_extra_permits(ended);
@@ -246,7 +252,7 @@
     attempt: u32,
     outcome: Outcome,
     elapsed: Duration,
-    closed: bool,
+    complete: bool,
 ) -> Event {
-    Event::Outcome { call, attempt, outcome, elapsed: micros(elapsed), closed, load: Load::default() }
+    Event::Outcome { call, attempt, outcome, elapsed: micros(elapsed), complete, load: LoadReport::default() }
 }
--- a/engine/src/engine/attempts.rs
+++ b/engine/src/engine/attempts.rs
@@ -12,9 +12,9 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SendWindow {
     /// When it is given up; `None`: with its call.
-    pub(super) until: Option<Micros>,
+    pub(super) deadline: Option<Micros>,
     /// From when on it must not begin; `None`: it may for as long as it is in flight.
-    pub(super) begin_by: Option<Micros>,
+    pub(super) send_by: Option<Micros>,
 }
 
 impl<T: Transport> Inner<T> {
@@ -23,7 +23,7 @@
         let now = Instant::now();
         let Inner { calls, hosts, retries, transport, clock, counts, events, .. } = self;
         let Some(call) = calls.get_mut(&id) else { return };
-        let until = window.until.map_or(call.deadline, |at| clock.instant(at).min(call.deadline));
+        let until = window.deadline.map_or(call.deadline, |at| clock.instant(at).min(call.deadline));
         let host = hosts.get(&server).filter(|host| host.is_available());
         let Some(host) = host.filter(|_| call.is_pending() && now < until) else {
             return events.push_back(call.skip_attempt(id, !call.is_pending()));
@@ -38,15 +38,15 @@
             }
         }
         let address = host.address;
-        let begin_by = window.begin_by.map(|at| clock.instant(at));
-        let meter = WriteMeter::new(host.cutoff.clone(), begin_by);
+        let send_by = window.send_by.map(|at| clock.instant(at));
+        let meter = WriteMeter::new(host.cutoff.clone(), send_by);
         let target = AttemptTarget { server, address, single_shot: call.single_shot, until };
         let sending = transport.send(target, &call.request, &meter);
         let attempt = call.next_attempt();
         let task = {
             let (engine, meter) = (engine.clone(), meter.clone());
             spawn(async move {
-                let result = run_until(sending, &meter, until, begin_by).await;
+                let result = run_until(sending, &meter, until, send_by).await;
                 engine.finish_attempt(id, attempt, result);
             })
         };
@@ -57,10 +57,10 @@
     /// Cancels an attempt.
     pub(super) fn cancel(&mut self, id: CallId, attempt: u32) {
         let Some(call) = self.calls.get_mut(&id) else { return };
-        let Some(cancelled) = call.take_attempt(attempt, Outcome::CalledOff) else { return };
-        let closed = !call.is_pending();
+        let Some(cancelled) = call.take_attempt(attempt, Outcome::Cancelled) else { return };
+        let complete = !call.is_pending();
         let elapsed = cancelled.sent.elapsed();
-        self.events.push_back(outcome_event(id, attempt, Outcome::CalledOff, elapsed, closed));
+        self.events.push_back(outcome_event(id, attempt, Outcome::Cancelled, elapsed, complete));
         self.remove_if_finished(id);
     }
 }
--- a/engine/src/engine/calls.rs
+++ b/engine/src/engine/calls.rs
@@ -5,7 +5,7 @@
 use crate::clock::micros;
 use crate::event::EngineEvent;
 use crate::transport::{AttemptResult, Transport};
-use flaxhead_policy::{CallId, Event, Repeat};
+use flaxhead_policy::{CallId, Event, Idempotency};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::oneshot;
@@ -27,7 +27,7 @@
         let CallSpec { class, tenant, deadline, resent, max_attempts } = spec;
         let time_left = micros(deadline.saturating_duration_since(Instant::now()));
         let class_settings = inner.settings.classes.get(class.0);
-        let single_shot = class_settings.is_none_or(|class| class.repeat == Repeat::SingleShot);
+        let single_shot = class_settings.is_none_or(|class| class.idempotency == Idempotency::NonIdempotent);
         inner.notify(|| EngineEvent::CallReceived { call, class, request: &request });
         let in_flight = Call {
             request: Rc::new(request),
@@ -54,7 +54,7 @@
         };
         let trace = call.trace();
         call.reply = None;
-        inner.events.push_back(Event::Gone { call: id });
+        inner.events.push_back(Event::ClientCancelled { call: id });
         inner.remove_if_finished(id);
         drop(inner);
         self.run([]);
@@ -70,7 +70,7 @@
         for id in pending {
             let may_run = inner.calls.get(&id).is_some_and(|call| call.trace().may_run);
             // As where a client goes: the module hears of that before it hears of what is withdrawn.
-            inner.events.push_back(Event::Gone { call: id });
+            inner.events.push_back(Event::ClientCancelled { call: id });
             inner.answer(id, if may_run { Reply::Failed } else { Reply::Rejected(Duration::ZERO) });
         }
         drop(inner);
@@ -84,11 +84,11 @@
         let AttemptResult { outcome, load, answer } = result;
         let Some(ended) = call.take_attempt(attempt, outcome) else { return };
         let elapsed = micros(ended.sent.elapsed());
-        let closed = answer.is_some() || !call.is_pending();
+        let complete = answer.is_some() || !call.is_pending();
         if let Some(answer) = answer {
             inner.respond(id, Reply::Served(answer));
         }
-        inner.events.push_back(Event::Outcome { call: id, attempt, outcome, elapsed, closed, load });
+        inner.events.push_back(Event::Outcome { call: id, attempt, outcome, elapsed, complete, load });
         inner.remove_if_finished(id);
         if inner.hosts.contains_key(&ended.server) {
             inner.notify(|| EngineEvent::AttemptEnded { server: ended.server, outcome });
--- a/engine/src/engine/endpoints.rs
+++ b/engine/src/engine/endpoints.rs
@@ -103,7 +103,7 @@
 impl<T: Transport> Inner<T> {
     /// Opens a watch in place of the last one.
     pub(super) fn subscribe(&mut self, engine: &Engine<T>) {
-        let list_is_pushed = !self.settings.ask;
+        let list_is_pushed = !self.settings.subscribe;
         let engine = engine.clone();
         let receiver = engine.clone();
         let handler = Box::new(move |list| receiver.apply_list(&list, false));
@@ -187,7 +187,7 @@
     fn server_id(&mut self, endpoint: &Endpoint) -> ServerId {
         let hosts = &self.hosts;
         *self.names.entry(endpoint.host.clone()).or_insert_with(|| {
-            let mut server = flaxhead_settings::server(&endpoint.host);
+            let mut server = flaxhead_settings::server_id(&endpoint.host);
             // Two names that share a number are one in millions; the later one takes the next.
             while hosts.contains_key(&server) {
                 server.0 = server.0.wrapping_add(1);
@@ -232,15 +232,15 @@
     let state = match endpoint.health {
         Health::Ready => State::Ready,
         Health::Terminating => State::Draining,
-        Health::Gone => State::Gone,
+        Health::Gone => State::Removed,
     };
     Entry {
         server,
         state,
-        zone: flaxhead_settings::zone(&endpoint.site),
-        model: flaxhead_settings::model(&endpoint.class),
+        zone: flaxhead_settings::zone_id(&endpoint.site),
+        model: flaxhead_settings::model_id(&endpoint.class),
         cell: CellId(endpoint.block),
-        started: endpoint.born_ms.saturating_mul(1_000),
+        started_at: endpoint.born_ms.saturating_mul(1_000),
         weight: endpoint.share,
     }
 }
--- a/engine/src/engine/mod.rs
+++ b/engine/src/engine/mod.rs
@@ -91,7 +91,7 @@
         retries: Option<Box<dyn RetryLimiter>>,
     ) -> Engine<T> {
         let EngineConfig { seed, settings, known } = config;
-        let list_is_pushed = !settings.ask;
+        let list_is_pushed = !settings.subscribe;
         let inner = Inner {
             clock: Clock::new(),
             balancer: Balancer::new(seed, settings.clone()),
@@ -221,10 +221,10 @@
 
     fn execute(&mut self, engine: &Engine<T>, action: Action) {
         match action {
-            Action::Send { call, server, until, begin_by } => {
-                self.send(engine, call, server, attempts::SendWindow { until, begin_by });
+            Action::Send { call, server, deadline, send_by } => {
+                self.send(engine, call, server, attempts::SendWindow { deadline, send_by });
             }
-            Action::Refuse { call, retry_after } => {
+            Action::Reject { call, retry_after } => {
                 self.answer(call, Reply::Rejected(Duration::from_micros(retry_after)));
             }
             Action::Fail { call } => self.answer(call, Reply::Failed),
--- a/engine/src/transport.rs
+++ b/engine/src/transport.rs
@@ -1,7 +1,7 @@
 //! What carries attempts to hosts.
 
 use crate::send_cutoff::SendCutoff;
-use flaxhead_policy::{Load, Outcome, ServerId};
+use flaxhead_policy::{LoadReport, Outcome, ServerId};
 use std::cell::Cell;
 use std::fmt::Debug;
 use std::future::Future;
@@ -100,7 +100,7 @@
     /// How it ended.
     pub outcome: Outcome,
     /// The host's load report.
-    pub load: Load,
+    pub load: LoadReport,
     /// The response to forward. With one the call is over, also where the outcome is a failure: the host's response is
     /// final then.
     pub answer: Option<A>,
@@ -109,7 +109,7 @@
 impl<A> AttemptResult<A> {
     /// An end without a response to forward.
     pub fn without_answer(outcome: Outcome) -> AttemptResult<A> {
-        AttemptResult { outcome, load: Load::default(), answer: None }
+        AttemptResult { outcome, load: LoadReport::default(), answer: None }
     }
 }
 
--- a/engine/tests/calls.rs
+++ b/engine/tests/calls.rs
@@ -5,7 +5,7 @@
     Engine, EngineConfig, EngineEvent, EngineView, FinalResponse, Health, ListHandler, ListSource, Observer,
     Reply, RetryLimiter, Transport, WatchFuture, WriteMeter,
 };
-use flaxhead_policy::{Class, ClassId, Limits, Micros, Outcome, Repeat, Scope, ServerId, Settings};
+use flaxhead_policy::{Class, ClassId, DedupScope, Idempotency, Limits, Micros, Outcome, ServerId, Settings};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::future::Future;
@@ -122,12 +122,12 @@
 }
 
 impl Rig {
-    fn new(repeat: Repeat, acts: &[Act]) -> Rig {
-        Rig::with(repeat, acts, Vec::new(), None)
+    fn new(idempotency: Idempotency, acts: &[Act]) -> Rig {
+        Rig::with(idempotency, acts, Vec::new(), None)
     }
 
     fn with(
-        repeat: Repeat,
+        idempotency: Idempotency,
         acts: &[Act],
         observers: Vec<Box<dyn Observer<Scripted>>>,
         retries: Option<Box<dyn RetryLimiter>>,
@@ -135,11 +135,17 @@
         let transport = Scripted::default();
         transport.0.borrow_mut().acts.extend(acts);
         let (lists, told) = mpsc::unbounded_channel();
-        let classes = vec![Class { aim: 100_000, deadline: 2_000_000, worth: 1.0, late_value: 0.5, repeat }];
+        let classes = vec![Class {
+            objective: 100_000,
+            deadline: 2_000_000,
+            priority_weight: 1.0,
+            late_ratio: 0.5,
+            idempotency,
+        }];
         let known = Some(list(&[("a", Health::Ready), ("b", Health::Ready)]));
         let limits = Limits {
-            cancel: repeat == Repeat::Free,
-            second_copies: true,
+            cancel: idempotency == Idempotency::Idempotent,
+            hedging: true,
             max_attempts: 3,
             ..Settings::default().limits
         };
@@ -184,17 +190,17 @@
     LocalSet::new().block_on(&runtime.expect("a runtime"), test);
 }
 
-const TURNED_AWAY: Act = Act::End(Outcome::TurnedAway, 1);
+const TURNED_AWAY: Act = Act::End(Outcome::Rejected, 1);
 const SERVED: Act = Act::End(Outcome::Served, 1);
 
 #[test]
 fn a_call_goes_again_where_it_never_ran_and_its_end_says_what_hosts_saw() {
     run(async {
-        let rig = Rig::new(Repeat::SingleShot, &[TURNED_AWAY, SERVED]);
+        let rig = Rig::new(Idempotency::NonIdempotent, &[TURNED_AWAY, SERVED]);
         let FinalResponse { reply, trace } = rig.ask(CallSpec::UNBOUNDED).final_response().await;
         assert!(matches!(reply, Reply::Served("pay")), "{reply:?}");
         assert_eq!(trace, AttemptTrace { attempts: 2, may_run: true });
-        let rig = Rig::new(Repeat::SingleShot, &[Act::End(Outcome::Reset, 1), SERVED]);
+        let rig = Rig::new(Idempotency::NonIdempotent, &[Act::End(Outcome::Reset, 1), SERVED]);
         let FinalResponse { reply, trace } = rig.ask(CallSpec::UNBOUNDED).final_response().await;
         assert!(matches!(reply, Reply::Failed) && rig.sent() == 1, "{reply:?}");
         assert_eq!(trace, AttemptTrace { attempts: 1, may_run: true });
@@ -204,7 +210,7 @@
 /// Its connection may come up after the window in which it was decided: it is over then, and the call is answered.
 #[test]
 fn a_guarded_call_is_written_again_within_its_window_or_not_at_all() {
-    let guarded = Repeat::Guarded { scope: Scope::All, window: 700_000 };
+    let guarded = Idempotency::Keyed { scope: DedupScope::All, window: 700_000 };
     for (late, in_time) in [(100, true), (250, false)] {
         run(async {
             let rig = Rig::new(guarded, &[Act::End(Outcome::Reset, 500), Act::Late(late)]);
@@ -221,11 +227,11 @@
 #[test]
 fn the_attempts_that_a_caller_allows_are_not_passed() {
     run(async {
-        let rig = Rig::new(Repeat::Free, &[TURNED_AWAY, TURNED_AWAY, SERVED]);
+        let rig = Rig::new(Idempotency::Idempotent, &[TURNED_AWAY, TURNED_AWAY, SERVED]);
         let FinalResponse { reply, trace } = rig.ask(1).final_response().await;
         assert!(matches!(reply, Reply::Rejected(_)), "{reply:?}: it never ran");
         assert_eq!((trace, rig.sent()), (AttemptTrace { attempts: 1, may_run: false }, 1));
-        let rig = Rig::new(Repeat::Free, &[Act::End(Outcome::Error, 1), SERVED]);
+        let rig = Rig::new(Idempotency::Idempotent, &[Act::End(Outcome::Error, 1), SERVED]);
         let FinalResponse { reply, trace } = rig.ask(1).final_response().await;
         assert!(matches!(reply, Reply::Failed), "{reply:?}: it may have run");
         assert_eq!((trace, rig.sent()), (AttemptTrace { attempts: 1, may_run: true }, 1));
@@ -247,7 +253,7 @@
 fn a_spent_retry_budget_ends_calls_at_once() {
     run(async {
         let acts = [TURNED_AWAY, TURNED_AWAY, SERVED];
-        let rig = Rig::with(Repeat::Free, &acts, Vec::new(), Some(Box::new(Few(1))));
+        let rig = Rig::with(Idempotency::Idempotent, &acts, Vec::new(), Some(Box::new(Few(1))));
         let began = Instant::now();
         let reply = rig.ask(CallSpec::UNBOUNDED).reply().await;
         assert!(matches!(reply, Reply::Rejected(_)) && rig.sent() == 2, "{reply:?}");
@@ -258,7 +264,7 @@
 #[test]
 fn a_drain_takes_back_what_is_not_written_and_the_transport_closes_what_is_idle() {
     run(async {
-        let rig = Rig::new(Repeat::SingleShot, &[Act::Wait, SERVED]);
+        let rig = Rig::new(Idempotency::NonIdempotent, &[Act::Wait, SERVED]);
         let mut waiting = rig.ask(CallSpec::UNBOUNDED);
         let first = rig.transport.0.borrow().sent[0].server;
         let (gone, stays) = if first == rig.number("a") { ("a", "b") } else { ("b", "a") };
@@ -283,7 +289,7 @@
     run(async {
         let ready =
             |names: &[&'static str]| list(&names.iter().map(|&n| (n, Health::Ready)).collect::<Vec<_>>());
-        let (early, late) = (Rig::new(Repeat::Free, &[]), Rig::new(Repeat::Free, &[]));
+        let (early, late) = (Rig::new(Idempotency::Idempotent, &[]), Rig::new(Idempotency::Idempotent, &[]));
         early.lists.send(ready(&["a", "b", "c", "d"])).expect("watched");
         late.lists.send(ready(&["d"])).expect("watched");
         late.lists.send(ready(&["d", "c", "b", "a"])).expect("watched");
@@ -297,7 +303,7 @@
 #[test]
 fn all_that_is_open_is_answered_by_what_may_have_run() {
     run(async {
-        let rig = Rig::new(Repeat::SingleShot, &[Act::Stall, Act::Wait]);
+        let rig = Rig::new(Idempotency::NonIdempotent, &[Act::Stall, Act::Wait]);
         let (mut stalled, mut unsent) = (rig.ask(CallSpec::UNBOUNDED), rig.ask(CallSpec::UNBOUNDED));
         sleep(Duration::from_millis(5)).await;
         rig.engine.answer_all();
@@ -310,7 +316,7 @@
 #[test]
 fn whoever_gives_a_call_up_learns_what_hosts_saw() {
     run(async {
-        let rig = Rig::new(Repeat::Free, &[Act::Stall, Act::Wait]);
+        let rig = Rig::new(Idempotency::Idempotent, &[Act::Stall, Act::Wait]);
         let (stalled, unsent) = (rig.ask(CallSpec::UNBOUNDED), rig.ask(CallSpec::UNBOUNDED));
         sleep(Duration::from_millis(5)).await;
         assert_eq!(stalled.abandon(), AttemptTrace { attempts: 1, may_run: true });
@@ -349,7 +355,7 @@
     run(async {
         let notes = Rc::new(RefCell::new(Vec::new()));
         let observers: Vec<Box<dyn Observer<Scripted>>> = vec![Box::new(Notes(notes.clone()))];
-        let rig = Rig::with(Repeat::Free, &[SERVED], observers, None);
+        let rig = Rig::with(Idempotency::Idempotent, &[SERVED], observers, None);
         rig.ask(CallSpec::UNBOUNDED).reply().await;
         rig.lists.send(list(&[("a", Health::Ready)])).expect("watched");
         sleep(Duration::from_millis(1)).await;
@@ -411,7 +417,7 @@
             // Quick answers first: a module that knows no pace sends no copy. One goes again in sequence.
             let mut acts = vec![SERVED; 30];
             acts.extend([TURNED_AWAY, SERVED, Act::Stall, SERVED]);
-            let rig = Rig::with(Repeat::Free, &acts, Vec::new(), None);
+            let rig = Rig::with(Idempotency::Idempotent, &acts, Vec::new(), None);
             for _ in 0..30 {
                 rig.ask(CallSpec::UNBOUNDED).reply().await;
             }
@@ -441,7 +447,7 @@
 #[test]
 fn a_ticket_outlives_its_client_for_as_long_as_an_attempt_runs() {
     run(async {
-        let rig = Rig::new(Repeat::SingleShot, &[Act::End(Outcome::Served, 300), Act::Wait]);
+        let rig = Rig::new(Idempotency::NonIdempotent, &[Act::End(Outcome::Served, 300), Act::Wait]);
         let units = Units::default();
         let (runs, unsent) = (rig.ask_with(1, units.ticket()), rig.ask_with(1, units.ticket()));
         sleep(Duration::from_millis(5)).await;
--- a/limits/src/idempotency_cache.rs
+++ b/limits/src/idempotency_cache.rs
@@ -6,7 +6,7 @@
 //! `keep`, one that surely never ran loses it with its response. None that may have run is ever evicted for lack of space;
 //! a new call is rejected instead.
 
-use flaxhead_policy::{Micros, Repeat};
+use flaxhead_policy::{Idempotency, Micros};
 use std::collections::{HashMap, VecDeque};
 use std::hash::Hash;
 
@@ -96,7 +96,7 @@
         &mut self,
         now: Micros,
         key: &K,
-        repeat: Repeat,
+        idempotency: Idempotency,
         max_attempts: u32,
         previous: AttemptCount,
     ) -> Result<Allowed, Rejection> {
@@ -104,12 +104,14 @@
         let known = self.entries.get(key).copied();
         let made = match known {
             Some(Entry { open: true, .. }) => return Err(Rejection::Open),
-            Some(entry) if entry.may_run && repeat == Repeat::SingleShot => {
+            Some(entry) if entry.may_run && idempotency == Idempotency::NonIdempotent => {
                 return Err(Rejection::MayHaveRun)
             }
             Some(entry) => entry.attempts,
             // Whoever attempted it did so elsewhere: through another proxy, or this one before a restart.
-            None if previous.0 > 0 && repeat == Repeat::SingleShot => return Err(Rejection::Unknown),
+            None if previous.0 > 0 && idempotency == Idempotency::NonIdempotent => {
+                return Err(Rejection::Unknown)
+            }
             None => previous.0,
         };
         let left = max_attempts.saturating_sub(made);
--- a/limits/src/idempotency_cache/tests.rs
+++ b/limits/src/idempotency_cache/tests.rs
@@ -1,12 +1,12 @@
 //! Unit tests of `idempotency_cache`.
 
 use super::*;
-use flaxhead_policy::Scope;
+use flaxhead_policy::DedupScope;
 use proptest::prelude::*;
 
 const KEEP: Micros = 1_000;
-const ONCE: Repeat = Repeat::SingleShot;
-const KEYED: Repeat = Repeat::Guarded { scope: Scope::Cell, window: 500 };
+const ONCE: Idempotency = Idempotency::NonIdempotent;
+const KEYED: Idempotency = Idempotency::Keyed { scope: DedupScope::Cell, window: 500 };
 
 fn cache(entries: usize) -> IdempotencyCache<&'static str> {
     IdempotencyCache::new(IdempotencyCacheConfig { max_entries: entries, keep: KEEP })
@@ -38,8 +38,12 @@
     assert_eq!(cache.begin(2, &"k", KEYED, 3, AttemptCount(1)), allowed(1, true));
     cache.end(3, &"k", 1, true);
     assert_eq!(cache.begin(4, &"k", KEYED, 3, AttemptCount(2)), Err(Rejection::Exhausted));
-    assert_eq!(cache.begin(5, &"f", Repeat::Free, 3, AttemptCount(2)), allowed(1, true), "by its own word");
-    assert_eq!(cache.begin(6, &"g", Repeat::Free, 3, AttemptCount(3)), Err(Rejection::Exhausted));
+    assert_eq!(
+        cache.begin(5, &"f", Idempotency::Idempotent, 3, AttemptCount(2)),
+        allowed(1, true),
+        "by its own word"
+    );
+    assert_eq!(cache.begin(6, &"g", Idempotency::Idempotent, 3, AttemptCount(3)), Err(Rejection::Exhausted));
 }
 
 #[test]
--- a/policy/benches/module.rs
+++ b/policy/benches/module.rs
@@ -22,25 +22,36 @@
     out: std::collections::VecDeque<(CallId, u32)>,
 }
 
-fn entry(server: u32, started: Micros) -> Entry {
+fn entry(server: u32, started_at: Micros) -> Entry {
     let (zone, cell, model) = (ZoneId(server % 3), CellId(server / 3), ModelId(server % 4));
-    Entry { server: ServerId(server), zone, cell, model, started, ..Entry::default() }
+    Entry { server: ServerId(server), zone, cell, model, started_at, ..Entry::default() }
 }
 
 impl Proxy {
-    fn new(balancers: u32, fleet: u32, cold: u32) -> Proxy {
-        let class =
-            |aim: Micros| Class { aim, deadline: 4 * aim, worth: 1.0, late_value: 0.5, repeat: Repeat::Free };
+    fn new(balancer_count: u32, fleet: u32, cold: u32) -> Proxy {
+        let class = |objective: Micros| Class {
+            objective,
+            deadline: 4 * objective,
+            priority_weight: 1.0,
+            late_ratio: 0.5,
+            idempotency: Idempotency::Idempotent,
+        };
         let classes = vec![class(600 * MS), class(2_000 * MS), class(2_000 * MS), class(2_000 * MS)];
         // What starts cold stays so while it is measured.
-        let rules = Rules { cold_time: 1 << 40, ..Settings::default().rules };
-        let settings = Settings { classes, balancers, me: balancers / 2, rules, ..Settings::default() };
+        let safety = SafetyLimits { slow_start_window: 1 << 40, ..Settings::default().safety };
+        let settings = Settings {
+            classes,
+            balancer_count,
+            balancer_index: balancer_count / 2,
+            safety,
+            ..Settings::default()
+        };
         let (balancer, out) = (Balancer::new(7, settings), Default::default());
-        let pace = if balancers > 100 { 20 * MS } else { MS / 2 };
+        let pace = if balancer_count > 100 { 20 * MS } else { MS / 2 };
         let mut proxy = Proxy { balancer, now: 1_000_000_000, next: 0, pace, actions: Vec::new(), out };
         proxy.feed(Event::Start);
-        let started = |n| if n < cold { proxy.now } else { 0 };
-        let entries = (0..fleet).map(|n| entry(n, started(n))).collect();
+        let start = |n| if n < cold { proxy.now } else { 0 };
+        let entries = (0..fleet).map(|n| entry(n, start(n))).collect();
         proxy.feed(Event::Members { kind: ListKind::Full, entries });
         (0..4_000).for_each(|_| proxy.call());
         proxy
@@ -66,8 +77,8 @@
         if self.out.len() as u64 > 55 * MS / self.pace {
             if let Some((call, attempt)) = self.out.pop_front() {
                 let (outcome, elapsed, load) =
-                    (Outcome::Served, 40 * MS + self.next % 30 * MS, Load::default());
-                self.feed(Event::Outcome { call, attempt, outcome, elapsed, closed: true, load });
+                    (Outcome::Served, 40 * MS + self.next % 30 * MS, LoadReport::default());
+                self.feed(Event::Outcome { call, attempt, outcome, elapsed, complete: true, load });
             }
         }
         black_box(&self.actions);
@@ -75,11 +86,11 @@
 }
 
 fn calls(criterion: &mut Criterion) {
-    for (name, balancers, cold) in [("busy", 3, 0), ("thin", 300, 0), ("thin, a tenth cold", 300, 10)] {
+    for (name, balancer_count, cold) in [("busy", 3, 0), ("thin", 300, 0), ("thin, a tenth cold", 300, 10)] {
         let mut group = criterion.benchmark_group(format!("a call and its outcome, {name}"));
         for fleet in FLEETS {
             let part = fleet.checked_div(cold).unwrap_or(0);
-            let mut proxy = Proxy::new(balancers, fleet, part);
+            let mut proxy = Proxy::new(balancer_count, fleet, part);
             group.bench_function(BenchmarkId::from_parameter(fleet), |bencher| bencher.iter(|| proxy.call()));
         }
     }
@@ -103,7 +114,7 @@
         group.bench_function(BenchmarkId::new("one host leaves or comes", fleet), |bencher| {
             bencher.iter(|| {
                 turn += 1;
-                let state = if turn % 2 == 0 { State::Ready } else { State::Gone };
+                let state = if turn % 2 == 0 { State::Ready } else { State::Removed };
                 let entries = vec![Entry { state, ..entry(fleet / 2, 0) }];
                 proxy.feed(Event::Members { kind: ListKind::Delta, entries });
             });
--- a/policy/src/access.rs
+++ b/policy/src/access.rs
@@ -10,19 +10,19 @@
 /// A part of a list that names no network.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0:?} is neither an address nor a CIDR range")]
-pub struct NotANetwork(String);
+pub struct InvalidNetwork(String);
 
 impl std::str::FromStr for Networks {
-    type Err = NotANetwork;
+    type Err = InvalidNetwork;
 
-    fn from_str(text: &str) -> Result<Networks, NotANetwork> {
+    fn from_str(text: &str) -> Result<Networks, InvalidNetwork> {
         if text.trim().is_empty() {
             return Ok(Networks::default());
         }
         let network = |part: &str| {
             let part = part.trim();
             let net = part.parse().or_else(|_| part.parse::<IpAddr>().map(IpNet::from));
-            net.map(canonical).map_err(|_| NotANetwork(part.to_owned()))
+            net.map(canonical).map_err(|_| InvalidNetwork(part.to_owned()))
         };
         text.split(',').map(network).collect::<Result<_, _>>().map(Networks)
     }
@@ -37,7 +37,7 @@
 
 impl Networks {
     /// Whether an address is in one of them; an IPv4-mapped one is in what its IPv4 address is in.
-    pub fn holds(&self, address: IpAddr) -> bool {
+    pub fn contains(&self, address: IpAddr) -> bool {
         let address = address.to_canonical();
         self.0.iter().any(|net| net.contains(&address))
     }
@@ -56,27 +56,27 @@
 
 /// What is done with a peer that has connected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Admission {
+pub enum PeerAccess {
     /// It is served.
-    Serve,
+    Allow,
     /// It is closed.
-    Close,
+    Deny,
     /// It is a front: whom it speaks for is judged.
-    Front,
+    TrustedProxy,
 }
 
 impl Access {
     /// What is done with a peer, before anything is read from it.
-    pub fn peer(&self, address: IpAddr) -> Admission {
-        match (self.proxy_from.holds(address), self.admits(address)) {
-            (true, _) => Admission::Front,
-            (false, true) => Admission::Serve,
-            (false, false) => Admission::Close,
+    pub fn check_peer(&self, address: IpAddr) -> PeerAccess {
+        match (self.proxy_from.contains(address), self.admits(address)) {
+            (true, _) => PeerAccess::TrustedProxy,
+            (false, true) => PeerAccess::Allow,
+            (false, false) => PeerAccess::Deny,
         }
     }
 
     /// Whether a client's true address may come: deny wins over allow.
     pub fn admits(&self, address: IpAddr) -> bool {
-        !self.deny.holds(address) && (self.allow.0.is_empty() || self.allow.holds(address))
+        !self.deny.contains(address) && (self.allow.0.is_empty() || self.allow.contains(address))
     }
 }
--- a/policy/src/api.rs
+++ b/policy/src/api.rs
@@ -35,7 +35,7 @@
 
 /// Which servers drop repeats of a guarded call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Scope {
+pub enum DedupScope {
     /// All of them.
     All,
     /// Those of one zone.
@@ -46,39 +46,45 @@
 
 /// Whether a call of a class may run again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Repeat {
+pub enum Idempotency {
     /// Harmless.
-    Free,
+    Idempotent,
     /// Harmless on the servers of `scope`, within `window` of the first attempt that may have run.
-    Guarded {
+    Keyed {
         /// Who drops repeats.
-        scope: Scope,
+        scope: DedupScope,
         /// For how long.
         window: Micros,
     },
     /// Never.
-    SingleShot,
+    NonIdempotent,
 }
 
 /// What is asked of a class of calls.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Class {
     /// An answer within this time earns the full worth.
-    pub aim: Micros,
+    pub objective: Micros,
     /// How long a client waits in all.
     pub deadline: Micros,
     /// Worth of an answer in time.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// Share of the worth for an answer between aim and deadline.
-    pub late_value: f64,
+    pub late_ratio: f64,
     /// Whether it may run again.
-    pub repeat: Repeat,
+    pub idempotency: Idempotency,
 }
 
 impl Default for Class {
     /// Never repeated, without a time or a worth.
     fn default() -> Self {
-        Class { aim: 0, deadline: 0, worth: 0.0, late_value: 0.0, repeat: Repeat::SingleShot }
+        Class {
+            objective: 0,
+            deadline: 0,
+            priority_weight: 0.0,
+            late_ratio: 0.0,
+            idempotency: Idempotency::NonIdempotent,
+        }
     }
 }
 
@@ -97,7 +103,7 @@
     /// Servers may be probed.
     pub probes: bool,
     /// A call may have two attempts out at once.
-    pub second_copies: bool,
+    pub hedging: bool,
     /// Most attempts for a call.
     pub max_attempts: u32,
     /// Longest advice that a client heeds; 0: it is given none.
@@ -106,22 +112,22 @@
 
 /// Figures of the rules that must hold.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Rules {
+pub struct SafetyLimits {
     /// A server starts at this share of its capacity or more.
-    pub cold_share: f64,
+    pub slow_start_ratio: f64,
     /// And is warm after this at the latest.
-    pub cold_time: Micros,
+    pub slow_start_window: Micros,
     /// Longest that a proxy may go without asking for the list.
-    pub ask_every: Micros,
+    pub max_poll_interval: Micros,
     /// A cold server falls over that is sent more than this many times what it can do.
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
 }
 
 /// Weights of the parts of the goal.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Goal {
+pub struct ScoreWeights {
     /// All calls together.
-    pub whole: f64,
+    pub overall: f64,
     /// The worst-served class.
     pub worst_class: f64,
 }
@@ -130,13 +136,13 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Settings {
     /// How many balancers send to these servers, this one included.
-    pub balancers: u32,
+    pub balancer_count: u32,
     /// This balancer's number among them, from 0.
-    pub me: u32,
+    pub balancer_index: u32,
     /// Smallest step of the proxy's clock.
-    pub tick: Micros,
+    pub clock_tick: Micros,
     /// Whether news of the server list must be asked for.
-    pub ask: bool,
+    pub subscribe: bool,
     /// Classes of calls.
     pub classes: Vec<Class>,
     /// Tenants, if there are any.
@@ -144,39 +150,45 @@
     /// What the site allows.
     pub limits: Limits,
     /// Figures of the rules.
-    pub rules: Rules,
+    pub safety: SafetyLimits,
     /// Weights of the goal.
-    pub goal: Goal,
+    pub score_weights: ScoreWeights,
     /// This balancer's own zone, where calls that leave theirs have a price.
-    pub home: Option<ZoneId>,
+    pub local_zone: Option<ZoneId>,
 }
 
 impl Default for Settings {
     /// One balancer, a pushed list, one class of calls that are wanted in half a second and never repeated.
     fn default() -> Self {
-        let repeat = Repeat::SingleShot;
+        let idempotency = Idempotency::NonIdempotent;
         Settings {
-            balancers: 1,
-            me: 0,
-            tick: 1_000,
-            ask: false,
-            classes: vec![Class { aim: 500_000, deadline: 1_000_000, worth: 1.0, late_value: 0.0, repeat }],
+            balancer_count: 1,
+            balancer_index: 0,
+            clock_tick: 1_000,
+            subscribe: false,
+            classes: vec![Class {
+                objective: 500_000,
+                deadline: 1_000_000,
+                priority_weight: 1.0,
+                late_ratio: 0.0,
+                idempotency,
+            }],
             tenants: Vec::new(),
             limits: Limits {
                 cancel: true,
                 probes: false,
-                second_copies: false,
+                hedging: false,
                 max_attempts: 3,
                 max_retry_after: 1_000_000,
             },
-            rules: Rules {
-                cold_share: 0.1,
-                cold_time: 20_000_000,
-                ask_every: 10_000_000,
-                fall_multiple: 2.5,
+            safety: SafetyLimits {
+                slow_start_ratio: 0.1,
+                slow_start_window: 20_000_000,
+                max_poll_interval: 10_000_000,
+                overload_multiple: 2.5,
             },
-            goal: Goal { whole: 1.0, worst_class: 0.0 },
-            home: None,
+            score_weights: ScoreWeights { overall: 1.0, worst_class: 0.0 },
+            local_zone: None,
         }
     }
 }
@@ -190,7 +202,7 @@
     /// It finishes its work and takes no more.
     Draining,
     /// It has been removed.
-    Gone,
+    Removed,
 }
 
 /// An entry of the server list.
@@ -207,7 +219,7 @@
     /// Its cell.
     pub cell: CellId,
     /// When it last started; 0: long ago.
-    pub started: Micros,
+    pub started_at: Micros,
     /// Its size beside the others', without a unit; what is not above 0 or not finite counts as 1.
     pub weight: f64,
 }
@@ -233,7 +245,7 @@
     /// The server answered with an error.
     Error,
     /// Turned away unseen: full or draining.
-    TurnedAway,
+    Rejected,
     /// No answer in time.
     TimedOut,
     /// No connection could be made.
@@ -241,7 +253,7 @@
     /// The connection broke while the attempt was out.
     Reset,
     /// Called off by this balancer.
-    CalledOff,
+    Cancelled,
     /// Never sent.
     NotSent,
     /// Anything else; it may have run.
@@ -251,19 +263,19 @@
 impl Outcome {
     /// Whether this proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::TurnedAway | Outcome::NoConnection | Outcome::NotSent)
+        matches!(self, Outcome::Rejected | Outcome::NoConnection | Outcome::NotSent)
     }
 }
 
 /// A server's word on its load; what it does not report is absent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Load {
+pub struct LoadReport {
     /// Requests in hand.
-    pub in_hand: Option<f64>,
+    pub active_requests: Option<f64>,
     /// Requests waiting.
-    pub waiting: Option<f64>,
+    pub queued_requests: Option<f64>,
     /// Share of its cores that is busy.
-    pub busy: Option<f64>,
+    pub cpu_utilization: Option<f64>,
 }
 
 /// What the proxy tells the balancer.
@@ -302,9 +314,9 @@
         /// How long it took.
         elapsed: Micros,
         /// Nothing more is owed for the call.
-        closed: bool,
+        complete: bool,
         /// The server's report.
-        load: Load,
+        load: LoadReport,
     },
     /// The answer of an attempt has begun to flow; the call is bound to it.
     Streaming {
@@ -320,10 +332,10 @@
         /// How it ended.
         outcome: Outcome,
         /// The server's report.
-        load: Load,
+        load: LoadReport,
     },
     /// Nobody waits for this call any more.
-    Gone {
+    ClientCancelled {
         /// Which.
         call: CallId,
     },
@@ -341,13 +353,13 @@
         /// To which server.
         server: ServerId,
         /// When the attempt times out (a moment); `None`: with the client's patience.
-        until: Option<Micros>,
+        deadline: Option<Micros>,
         /// The moment from which on none of it may be written any more, where none is by then: the window in which the
         /// call may go again is over. Such an attempt was never sent. `None`: it may be written for as long as it is out.
-        begin_by: Option<Micros>,
+        send_by: Option<Micros>,
     },
     /// End the call unserved; it may safely come again.
-    Refuse {
+    Reject {
         /// Which call.
         call: CallId,
         /// Advice when.
--- a/policy/src/balance.rs
+++ b/policy/src/balance.rs
@@ -22,7 +22,7 @@
 
 pub use balancer::Balancer;
 use balancer::*;
-pub use restore::Unfit;
+pub use restore::RestoreError;
 
 impl Balancer {
     /// Takes one event at time `now` and appends what is to be done.
@@ -37,14 +37,14 @@
                 self.earn_turns(now, false);
                 self.admit(now, call, tenant, actions);
             }
-            Event::Outcome { call, attempt, outcome, elapsed, closed, load } => {
+            Event::Outcome { call, attempt, outcome, elapsed, complete, load } => {
                 self.report(call, attempt, load);
                 if let Some(tried) = self.outcome(call, attempt, outcome) {
                     if outcome == Outcome::Served {
                         self.earn_turns(now, true);
                     }
                     self.learn(now, tried, elapsed, actions);
-                    self.proceed(now, call, outcome, closed, actions);
+                    self.proceed(now, call, outcome, complete, actions);
                 }
             }
             Event::Streaming { call, attempt } => {
@@ -52,7 +52,7 @@
                 self.end(call);
                 self.cancel_others(call, Some(attempt), actions);
             }
-            Event::Gone { call } => {
+            Event::ClientCancelled { call } => {
                 self.end(call);
                 self.cancel_others(call, None, actions);
                 self.forget(call);
@@ -73,8 +73,8 @@
     }
 
     /// After an attempt's end: the call's end, another attempt, or nothing while a copy is out.
-    fn proceed(&mut self, now: Micros, id: CallId, outcome: Outcome, closed: bool, actions: &mut Actions) {
-        if closed || outcome == Outcome::Served {
+    fn proceed(&mut self, now: Micros, id: CallId, outcome: Outcome, complete: bool, actions: &mut Actions) {
+        if complete || outcome == Outcome::Served {
             self.end(id);
             self.cancel_others(id, None, actions);
         } else if self.calls.get(&id).is_some_and(|c| !c.ended && !c.queued && c.out() == 0) {
@@ -88,7 +88,7 @@
         let mut next = self.ask_at.min(self.wakes.first().map_or(Micros::MAX, |w| w.0));
         if !self.queue.is_empty() {
             // Budgets, backoffs and pauses end at no event: queued calls are looked at now and then.
-            next = next.min(now + self.settings.tick.max(self.first_backoff() / 8));
+            next = next.min(now + self.settings.clock_tick.max(self.first_backoff() / 8));
         }
         if next < self.timer_at {
             self.timer_at = next;
--- a/policy/src/balance/balancer.rs
+++ b/policy/src/balance/balancer.rs
@@ -48,12 +48,16 @@
 impl Balancer {
     /// A balancer that draws all its random numbers from `seed`.
     pub fn new(seed: u64, settings: Settings) -> Self {
-        let pace = |c: &Class| Pace { mean: c.aim as f64 / 4.0, base: c.aim as f64 / 4.0, ..Pace::default() };
+        let pace = |c: &Class| Pace {
+            mean: c.objective as f64 / 4.0,
+            base: c.objective as f64 / 4.0,
+            ..Pace::default()
+        };
         Balancer {
             random: Pcg32::seed_from_u64(seed),
             paces: settings.classes.iter().map(pace).collect(),
             tenants: vec![0.0; settings.tenants.len()],
-            thin: Thin::new(settings.balancers),
+            thin: Thin::new(settings.balancer_count),
             settings,
             servers: Vec::new(),
             cut_off: BTreeMap::new(),
@@ -76,16 +80,16 @@
         }
     }
 
-    pub(super) fn usual(&self, class_id: usize, aim: Micros) -> f64 {
-        self.paces.get(class_id).map_or(aim as f64 / 4.0, |p| p.mean)
+    pub(super) fn usual(&self, class_id: usize, objective: Micros) -> f64 {
+        self.paces.get(class_id).map_or(objective as f64 / 4.0, |p| p.mean)
     }
 
     /// Trouble seen at most of the fleet is not the servers' own: never are most set aside.
     pub(super) fn count(&mut self) {
         self.listed = self.servers.iter().filter(|s| s.listed).count();
         self.aside = self.servers.iter().filter(|s| s.aside()).count();
-        let warm = |s: &Server| s.started.saturating_add(self.settings.rules.cold_time);
-        self.warm_from = self.servers.iter().filter(|s| s.started > 0).map(warm).max().unwrap_or(0);
+        let warm = |s: &Server| s.started_at.saturating_add(self.settings.safety.slow_start_window);
+        self.warm_from = self.servers.iter().filter(|s| s.started_at > 0).map(warm).max().unwrap_or(0);
     }
 
     /// How many servers this balancer's calls are spread over.
@@ -98,7 +102,7 @@
     }
 
     pub(super) fn longest_aim(&self) -> f64 {
-        self.settings.classes.iter().map(|c| c.aim).max().unwrap_or(0).max(1) as f64
+        self.settings.classes.iter().map(|c| c.objective).max().unwrap_or(0).max(1) as f64
     }
 
     pub(super) fn longest_usual(&self) -> f64 {
--- a/policy/src/balance/budget.rs
+++ b/policy/src/balance/budget.rs
@@ -17,8 +17,8 @@
 }
 
 impl Budget {
-    pub(super) fn new(balancers: u32) -> Self {
-        let of_all = |concurrency: f64| concurrency / f64::from(balancers.max(1));
+    pub(super) fn new(balancer_count: u32) -> Self {
+        let of_all = |concurrency: f64| concurrency / f64::from(balancer_count.max(1));
         let (concurrency, floor) = (of_all(START_CONCURRENCY), of_all(FLOOR_CONCURRENCY));
         Budget { steps: 1, concurrency, floor, ..Budget::default() }
     }
--- a/policy/src/balance/calls.rs
+++ b/policy/src/balance/calls.rs
@@ -3,42 +3,45 @@
 use super::balancer::*;
 
 /// From when on a guarded call may not go again.
-fn window_end(first: &Attempt, window: Micros, tick: Micros) -> Micros {
-    first.sent.saturating_add(window).saturating_sub(tick)
+fn window_end(first: &Attempt, window: Micros, clock_tick: Micros) -> Micros {
+    first.sent.saturating_add(window).saturating_sub(clock_tick)
 }
 
 impl Call {
     pub(super) fn aim_at(&self) -> Micros {
-        let aim = if self.class.late_value > 0.0 { self.class.deadline } else { self.class.aim };
-        self.deadline.min(self.arrived.saturating_add(aim))
+        let objective = if self.class.late_ratio > 0.0 { self.class.deadline } else { self.class.objective };
+        self.deadline.min(self.arrived.saturating_add(objective))
     }
 
     /// May this call go again, here? Proof over all its attempts decides, never the last outcome alone.
-    pub(super) fn may_go(&self, now: Micros, server: &Server, tick: Micros) -> bool {
-        match (self.binding(), self.class.repeat) {
-            (None, _) | (_, Repeat::Free) => true,
-            (Some(_), Repeat::SingleShot) => false,
-            (Some(first), Repeat::Guarded { scope, window }) => {
+    pub(super) fn may_go(&self, now: Micros, server: &Server, clock_tick: Micros) -> bool {
+        match (self.binding(), self.class.idempotency) {
+            (None, _) | (_, Idempotency::Idempotent) => true,
+            (Some(_), Idempotency::NonIdempotent) => false,
+            (Some(first), Idempotency::Keyed { scope, window }) => {
                 let inside = match scope {
-                    Scope::All => true,
-                    Scope::Zone => first.zone == server.zone,
-                    Scope::Cell => first.cell == server.cell,
+                    DedupScope::All => true,
+                    DedupScope::Zone => first.zone == server.zone,
+                    DedupScope::Cell => first.cell == server.cell,
                 };
-                inside && now < window_end(first, window, tick)
+                inside && now < window_end(first, window, clock_tick)
             }
         }
     }
 
     /// When an attempt has to be on its way: its connection may come up after the window it was decided in.
-    fn begin_by(&self, tick: Micros) -> Option<Micros> {
-        match (self.binding(), self.class.repeat) {
-            (Some(first), Repeat::Guarded { window, .. }) => Some(window_end(first, window, tick)),
+    fn send_by(&self, clock_tick: Micros) -> Option<Micros> {
+        match (self.binding(), self.class.idempotency) {
+            (Some(first), Idempotency::Keyed { window, .. }) => Some(window_end(first, window, clock_tick)),
             _ => None,
         }
     }
 
     pub(super) fn may_be_refused(&self) -> bool {
-        let harmless = matches!(self.class.repeat, Repeat::Free | Repeat::Guarded { scope: Scope::All, .. });
+        let harmless = matches!(
+            self.class.idempotency,
+            Idempotency::Idempotent | Idempotency::Keyed { scope: DedupScope::All, .. }
+        );
         harmless || self.binding().is_none()
     }
 }
@@ -46,7 +49,7 @@
 impl Balancer {
     pub(super) fn request(&mut self, now: Micros, id: CallId, class: ClassId, left: Micros) {
         // A class that the settings do not name is unsafe and wanted while the client waits.
-        let unknown = Class { aim: left, deadline: left, ..Class::default() };
+        let unknown = Class { objective: left, deadline: left, ..Class::default() };
         let spec = self.settings.classes.get(class.0).copied().unwrap_or(unknown);
         let deadline = now.saturating_add(left);
         let (class, class_id, arrived) = (spec, class.0, now);
@@ -70,21 +73,22 @@
         server.in_flight += 1;
         server.budget.trial_out |= trial == Trial::Server;
         let Some(call) = self.calls.get_mut(&id) else { return };
-        let &mut Server { id: server, started, zone, cell, .. } = server;
+        let &mut Server { id: server, started_at, zone, cell, .. } = server;
         let (class_id, sent, outcome) = (call.class_id, now, None);
-        let begin_by = call.begin_by(self.settings.tick);
-        call.attempts.push(Attempt { server, started, zone, cell, class_id, sent, trial, outcome });
+        let send_by = call.send_by(self.settings.clock_tick);
+        call.attempts.push(Attempt { server, started_at, zone, cell, class_id, sent, trial, outcome });
         let copies = call.attempts.len();
         // An answer after the aim is worth little: its server is better used by others.
-        let (aim, arrived) = (call.aim_at(), call.arrived);
-        let (deadline, usual) = (call.deadline, self.usual(class_id, self.calls[&id].class.aim));
-        let until = (aim < deadline && aim as f64 > now as f64 + usual).then_some(aim);
-        actions.push(Action::Send { call: id, server, until, begin_by });
+        let (objective, arrived) = (call.aim_at(), call.arrived);
+        let (call_deadline, usual) = (call.deadline, self.usual(class_id, self.calls[&id].class.objective));
+        let deadline =
+            (objective < call_deadline && objective as f64 > now as f64 + usual).then_some(objective);
+        actions.push(Action::Send { call: id, server, deadline, send_by });
         // The latest moment at which a second copy can still be in time, but not before the first is slow.
-        let copy_at = (aim as f64 - SPARE_TIMES * usual).max(arrived as f64 + 1.5 * usual);
+        let copy_at = (objective as f64 - SPARE_TIMES * usual).max(arrived as f64 + 1.5 * usual);
         // A thin balancer can tell no stalled server from a long call: the copy would only add to the work.
-        let copies = copies == 1 && self.settings.limits.second_copies && self.thin.is_none();
-        let copy = copies && copy_at + usual <= aim as f64;
+        let copies = copies == 1 && self.settings.limits.hedging && self.thin.is_none();
+        let copy = copies && copy_at + usual <= objective as f64;
         self.set_wake(id, if copy { (copy_at as Micros).max(now + 1) } else { 0 });
     }
 
@@ -92,7 +96,7 @@
         let retry_after = retry_after.min(self.settings.limits.max_retry_after);
         let refused = self.calls[&id].may_be_refused();
         actions.push(if refused {
-            Action::Refuse { call: id, retry_after }
+            Action::Reject { call: id, retry_after }
         } else {
             Action::Fail { call: id }
         });
--- a/policy/src/balance/cold.rs
+++ b/policy/src/balance/cold.rs
@@ -1,4 +1,4 @@
-//! How much a server that has just started is sent.
+//! How much a server that has just started_at is sent.
 
 use super::balancer::*;
 
@@ -12,18 +12,18 @@
         if now >= self.warm_from {
             return;
         }
-        let (rules, models) = (&self.settings.rules, &self.models);
+        let (safety, models) = (&self.settings.safety, &self.models);
         let can = |s: &Server| {
             let model = models.get(&s.model).map_or(0.0, |model| model.log);
-            s.weight * s.warmth(now, rules) * (-model).exp()
+            s.weight * s.warmth(now, safety) * (-model).exp()
         };
         // Only an answer is shared out: most events need no sum over the fleet.
         let all = answered.then(|| self.servers.iter().filter(|s| s.listed).map(can).sum::<f64>());
-        let round = self.longest_aim() * f64::from(self.settings.balancers);
+        let round = self.longest_aim() * f64::from(self.settings.balancer_count);
         let seldom = self.thin.is_some();
-        let seen = (rules.fall_multiple * COLD_SEEN_OF_FALL).clamp(1.0, COLD_SEEN);
+        let seen = (safety.overload_multiple * COLD_SEEN_OF_FALL).clamp(1.0, COLD_SEEN);
         for server in self.servers.iter_mut().filter(|s| s.listed) {
-            let warmth = server.warmth(now, rules);
+            let warmth = server.warmth(now, safety);
             if warmth < 1.0 {
                 let part = all.map_or(0.0, |all| can(server) / all) + span * warmth / round;
                 // A thin balancer meets it too seldom to see in time that it is too much.
--- a/policy/src/balance/learn.rs
+++ b/policy/src/balance/learn.rs
@@ -5,14 +5,14 @@
 impl Balancer {
     /// What a server says of itself: as many waiting as in work, or nearly all cores busy, is as much as an
     /// answer at its limit. It tells a crowded server from one whose calls mostly wait on others.
-    pub(super) fn report(&mut self, id: CallId, attempt: u32, load: Load) {
+    pub(super) fn report(&mut self, id: CallId, attempt: u32, load: LoadReport) {
         let Some(tried) = self.calls.get(&id).and_then(|c| c.attempts.get(attempt as usize)) else { return };
         let Ok(place) = self.servers.binary_search_by_key(&tried.server, |s| s.id) else { return };
         let crowding = match load {
-            Load { in_hand: Some(in_hand), waiting: Some(waiting), .. } => {
-                waiting / (in_hand - waiting).max(1.0)
+            LoadReport { active_requests: Some(active_requests), queued_requests: Some(waiting), .. } => {
+                waiting / (active_requests - waiting).max(1.0)
             }
-            Load { busy: Some(busy), .. } => busy / BUSY_FULL,
+            LoadReport { cpu_utilization: Some(busy), .. } => busy / BUSY_FULL,
             _ => return,
         };
         self.servers[place].crowding = if crowding.is_finite() { crowding.clamp(0.0, 4.0) } else { 0.0 };
@@ -20,23 +20,23 @@
 
     /// What a server's answer, or its absence, teaches.
     pub(super) fn learn(&mut self, now: Micros, tried: Attempt, took: Micros, actions: &mut Actions) {
-        let Attempt { server: id, zone, started, class_id, sent, trial, outcome, .. } = tried;
+        let Attempt { server: id, zone, started_at, class_id, sent, trial, outcome, .. } = tried;
         let Some(outcome) = outcome else { return };
         let elapsed = took.max(now.saturating_sub(sent));
         let (first, longest, longest_aim) = (self.first_backoff(), self.longest_usual(), self.longest_aim());
         let per = self.window() as f64;
         let pace = self.paces.get_mut(class_id);
-        let aim = self.settings.classes.get(class_id).map_or(f64::MAX, |c| c.aim as f64);
+        let objective = self.settings.classes.get(class_id).map_or(f64::MAX, |c| c.objective as f64);
         let base = pace.as_ref().map_or(f64::MAX, |p| p.base);
-        let limit = (base * STRAIN_TIMES).min(aim * STRAIN_AIM).max(base);
+        let limit = (base * STRAIN_TIMES).min(objective * STRAIN_AIM).max(base);
         let way = self.ways.entry(zone).or_default();
         if outcome == Outcome::Served {
             way.answered(now, elapsed as f64, (elapsed as f64 / limit).min(4.0));
         }
         let far_limit =
-            limit.max((way.least.unwrap_or(0.0) * STRAIN_WAY).min(aim * STRAIN_AIM * STRAIN_DEEP));
+            limit.max((way.least.unwrap_or(0.0) * STRAIN_WAY).min(objective * STRAIN_AIM * STRAIN_DEEP));
         if let Some(thin) = &mut self.thin {
-            if !matches!(outcome, Outcome::CalledOff | Outcome::NotSent | Outcome::NoConnection) {
+            if !matches!(outcome, Outcome::Cancelled | Outcome::NotSent | Outcome::NoConnection) {
                 thin.answered(now, elapsed as f64);
             }
         }
@@ -46,14 +46,14 @@
         if lost && self.thin.is_some() {
             let doublings = cut.0.min(BACKOFF_DOUBLINGS + ZONE_DOUBLINGS);
             *cut = (cut.0.saturating_add(1), now + ((first << doublings) >> ZONE_DOUBLINGS));
-        } else if !matches!(outcome, Outcome::TimedOut | Outcome::CalledOff | Outcome::NotSent) {
+        } else if !matches!(outcome, Outcome::TimedOut | Outcome::Cancelled | Outcome::NotSent) {
             *cut = (0, 0);
         }
         let Ok(place) = self.servers.binary_search_by_key(&id, |s| s.id) else { return };
         let way = self.ways.get(&zone).and_then(|way| way.least).unwrap_or(0.0);
         let mean = pace.as_ref().map_or(f64::MAX, |p| p.mean);
         let server = &mut self.servers[place];
-        if server.started != started {
+        if server.started_at != started_at {
             return; // What a server's last process did says nothing of the new one.
         }
         server.in_flight = server.in_flight.saturating_sub(1);
@@ -66,7 +66,7 @@
             Outcome::Served => false,
             // Late while others are answered: the server is slow, not gone, and is sent less, not nothing.
             Outcome::TimedOut if server.answered > sent => false,
-            Outcome::CalledOff | Outcome::NotSent => {
+            Outcome::Cancelled | Outcome::NotSent => {
                 server.budget.trial_out &= trial != Trial::Server;
                 return;
             }
@@ -83,7 +83,7 @@
         let model = self.models.entry(server.model).or_default();
         let beside = (took.ln() - model.log).clamp(-BESIDE_MOST, BESIDE_MOST);
         server.beside = server.beside(now) + (beside - server.beside(now)) * BESIDE_WEIGHT;
-        if !failed && server.warmth(now, &self.settings.rules) >= 1.0 {
+        if !failed && server.warmth(now, &self.settings.safety) >= 1.0 {
             model.answered(beside);
         }
         server.heard = now;
@@ -101,7 +101,7 @@
             self.served += 1;
         }
         // Latency well above an unloaded server's is the sign, beside refusals, of too much in flight.
-        if outcome == Outcome::TurnedAway {
+        if outcome == Outcome::Rejected {
             server.budget.cut(CUT_FULL, true);
             // Fast refusals leave it looking idle: without a pause it would draw in call after call.
             server.not_before = server.not_before.max(now + longest as Micros);
@@ -140,7 +140,7 @@
             actions.push(Action::Log { text: format!("server {} set aside", server.id.0) });
         }
         // Many balancers that each try it now and then are no rest: it is tried by a part of the usual calls.
-        if self.thin.is_some() && (outcome == Outcome::TurnedAway || server.budget.steps == 0) {
+        if self.thin.is_some() && (outcome == Outcome::Rejected || server.budget.steps == 0) {
             server.rest = self.served + ((per as u64) << server.budget.doublings);
         }
         self.aside = self.aside + usize::from(server.aside()) - usize::from(was_aside);
--- a/policy/src/balance/pick.rs
+++ b/policy/src/balance/pick.rs
@@ -34,7 +34,7 @@
     /// Send, queue or refuse?
     pub(super) fn route(&mut self, now: Micros, id: CallId) -> Route {
         let call = &self.calls[&id];
-        let usual = self.usual(call.class_id, call.class.aim);
+        let usual = self.usual(call.class_id, call.class.objective);
         let cut = self.cut_off.iter().filter(|(_, cut)| now < cut.1).map(|(&zone, _)| zone).collect();
         let pick = Pick { now, call, usual, cut };
         if let Some(server) = self.cold_turn(&pick) {
@@ -42,9 +42,9 @@
         }
         let mut up = self.windowed(&pick);
         self.in_time(&pick, &mut up);
-        let rules = self.settings.rules;
+        let safety = self.settings.safety;
         if let Some(server) = self.two_choices(now, usual, &up) {
-            if !self.servers[server].full(now, &rules) {
+            if !self.servers[server].full(now, &safety) {
                 return Route::Send { server, trial: Trial::No };
             }
         }
@@ -52,7 +52,8 @@
         let of = |keep: &dyn Fn(&Server) -> bool| -> Vec<usize> {
             up.iter().copied().filter(|&place| keep(&self.servers[place])).collect()
         };
-        let (room, trials) = (of(&|s| !s.full(now, &rules)), of(&|s| s.may_take_trial(now, longest, &rules)));
+        let (room, trials) =
+            (of(&|s| !s.full(now, &safety)), of(&|s| s.may_take_trial(now, longest, &safety)));
         match (self.two_choices(now, usual, &room), self.two_choices(now, usual, &trials)) {
             (Some(server), _) => Route::Send { server, trial: Trial::No },
             (None, Some(server)) => Route::Send { server, trial: Trial::Server },
@@ -65,24 +66,24 @@
         let all = self.servers.iter().filter(|s| s.listed);
         let down = all.clone().all(|s| s.budget.steps == 0);
         let first = all.map(|s| s.budget.backoff_end).min().filter(|_| down);
-        first.map_or(Route::Queue, |at| Route::Refuse {
+        first.map_or(Route::Queue, |at| Route::Reject {
             retry_after: at.saturating_sub(now).max(self.first_backoff()),
         })
     }
 
     /// Step 1, for one server.
     fn may_go(&self, pick: &Pick<'_>, server: &Server) -> bool {
-        server.usable(pick.now, self.served, &self.settings.rules)
+        server.usable(pick.now, self.served, &self.settings.safety)
             && !pick.cut.contains(&server.zone)
-            && pick.call.may_go(pick.now, server, self.settings.tick)
+            && pick.call.may_go(pick.now, server, self.settings.clock_tick)
     }
 
     /// The servers that the call may go to, from this balancer's place on: windows begin at even distances on
     /// the ring of servers, so that each server is in as many as any other.
     fn ring<'a>(&'a self, pick: &'a Pick<'a>) -> impl Iterator<Item = usize> + 'a {
         let len = self.servers.len();
-        let balancers = self.settings.balancers.max(1) as usize;
-        let start = (self.settings.me as usize * len / balancers) % len.max(1);
+        let balancer_count = self.settings.balancer_count.max(1) as usize;
+        let start = (self.settings.balancer_index as usize * len / balancer_count) % len.max(1);
         (start..len).chain(0..start).filter(|&place| self.may_go(pick, &self.servers[place]))
     }
 
@@ -93,7 +94,7 @@
         if now >= self.warm_from || !pick.call.attempts.is_empty() {
             return None;
         }
-        let due = |s: &Server| s.warmth(now, &self.settings.rules) < 1.0 && s.in_flight == 0;
+        let due = |s: &Server| s.warmth(now, &self.settings.safety) < 1.0 && s.in_flight == 0;
         let turns = |place: &usize| self.servers[*place].turns;
         self.ring(pick)
             .filter(|&place| due(&self.servers[place]))
@@ -112,7 +113,7 @@
     /// come from those whose answer is expected within the aim, while any of them has room.
     fn in_time(&self, pick: &Pick<'_>, up: &mut Vec<usize>) {
         let &Pick { now, call, usual, .. } = pick;
-        let room = |s: &Server| !s.full(now, &self.settings.rules);
+        let room = |s: &Server| !s.full(now, &self.settings.safety);
         let soon = |way: f64| now as f64 + way * STRAIN_WAY <= call.deadline as f64;
         let furthest = self.ways.values().filter_map(|way| way.least).fold(0.0, f64::max);
         let near = |place: usize| soon(self.least_way(self.servers[place].zone));
@@ -120,15 +121,16 @@
             prefer(up, |place| near(place) && room(&self.servers[place]));
         }
         if self.thin.is_some() {
-            let aim = call.class.aim as f64;
-            let good = |s: &Server| self.expected(now, s, usual) <= aim && room(s);
+            let objective = call.class.objective as f64;
+            let good = |s: &Server| self.expected(now, s, usual) <= objective && room(s);
             prefer(up, |place| good(&self.servers[place]));
             // Leaving the zone has a price, being late a higher one.
-            let early = |s: &Server| s.in_flight == 0 && self.expected(now, s, usual) <= aim * HOME_AIM;
-            let home = |s: &Server| Some(s.zone) == self.settings.home && early(s);
+            let early = |s: &Server| s.in_flight == 0 && self.expected(now, s, usual) <= objective * HOME_AIM;
+            let home = |s: &Server| Some(s.zone) == self.settings.local_zone && early(s);
             prefer(up, |place| home(&self.servers[place]));
         } else {
-            let home = |s: &Server| Some(s.zone) == self.settings.home && s.strain <= HOME_STRAIN && room(s);
+            let home =
+                |s: &Server| Some(s.zone) == self.settings.local_zone && s.strain <= HOME_STRAIN && room(s);
             prefer(up, |place| home(&self.servers[place]));
         }
     }
--- a/policy/src/balance/queue.rs
+++ b/policy/src/balance/queue.rs
@@ -13,7 +13,7 @@
         let shown = shown_for(self.longest_aim());
         let lately = |p: &&Pace| p.seen > 8 && now.saturating_sub(p.at) as f64 <= shown;
         let usual = self.paces.get(call.class_id).filter(lately).map_or(0.0, |p| p.mean);
-        if ((call.deadline - now) as f64) < usual.min(call.class.aim as f64) {
+        if ((call.deadline - now) as f64) < usual.min(call.class.objective as f64) {
             self.give_up(id, self.first_backoff(), actions);
         } else if waited > self.wait_limit(id, over_share) {
             self.give_up(id, waited, actions);
@@ -26,24 +26,24 @@
     /// late. Classes whose worth for their work outweighs the goal's part of the worst class wait longest.
     fn wait_limit(&self, id: CallId, over_share: bool) -> Micros {
         let call = &self.calls[&id];
-        let usual = self.usual(call.class_id, call.class.aim);
-        let aim = call.aim_at().saturating_sub(call.arrived) as f64;
+        let usual = self.usual(call.class_id, call.class.objective);
+        let objective = call.aim_at().saturating_sub(call.arrived) as f64;
         let limit = match over_share {
-            true => aim * WAIT_AIM / 2.0,
-            false if self.protected(call) => (aim * WAIT_AIM).max(aim - SPARE_TIMES * usual),
-            false => aim * WAIT_AIM,
+            true => objective * WAIT_AIM / 2.0,
+            false if self.protected(call) => (objective * WAIT_AIM).max(objective - SPARE_TIMES * usual),
+            false => objective * WAIT_AIM,
         };
-        limit.min(aim - usual).max(0.0) as Micros
+        limit.min(objective - usual).max(0.0) as Micros
     }
 
     fn protected(&self, call: &Call) -> bool {
         let all = self.paces.iter().zip(&self.settings.classes);
-        let (worth, work) =
-            all.fold((0.0, 0.0), |(w, t), (p, c)| (w + p.asked * c.worth, t + p.asked * p.base));
+        let (priority_weight, work) =
+            all.fold((0.0, 0.0), |(w, t), (p, c)| (w + p.asked * c.priority_weight, t + p.asked * p.base));
         let base = self.paces.get(call.class_id).map_or(f64::MAX, |p| p.base);
-        let density = call.class.worth / base * work / worth.max(f64::MIN_POSITIVE);
-        let goal = &self.settings.goal;
-        goal.whole * density > goal.whole + goal.worst_class
+        let density = call.class.priority_weight / base * work / priority_weight.max(f64::MIN_POSITIVE);
+        let score_weights = &self.settings.score_weights;
+        score_weights.overall * density > score_weights.overall + score_weights.worst_class
     }
 
     /// Counts a tenant's call and tells whether it asks for more than its share of this balancer's calls.
@@ -61,9 +61,9 @@
         let Some(call) = self.calls.get_mut(&id) else { return };
         call.queued = true;
         // Its way out: when a usual answer could not come in time, and always before the client gives up.
-        let (class_id, aim, last) =
-            (call.class_id, call.class.aim, call.deadline.saturating_sub(self.settings.tick));
-        let wake = call.aim_at().saturating_sub(self.usual(class_id, aim) as Micros).max(now + 1);
+        let (class_id, objective, last) =
+            (call.class_id, call.class.objective, call.deadline.saturating_sub(self.settings.clock_tick));
+        let wake = call.aim_at().saturating_sub(self.usual(class_id, objective) as Micros).max(now + 1);
         self.set_wake(id, wake.min(last.max(now)).max(1));
         self.queue.insert(if retried { 0 } else { self.queue.len() }, id);
     }
@@ -71,7 +71,7 @@
     pub(super) fn drain_queue(&mut self, now: Micros, actions: &mut Actions) {
         let returning = if self.aside > 0 && !self.queue.is_empty() { self.servers.len() } else { 0 };
         for place in 0..returning {
-            if self.servers[place].returning(now, self.served, &self.settings.rules) {
+            if self.servers[place].returning(now, self.served, &self.settings.safety) {
                 // Only a call that never went: a bound one may go to some servers alone.
                 let mut queued = self.queue.iter().take(LOOK_PAST);
                 if let Some(index) = queued.position(|id| self.calls[id].attempts.is_empty()) {
@@ -88,7 +88,7 @@
                     self.take(index);
                     self.send(now, id, server, trial, actions);
                 }
-                Route::Refuse { retry_after } => self.give_up(id, retry_after, actions),
+                Route::Reject { retry_after } => self.give_up(id, retry_after, actions),
                 // Arrival order: the first that stays keeps the rest, unless bound to some servers.
                 Route::Queue if self.calls[&id].binding().is_some() && index < LOOK_PAST => index += 1,
                 Route::Queue => break,
--- a/policy/src/balance/restore.rs
+++ b/policy/src/balance/restore.rs
@@ -11,28 +11,28 @@
 /// Why what was written down is not taken up. No running balancer writes such a thing: it is damaged, or of another
 /// site's settings, and only a record that begins later can be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Unfit {
+pub enum RestoreError {
     /// The settings beside it cannot be those of a proxy.
     #[error("the settings name times that are too long")]
-    Settings,
+    InvalidSettings,
     /// It has other classes or tenants than the settings.
     #[error("the state is of other settings")]
-    OtherSettings,
+    SettingsMismatch,
     /// Budgets, backoffs or answer times that no balancer reaches.
     #[error("the state names figures that are too large")]
-    Figures,
+    ValueOutOfRange,
     /// Counters that no balancer reaches.
     #[error("the state counts too much")]
-    Counts,
+    CounterOutOfRange,
     /// The servers do not stand in the order of their numbers.
     #[error("the servers are out of order")]
-    Order,
+    UnsortedServers,
     /// A call is queued or woken that does not wait, or the other way about.
     #[error("the calls and those that wait are not the same")]
-    Calls,
+    InconsistentCalls,
     /// Servers listed or set aside are not as many as it says.
     #[error("the servers are counted wrong")]
-    Servers,
+    InconsistentServers,
 }
 
 impl Balancer {
@@ -41,16 +41,16 @@
     /// # Errors
     ///
     /// Where a running balancer with these settings cannot have written it.
-    pub fn restore(mut self, settings: Settings) -> Result<Balancer, Unfit> {
-        if !settings.bounded() {
-            return Err(Unfit::Settings);
+    pub fn restore(mut self, settings: Settings) -> Result<Balancer, RestoreError> {
+        if !settings.is_in_range() {
+            return Err(RestoreError::InvalidSettings);
         }
         let (listed, aside) = (self.listed, self.aside);
         self.settings = settings;
         if self.paces.len() != self.settings.classes.len()
             || self.tenants.len() != self.settings.tenants.len()
         {
-            return Err(Unfit::OtherSettings);
+            return Err(RestoreError::SettingsMismatch);
         }
         let mut budgets = self.servers.iter().map(|s| &s.budget);
         let budget = |b: &Budget| {
@@ -61,13 +61,13 @@
         let pace = |p: &Pace| p.mean <= SPAN_MOST as f64 && p.base <= SPAN_MOST as f64;
         let counts = self.ask_failures <= COUNT_MOST;
         if !budgets.all(budget) || !self.servers.iter().all(server) || !self.paces.iter().all(pace) {
-            return Err(Unfit::Figures);
+            return Err(RestoreError::ValueOutOfRange);
         }
         if !counts || self.sends.max(self.served) > MOMENT_MOST {
-            return Err(Unfit::Counts);
+            return Err(RestoreError::CounterOutOfRange);
         }
         if !self.servers.is_sorted_by(|a, b| a.id < b.id) {
-            return Err(Unfit::Order);
+            return Err(RestoreError::UnsortedServers);
         }
         let queued: BTreeSet<CallId> = self.queue.iter().copied().collect();
         let waiting = |(id, call): (&CallId, &Call)| {
@@ -78,11 +78,11 @@
         let known = queued.iter().all(|id| self.calls.contains_key(id));
         let once = queued.len() == self.queue.len() && wakes == self.wakes.len();
         if !once || !known || !self.calls.iter().all(waiting) {
-            return Err(Unfit::Calls);
+            return Err(RestoreError::InconsistentCalls);
         }
         self.count();
         if (listed, aside) != (self.listed, self.aside) {
-            return Err(Unfit::Servers);
+            return Err(RestoreError::InconsistentServers);
         }
         Ok(self)
     }
--- a/policy/src/balance/retry.rs
+++ b/policy/src/balance/retry.rs
@@ -6,8 +6,8 @@
     /// After an attempt that did not serve: again, or the end.
     pub(super) fn retry(&mut self, now: Micros, id: CallId, outcome: Outcome, actions: &mut Actions) {
         let call = &self.calls[&id];
-        let in_time = now as f64 + self.usual(call.class_id, call.class.aim) < call.aim_at() as f64;
-        let some = self.servers.iter().any(|s| s.listed && call.may_go(now, s, self.settings.tick));
+        let in_time = now as f64 + self.usual(call.class_id, call.class.objective) < call.aim_at() as f64;
+        let some = self.servers.iter().any(|s| s.listed && call.may_go(now, s, self.settings.clock_tick));
         let more = (call.attempts.len() as u32) < self.settings.limits.max_attempts;
         if in_time && some && more && (self.retries >= 1.0 || outcome == Outcome::NoConnection) {
             self.retries = (self.retries - 1.0).max(0.0);
@@ -31,11 +31,11 @@
     /// A second copy for a call that is late on a server that may have stalled, while others have room.
     fn second_copy(&mut self, now: Micros, id: CallId, actions: &mut Actions) {
         let call = &self.calls[&id];
-        let tick = self.settings.tick;
+        let clock_tick = self.settings.clock_tick;
         let more = (call.attempts.len() as u32) < self.settings.limits.max_attempts && call.out() == 1;
         let some = |s: &Server| {
-            s.usable(now, self.served, &self.settings.rules)
-                && call.may_go(now, s, tick)
+            s.usable(now, self.served, &self.settings.safety)
+                && call.may_go(now, s, clock_tick)
                 && call.untried(s.id)
         };
         let spare = self.retries >= 1.0 && self.queue.is_empty();
--- a/policy/src/balance/server.rs
+++ b/policy/src/balance/server.rs
@@ -13,7 +13,7 @@
     pub(super) model: ModelId,
     pub(super) cell: CellId,
     pub(super) listed: bool,
-    pub(super) started: Micros,
+    pub(super) started_at: Micros,
     pub(super) in_flight: u32,
     pub(super) budget: Budget,
     pub(super) weight: f64,
@@ -43,16 +43,16 @@
 }
 
 impl Server {
-    pub(super) fn new(entry: &Entry, balancers: u32) -> Self {
-        let &Entry { server: id, zone, model, cell, started, .. } = entry;
+    pub(super) fn new(entry: &Entry, balancer_count: u32) -> Self {
+        let &Entry { server: id, zone, model, cell, started_at, .. } = entry;
         Server {
             id,
             zone,
             model,
             cell,
-            started,
+            started_at,
             weight: 1.0,
-            budget: Budget::new(balancers),
+            budget: Budget::new(balancer_count),
             ..Server::default()
         }
     }
@@ -85,27 +85,28 @@
     }
 
     /// Share of its capacity that a server has at the least, by the rules' cold share and time.
-    pub(super) fn warmth(&self, now: Micros, rules: &Rules) -> f64 {
-        let age = now.saturating_sub(self.started);
-        if self.started == 0 || age >= rules.cold_time {
+    pub(super) fn warmth(&self, now: Micros, safety: &SafetyLimits) -> f64 {
+        let age = now.saturating_sub(self.started_at);
+        if self.started_at == 0 || age >= safety.slow_start_window {
             return 1.0;
         }
-        rules.cold_share + (1.0 - rules.cold_share) * age as f64 / rules.cold_time as f64
+        safety.slow_start_ratio
+            + (1.0 - safety.slow_start_ratio) * age as f64 / safety.slow_start_window as f64
     }
 
-    pub(super) fn full(&self, now: Micros, rules: &Rules) -> bool {
-        let budget = f64::from(self.budget.steps) * self.budget.concurrency * self.warmth(now, rules);
+    pub(super) fn full(&self, now: Micros, safety: &SafetyLimits) -> bool {
+        let budget = f64::from(self.budget.steps) * self.budget.concurrency * self.warmth(now, safety);
         self.in_flight >= (budget + 0.5).max(1.0) as u32
     }
 
-    pub(super) fn open(&self, now: Micros, served: u64, rules: &Rules) -> bool {
-        let paced = self.turns >= 1.0 || self.warmth(now, rules) >= 1.0;
+    pub(super) fn open(&self, now: Micros, served: u64, safety: &SafetyLimits) -> bool {
+        let paced = self.turns >= 1.0 || self.warmth(now, safety) >= 1.0;
         let rested = served >= self.rest || now.saturating_sub(self.heard) as f64 >= 3.0 * RATE_MEMORY;
         self.listed && now >= self.not_before && paced && rested
     }
 
-    pub(super) fn usable(&self, now: Micros, served: u64, rules: &Rules) -> bool {
-        self.budget.steps > 0 && self.open(now, served, rules)
+    pub(super) fn usable(&self, now: Micros, served: u64, safety: &SafetyLimits) -> bool {
+        self.budget.steps > 0 && self.open(now, served, safety)
     }
 
     pub(super) fn aside(&self) -> bool {
--- a/policy/src/balance/windows.rs
+++ b/policy/src/balance/windows.rs
@@ -14,8 +14,8 @@
 }
 
 impl Thin {
-    pub(super) fn new(balancers: u32) -> Option<Self> {
-        (Budget::new(balancers).concurrency < THIN_UNDER).then(Thin::default)
+    pub(super) fn new(balancer_count: u32) -> Option<Self> {
+        (Budget::new(balancer_count).concurrency < THIN_UNDER).then(Thin::default)
     }
 
     pub(super) fn answered(&mut self, now: Micros, elapsed: f64) {
--- a/policy/src/bounds.rs
+++ b/policy/src/bounds.rs
@@ -8,7 +8,7 @@
 pub(crate) const MOMENT_MOST: Micros = 1 << 60;
 
 /// Whether an event, at its time, can be fed to a balancer: a proxy names no such times, a damaged record may.
-pub fn bounded(now: Micros, event: &Event) -> bool {
+pub fn is_event_in_range(now: Micros, event: &Event) -> bool {
     let span = match event {
         Event::Request { time_left, .. } => *time_left,
         Event::Outcome { elapsed, .. } => *elapsed,
@@ -19,15 +19,16 @@
 
 impl Settings {
     /// Whether a balancer can be told these.
-    pub fn bounded(&self) -> bool {
+    pub fn is_in_range(&self) -> bool {
         let class = |class: &Class| {
-            let window = match class.repeat {
-                Repeat::Guarded { window, .. } => window,
-                Repeat::Free | Repeat::SingleShot => 0,
+            let window = match class.idempotency {
+                Idempotency::Keyed { window, .. } => window,
+                Idempotency::Idempotent | Idempotency::NonIdempotent => 0,
             };
-            class.aim.max(class.deadline).max(window) <= SPAN_MOST
+            class.objective.max(class.deadline).max(window) <= SPAN_MOST
         };
-        let rules = self.rules.cold_time.max(self.rules.ask_every);
-        self.classes.iter().all(class) && self.tick.max(self.limits.max_retry_after).max(rules) <= SPAN_MOST
+        let safety = self.safety.slow_start_window.max(self.safety.max_poll_interval);
+        self.classes.iter().all(class)
+            && self.clock_tick.max(self.limits.max_retry_after).max(safety) <= SPAN_MOST
     }
 }
--- a/policy/src/lib.rs
+++ b/policy/src/lib.rs
@@ -32,10 +32,10 @@
 mod state;
 mod words;
 
-pub use access::{Access, Admission, Networks, NotANetwork};
+pub use access::{Access, InvalidNetwork, Networks, PeerAccess};
 pub use api::*;
-pub use balance::{Balancer, Unfit};
-pub use bounds::bounded;
+pub use balance::{Balancer, RestoreError};
+pub use bounds::is_event_in_range;
 
 /// The README's example is compiled as a test too.
 #[cfg(doctest)]
--- a/policy/src/state.rs
+++ b/policy/src/state.rs
@@ -14,7 +14,7 @@
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub(crate) struct Attempt {
     pub(crate) server: ServerId,
-    pub(crate) started: Micros,
+    pub(crate) started_at: Micros,
     pub(crate) zone: ZoneId,
     pub(crate) cell: CellId,
     pub(crate) class_id: usize,
@@ -83,5 +83,5 @@
 pub(crate) enum Route {
     Send { server: usize, trial: Trial },
     Queue,
-    Refuse { retry_after: Micros },
+    Reject { retry_after: Micros },
 }
--- a/policy/tests/access.rs
+++ b/policy/tests/access.rs
@@ -1,6 +1,6 @@
 //! Who is allowed in.
 
-use flaxhead_policy::{Access, Admission, Networks};
+use flaxhead_policy::{Access, Networks, PeerAccess};
 use std::net::IpAddr;
 
 fn networks(text: &str) -> Networks {
@@ -36,19 +36,21 @@
 #[test]
 fn a_mapped_address_is_in_its_ipv4_range_and_a_mapped_range_holds_ipv4_addresses() {
     let plain = networks("10.8.0.0/16");
-    assert!(plain.holds(ip("::ffff:10.8.3.4")) && !plain.holds(ip("::ffff:10.9.3.4")));
+    assert!(plain.contains(ip("::ffff:10.8.3.4")) && !plain.contains(ip("::ffff:10.9.3.4")));
     let mapped = networks("::ffff:10.8.0.0/112");
     assert!(
-        mapped.holds(ip("10.8.3.4")) && mapped.holds(ip("::ffff:10.8.3.4")) && !mapped.holds(ip("10.9.0.1"))
+        mapped.contains(ip("10.8.3.4"))
+            && mapped.contains(ip("::ffff:10.8.3.4"))
+            && !mapped.contains(ip("10.9.0.1"))
     );
-    assert!(!networks("::/0").holds(ip("10.8.3.4")), "IPv6 ranges hold no IPv4 address");
+    assert!(!networks("::/0").contains(ip("10.8.3.4")), "IPv6 ranges hold no IPv4 address");
 }
 
 #[test]
 fn a_lone_address_is_a_range_of_one_and_what_is_no_range_is_refused() {
     let one = networks(" 10.8.0.1 ,::1");
-    assert!(one.holds(ip("10.8.0.1")) && !one.holds(ip("10.8.0.2")) && one.holds(ip("::1")));
-    assert!(networks("10.8.3.4/16").holds(ip("10.8.200.1")), "bits beyond the prefix do not count");
+    assert!(one.contains(ip("10.8.0.1")) && !one.contains(ip("10.8.0.2")) && one.contains(ip("::1")));
+    assert!(networks("10.8.3.4/16").contains(ip("10.8.200.1")), "bits beyond the prefix do not count");
     assert_eq!(networks(""), Networks::default());
     for bad in
         ["10.8.0.0/33", "10.8.0/16", "fd00::/129", "gateway", "10.8.0.0/16,", ",", "10.8.0.0/16 10.9.0.0/16"]
@@ -64,9 +66,9 @@
         deny: networks("127.0.0.9"),
         proxy_from: networks("127.0.0.9, ::1"),
     };
-    assert_eq!(access.peer(ip("127.0.0.9")), Admission::Front);
-    assert_eq!(access.peer(ip("::ffff:127.0.0.9")), Admission::Front);
-    assert_eq!(access.peer(ip("::1")), Admission::Front);
-    assert_eq!(access.peer(ip("127.0.0.8")), Admission::Close);
-    assert_eq!(access.peer(ip("10.8.1.1")), Admission::Serve);
+    assert_eq!(access.check_peer(ip("127.0.0.9")), PeerAccess::TrustedProxy);
+    assert_eq!(access.check_peer(ip("::ffff:127.0.0.9")), PeerAccess::TrustedProxy);
+    assert_eq!(access.check_peer(ip("::1")), PeerAccess::TrustedProxy);
+    assert_eq!(access.check_peer(ip("127.0.0.8")), PeerAccess::Deny);
+    assert_eq!(access.check_peer(ip("10.8.1.1")), PeerAccess::Allow);
 }
--- a/policy/tests/cold_together.rs
+++ b/policy/tests/cold_together.rs
@@ -1,4 +1,4 @@
-//! Many balancers and servers that have just started: together they must not push one over. A cold server falls when it is
+//! Many balancers and servers that have just started_at: together they must not push one over. A cold server falls when it is
 //! sent more than `N + 2 x root of N + 2` calls of mean work within the rules' time, `N` being the rules' multiple of
 //! what it can do then.
 
@@ -31,7 +31,7 @@
     /// Calls over what all warm servers can do, and how many times as many come in the middle of the day.
     load: f64,
     burst: f64,
-    rules: (f64, Micros),
+    safety: (f64, Micros),
     /// The rules' multiple and time.
     fall: (f64, Micros),
 }
@@ -57,7 +57,7 @@
 /// A server does one call after the other, at the least that the rules promise.
 #[derive(Clone, Copy, Default)]
 struct Server {
-    started: Micros,
+    started_at: Micros,
     free_at: Micros,
 }
 
@@ -96,18 +96,29 @@
         self.next.insert(self.count, next);
     }
 
-    fn settings(day: Day, me: u32) -> Settings {
-        let class =
-            Class { aim: SECOND / 2, deadline: DEADLINE, worth: 1.0, late_value: 0.0, repeat: Repeat::Free };
-        let (cold_share, cold_time) = day.rules;
-        let rules = Rules { cold_share, cold_time, ..Settings::default().rules };
-        Settings { balancers: day.balancers, me, classes: vec![class], rules, ..Settings::default() }
+    fn settings(day: Day, balancer_index: u32) -> Settings {
+        let class = Class {
+            objective: SECOND / 2,
+            deadline: DEADLINE,
+            priority_weight: 1.0,
+            late_ratio: 0.0,
+            idempotency: Idempotency::Idempotent,
+        };
+        let (slow_start_ratio, slow_start_window) = day.safety;
+        let safety = SafetyLimits { slow_start_ratio, slow_start_window, ..Settings::default().safety };
+        Settings {
+            balancer_count: day.balancers,
+            balancer_index,
+            classes: vec![class],
+            safety,
+            ..Settings::default()
+        }
     }
 
     fn warmth(&self, server: &Server, at: Micros) -> f64 {
-        let (share, time) = self.day.rules;
-        let age = at.saturating_sub(server.started);
-        if server.started == 0 || age >= time {
+        let (share, time) = self.day.safety;
+        let age = at.saturating_sub(server.started_at);
+        if server.started_at == 0 || age >= time {
             1.0
         } else {
             share + (1.0 - share) * age as f64 / time as f64
@@ -119,10 +130,10 @@
         self.balancers[balancer].0.handle(self.now, event, &mut actions);
         for action in actions {
             match action {
-                Action::Send { call, server, until, .. } => self.send(balancer, call, server, until),
+                Action::Send { call, server, deadline, .. } => self.send(balancer, call, server, deadline),
                 Action::Wake { after } => self.at(self.now + after, Next::Timer(balancer)),
                 Action::Cancel { call, attempt } => {
-                    let end = Next::End { balancer, call, attempt, outcome: Outcome::CalledOff, elapsed: 0 };
+                    let end = Next::End { balancer, call, attempt, outcome: Outcome::Cancelled, elapsed: 0 };
                     self.at(self.now, end);
                 }
                 _ => {}
@@ -130,7 +141,7 @@
         }
     }
 
-    fn send(&mut self, balancer: usize, call: CallId, id: ServerId, until: Option<Micros>) {
+    fn send(&mut self, balancer: usize, call: CallId, id: ServerId, deadline: Option<Micros>) {
         let work = self.chance(SECOND as f64 / self.day.rate) as f64;
         let attempts = self.balancers[balancer].1.entry(call).or_default();
         let attempt = attempts.len() as u32;
@@ -147,15 +158,15 @@
         let mut outcome = Outcome::Served;
         let mut ends = self.now + WAY;
         if busy as f64 * self.day.rate * warmth > QUEUE * SECOND as f64 {
-            outcome = Outcome::TurnedAway;
+            outcome = Outcome::Rejected;
         } else {
             let done = self.now + busy + (work / warmth) as Micros;
             self.servers.insert(id, Server { free_at: done, ..server });
             ends = done + WAY;
         }
-        let until = until.unwrap_or(self.now + DEADLINE);
-        if ends > until {
-            (ends, outcome) = (until, Outcome::TimedOut);
+        let deadline = deadline.unwrap_or(self.now + DEADLINE);
+        if ends > deadline {
+            (ends, outcome) = (deadline, Outcome::TimedOut);
         }
         let elapsed = ends - self.now;
         self.at(ends, Next::End { balancer, call, attempt, outcome, elapsed });
@@ -186,10 +197,10 @@
                 if attempts.and_then(|all| all.get_mut(attempt as usize)?.take()).is_none() {
                     return;
                 }
-                let closed = outcome == Outcome::Served;
-                self.served += u64::from(closed);
-                let load = Load::default();
-                self.feed(balancer, Event::Outcome { call, attempt, outcome, elapsed, closed, load });
+                let complete = outcome == Outcome::Served;
+                self.served += u64::from(complete);
+                let load = LoadReport::default();
+                self.feed(balancer, Event::Outcome { call, attempt, outcome, elapsed, complete, load });
             }
             Next::Timer(balancer) => self.feed(balancer, Event::Timer),
             Next::Told { balancer, entries } => {
@@ -208,8 +219,11 @@
     }
 
     fn list(&self) -> Vec<Entry> {
-        let entry =
-            |(&server, s): (&ServerId, &Server)| Entry { server, started: s.started, ..Entry::default() };
+        let entry = |(&server, s): (&ServerId, &Server)| Entry {
+            server,
+            started_at: s.started_at,
+            ..Entry::default()
+        };
         self.servers.iter().map(entry).collect()
     }
 
@@ -248,7 +262,7 @@
                 fleet.now = changes.pop().unwrap_or(at);
                 let n = replaced - changes.len() as u32 - 1;
                 fleet.servers.remove(&ServerId(n * 7_919));
-                let server = Server { started: fleet.now, free_at: 0 };
+                let server = Server { started_at: fleet.now, free_at: 0 };
                 fleet.servers.insert(ServerId(n * 7_919 + 3_001), server);
                 for balancer in 0..day.balancers as usize {
                     let told = fleet.now + (fleet.draw() * 1_000.0) as Micros;
@@ -293,7 +307,7 @@
     rate: 40.0,
     load: 0.5,
     burst: 1.0,
-    rules: (0.12, 22 * SECOND),
+    safety: (0.12, 22 * SECOND),
     fall: (2.5, 1_500_000),
 };
 
@@ -330,11 +344,11 @@
 #[test]
 fn nor_do_fewer_balancers_by_other_rules() {
     kept(Day { balancers: 6, servers: 12, replaced: 250, within: SECOND, load: 0.8, ..DAY });
-    kept(Day { balancers: 60, rules: (0.3, 10 * SECOND), fall: (3.0, 2 * SECOND), load: 0.8, ..DAY });
-    kept(Day { balancers: 1, servers: 8, replaced: 400, rules: (0.05, 60 * SECOND), ..DAY });
+    kept(Day { balancers: 60, safety: (0.3, 10 * SECOND), fall: (3.0, 2 * SECOND), load: 0.8, ..DAY });
+    kept(Day { balancers: 1, servers: 8, replaced: 400, safety: (0.05, 60 * SECOND), ..DAY });
 }
 
-/// A few dozen, of which some are started anew in the middle, under a burst, and servers that do ten calls a second: the
+/// A few dozen, of which some are started_at anew in the middle, under a burst, and servers that do ten calls a second: the
 /// first of them are a handful each.
 #[test]
 fn nor_do_twenty_or_thirty_under_a_burst_some_of_them_started_anew() {
@@ -352,7 +366,7 @@
         kept_on(Day { balancers, ..throng }, 1..=20);
         kept_on(Day { balancers, replaced: 90, ..throng }, 1..=20);
         kept_on(
-            Day { balancers, rate: 25.0, rules: (0.2, 12 * SECOND), fall: (2.2, SECOND), ..throng },
+            Day { balancers, rate: 25.0, safety: (0.2, 12 * SECOND), fall: (2.2, SECOND), ..throng },
             1..=10,
         );
     }
--- a/policy/tests/common/mod.rs
+++ b/policy/tests/common/mod.rs
@@ -14,11 +14,17 @@
 }
 
 /// Settings with one class of the given kind: wanted in 500 ms, given up after 1.2 s.
-pub fn settings(repeat: Repeat) -> Settings {
-    let class = Class { aim: 500 * MS, deadline: 1_200 * MS, worth: 1.0, late_value: 0.0, repeat };
+pub fn settings(idempotency: Idempotency) -> Settings {
+    let class = Class {
+        objective: 500 * MS,
+        deadline: 1_200 * MS,
+        priority_weight: 1.0,
+        late_ratio: 0.0,
+        idempotency,
+    };
     Settings {
         classes: vec![class],
-        balancers: 7,
+        balancer_count: 7,
         limits: Limits { max_attempts: 5, ..Settings::default().limits },
         ..Settings::default()
     }
@@ -29,7 +35,7 @@
 }
 
 impl Proxy {
-    /// A started proxy that knows of `servers` ready, warm servers, numbered from 1.
+    /// A started_at proxy that knows of `servers` ready, warm servers, numbered from 1.
     pub fn new(settings: Settings, servers: u32) -> Proxy {
         Proxy::seeded(7, settings, servers)
     }
@@ -67,8 +73,8 @@
     }
 
     pub fn end(&mut self, call: CallId, attempt: u32, outcome: Outcome, elapsed: Micros) -> Vec<Action> {
-        let closed = outcome == Outcome::Served;
-        self.event(Event::Outcome { call, attempt, outcome, elapsed, closed, load: Load::default() })
+        let complete = outcome == Outcome::Served;
+        self.event(Event::Outcome { call, attempt, outcome, elapsed, complete, load: LoadReport::default() })
     }
 
     /// A call that is sent and served after `elapsed`; tells where it went.
@@ -107,7 +113,7 @@
 }
 
 pub fn refused(actions: &[Action], id: CallId) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse { call, .. } if *call == id))
+    actions.iter().any(|a| matches!(a, Action::Reject { call, .. } if *call == id))
 }
 
 pub fn failed(actions: &[Action], id: CallId) -> bool {
--- a/policy/tests/mechanism.rs
+++ b/policy/tests/mechanism.rs
@@ -6,8 +6,8 @@
 use std::collections::BTreeMap;
 
 /// Fills a single server's first budget (1 step x 1 call with seven balancers) and leaves the call out.
-fn full_server(repeat: Repeat) -> (Proxy, CallId) {
-    let mut proxy = Proxy::new(settings(repeat), 1);
+fn full_server(idempotency: Idempotency) -> (Proxy, CallId) {
+    let mut proxy = Proxy::new(settings(idempotency), 1);
     let (first, actions) = proxy.call();
     assert_eq!(sent(&actions).len(), 1);
     (proxy, first)
@@ -15,7 +15,7 @@
 
 #[test]
 fn a_call_at_a_full_budget_passes_as_the_one_trial_and_the_next_waits() {
-    let (mut proxy, _) = full_server(Repeat::SingleShot);
+    let (mut proxy, _) = full_server(Idempotency::NonIdempotent);
     let (trial, actions) = proxy.call();
     assert_eq!(sent(&actions), [(trial, ServerId(1))]);
     let (_, actions) = proxy.call();
@@ -24,7 +24,7 @@
 
 #[test]
 fn a_served_trial_adds_one_step() {
-    let (mut proxy, _) = full_server(Repeat::SingleShot);
+    let (mut proxy, _) = full_server(Idempotency::NonIdempotent);
     let (trial, _) = proxy.call();
     let (a, b) = (proxy.call().0, proxy.call().0);
     proxy.now += 50 * MS;
@@ -60,7 +60,7 @@
 
 #[test]
 fn a_failed_trial_doubles_the_backoff_up_to_a_cap_and_a_served_one_resets_it() {
-    let (mut proxy, _) = full_server(Repeat::SingleShot);
+    let (mut proxy, _) = full_server(Idempotency::NonIdempotent);
     let mut trial = proxy.call().0;
     let mut spans = Vec::new();
     for _ in 0..6 {
@@ -91,7 +91,7 @@
 
 #[test]
 fn waiting_calls_go_out_in_the_order_of_arrival() {
-    let (mut proxy, first) = full_server(Repeat::SingleShot);
+    let (mut proxy, first) = full_server(Idempotency::NonIdempotent);
     let trial = proxy.call().0;
     let waiting: Vec<CallId> = (0..4).map(|_| proxy.call().0).collect();
     let mut order = Vec::new();
@@ -105,7 +105,7 @@
 
 #[test]
 fn the_less_loaded_of_two_is_chosen() {
-    let mut proxy = Proxy::new(Settings { balancers: 1, ..settings(Repeat::SingleShot) }, 2);
+    let mut proxy = Proxy::new(Settings { balancer_count: 1, ..settings(Idempotency::NonIdempotent) }, 2);
     let mut load: BTreeMap<ServerId, u32> = BTreeMap::new();
     for _ in 0..10 {
         let server = sent(&proxy.call().1)[0].1;
@@ -119,7 +119,8 @@
 fn second_of_two(entries: Vec<Entry>, end: impl Fn(ServerId) -> (Outcome, Micros)) -> usize {
     let limits = Limits { max_attempts: 1, ..Settings::default().limits };
     // A hundred balancers: a server's first budget is far under a call.
-    let mut proxy = Proxy::new(Settings { balancers: 100, limits, ..settings(Repeat::SingleShot) }, 2);
+    let mut proxy =
+        Proxy::new(Settings { balancer_count: 100, limits, ..settings(Idempotency::NonIdempotent) }, 2);
     proxy.list(ListKind::Full, entries);
     let mut second = 0;
     for _ in 0..400 {
@@ -153,7 +154,7 @@
     let odd = vec![Entry { weight: f64::NAN, ..ready(1) }, Entry { weight: -3.0, ..ready(2) }];
     let alike = second_of_two(odd, |_| (Outcome::Served, 40 * MS));
     assert!((180..=220).contains(&alike), "{alike}");
-    let full = |s| if s == ServerId(1) { (Outcome::TurnedAway, MS) } else { (Outcome::Served, 40 * MS) };
+    let full = |s| if s == ServerId(1) { (Outcome::Rejected, MS) } else { (Outcome::Served, 40 * MS) };
     let shunned = second_of_two(two(), full);
     assert!(shunned > 300, "a quick refusal is not a quick answer: {shunned}");
 }
@@ -161,7 +162,7 @@
 #[test]
 fn a_pick_at_full_budget_is_redrawn_among_servers_under_budget() {
     // One of twenty has room: two random choices alone would rarely meet it, and a trial would be needed.
-    let mut proxy = Proxy::new(settings(Repeat::SingleShot), 20);
+    let mut proxy = Proxy::new(settings(Idempotency::NonIdempotent), 20);
     let servers: std::collections::BTreeSet<ServerId> = (0..20).map(|_| sent(&proxy.call().1)[0].1).collect();
     assert_eq!(servers.len(), 20, "every budget is used before any is passed");
 }
@@ -170,7 +171,8 @@
 /// one that ended so.
 fn room_after(outcome: Outcome) -> usize {
     let limits = Limits { max_attempts: 1, ..Settings::default().limits };
-    let mut proxy = Proxy::new(Settings { balancers: 1, limits, ..settings(Repeat::SingleShot) }, 1);
+    let mut proxy =
+        Proxy::new(Settings { balancer_count: 1, limits, ..settings(Idempotency::NonIdempotent) }, 1);
     let calls: Vec<CallId> = (0..7).map(|_| proxy.call().0).collect();
     assert_eq!(sent(&proxy.actions).len(), 7, "what one balancer starts with");
     proxy.now += 5 * MS;
@@ -185,7 +187,7 @@
 #[test]
 fn a_refusal_as_full_lowers_the_concurrency() {
     assert_eq!(room_after(Outcome::Served), 8);
-    assert_eq!(room_after(Outcome::TurnedAway), 7, "four fifths of seven, and a trial");
+    assert_eq!(room_after(Outcome::Rejected), 7, "four fifths of seven, and a trial");
 }
 
 /// Sends calls until one waits, and has all of them served after 40 ms; tells how many went at once.
@@ -199,7 +201,7 @@
         proxy.end(*call, 0, Outcome::Served, 40 * MS);
     }
     let (waiting, _) = calls[calls.len() - 1];
-    proxy.event(Event::Gone { call: waiting });
+    proxy.event(Event::ClientCancelled { call: waiting });
     proxy.wait(300 * MS);
     calls.len() - 1
 }
@@ -207,7 +209,7 @@
 #[test]
 fn steps_end_at_the_clamp_so_that_as_many_connection_failures_take_them() {
     let limits = Limits { max_attempts: 1, ..Settings::default().limits };
-    let mut proxy = Proxy::new(Settings { limits, ..settings(Repeat::SingleShot) }, 1);
+    let mut proxy = Proxy::new(Settings { limits, ..settings(Idempotency::NonIdempotent) }, 1);
     let grown: Vec<usize> = (0..30).map(|_| fill(&mut proxy)).collect();
     assert!(grown[29] > 13, "at the clamp the concurrency grows instead: {grown:?}");
     for _ in 0..9 {
@@ -224,7 +226,7 @@
 
 #[test]
 fn connection_failures_take_the_last_step_and_the_server_is_skipped_in_backoff_then_tried_by_one_call() {
-    let mut proxy = Proxy::new(settings(Repeat::Free), 2);
+    let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 2);
     let (call, actions) = proxy.call();
     let broken = sent(&actions)[0].1;
     proxy.now += MS;
@@ -252,7 +254,8 @@
 #[test]
 fn a_reset_of_the_last_step_starts_no_backoff_and_one_served_trial_takes_the_server_back() {
     let limits = Limits { max_attempts: 1, ..Settings::default().limits };
-    let mut proxy = Proxy::new(Settings { balancers: 1, limits, ..settings(Repeat::SingleShot) }, 2);
+    let mut proxy =
+        Proxy::new(Settings { balancer_count: 1, limits, ..settings(Idempotency::NonIdempotent) }, 2);
     let first: Vec<_> = (0..14).flat_map(|_| sent(&proxy.call().1)).collect();
     let (lost, broken) = first[0];
     proxy.now += MS;
@@ -270,7 +273,7 @@
 
 #[test]
 fn with_every_server_at_zero_steps_calls_are_refused_with_advice() {
-    let mut proxy = Proxy::new(settings(Repeat::Free), 2);
+    let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 2);
     // A failed connection takes a step; half of two may be set aside, so the list is cut to the broken one.
     let (call, actions) = proxy.call();
     let broken = sent(&actions)[0].1;
@@ -279,7 +282,7 @@
     proxy.list(ListKind::Full, vec![ready(broken.0)]);
     let (call, actions) = proxy.call();
     let advice = actions.iter().find_map(|a| match a {
-        Action::Refuse { call: id, retry_after } if *id == call => Some(*retry_after),
+        Action::Reject { call: id, retry_after } if *id == call => Some(*retry_after),
         _ => None,
     });
     assert!(advice.is_some_and(|a| a > 0), "{actions:?}");
@@ -288,8 +291,11 @@
 #[test]
 fn a_thin_balancer_keeps_to_a_window_of_servers_that_is_even_over_all_balancers() {
     let mut windows: BTreeMap<ServerId, u32> = BTreeMap::new();
-    for me in 0..100 {
-        let mut proxy = Proxy::new(Settings { balancers: 100, me, ..settings(Repeat::Free) }, 50);
+    for balancer_index in 0..100 {
+        let mut proxy = Proxy::new(
+            Settings { balancer_count: 100, balancer_index, ..settings(Idempotency::Idempotent) },
+            50,
+        );
         let mut met = std::collections::BTreeSet::new();
         for _ in 0..60 {
             proxy.now += 500 * MS;
@@ -304,7 +310,7 @@
 
 #[test]
 fn a_window_moves_past_servers_that_are_down() {
-    let mut proxy = Proxy::new(Settings { balancers: 100, ..settings(Repeat::Free) }, 50);
+    let mut proxy = Proxy::new(Settings { balancer_count: 100, ..settings(Idempotency::Idempotent) }, 50);
     proxy.list(ListKind::Full, (1..=50).filter(|i| *i > 8).map(ready).collect());
     assert!((0..20).all(|_| (proxy.wait(500 * MS), proxy.serve(20 * MS)).1.is_some_and(|s| s.0 > 8)));
 }
@@ -312,7 +318,7 @@
 #[test]
 fn a_thin_balancer_judges_servers_that_it_has_seldom_met_by_what_their_model_takes() {
     let entry = |i: u32| Entry { model: ModelId(i % 2), ..ready(i) };
-    let mut proxy = Proxy::new(Settings { balancers: 100, ..settings(Repeat::Free) }, 0);
+    let mut proxy = Proxy::new(Settings { balancer_count: 100, ..settings(Idempotency::Idempotent) }, 0);
     let serve = |proxy: &mut Proxy| {
         proxy.now += 300 * MS;
         let (call, actions) = proxy.call();
@@ -336,8 +342,8 @@
 }
 
 /// When a balancer that starts with `known` servers in hand asks for the list, and again when that fails four times.
-fn asks_at(seed: u64, balancers: u32, known: u32) -> Vec<Micros> {
-    let settings = Settings { ask: true, balancers, ..settings(Repeat::Free) };
+fn asks_at(seed: u64, balancer_count: u32, known: u32) -> Vec<Micros> {
+    let settings = Settings { subscribe: true, balancer_count, ..settings(Idempotency::Idempotent) };
     let mut balancer = Balancer::new(seed, settings);
     let (mut now, mut asked, mut news) = (1_000_000, Vec::new(), vec![Event::Start]);
     news.push(Event::Members { kind: ListKind::Cached, entries: (1..=known).map(ready).collect() });
@@ -387,8 +393,8 @@
 
 #[test]
 fn a_thin_balancer_does_not_choose_between_two_jammed_servers_while_others_have_room() {
-    let mut settings = Settings { balancers: 100, ..settings(Repeat::Free) };
-    settings.classes[0].aim = 80 * MS;
+    let mut settings = Settings { balancer_count: 100, ..settings(Idempotency::Idempotent) };
+    settings.classes[0].objective = 80 * MS;
     let mut proxy = Proxy::new(settings, 8);
     let (mut jammed, mut all) = (0, 0);
     for call in 0..400 {
@@ -412,7 +418,7 @@
 /// open a connection for most calls and tell jammed servers from others ever less.
 #[test]
 fn a_thin_balancer_keeps_to_few_servers_also_when_they_answer_slowly() {
-    let mut proxy = Proxy::new(Settings { balancers: 300, ..settings(Repeat::Free) }, 100);
+    let mut proxy = Proxy::new(Settings { balancer_count: 300, ..settings(Idempotency::Idempotent) }, 100);
     let (mut met, mut out) = (std::collections::BTreeSet::new(), std::collections::VecDeque::new());
     for _ in 0..400 {
         proxy.now += 50 * MS;
@@ -432,8 +438,9 @@
 #[test]
 fn a_balancer_stays_in_its_zone_while_that_answers_early() {
     let zoned = |i: u32| Entry { zone: ZoneId(i % 4), ..ready(i) };
-    let at_home = |balancers: u32, home: Option<ZoneId>, takes: Micros| {
-        let mut proxy = Proxy::new(Settings { balancers, home, ..settings(Repeat::Free) }, 0);
+    let at_home = |balancer_count: u32, local_zone: Option<ZoneId>, takes: Micros| {
+        let mut proxy =
+            Proxy::new(Settings { balancer_count, local_zone, ..settings(Idempotency::Idempotent) }, 0);
         proxy.list(ListKind::Full, (1..=40).map(zoned).collect());
         let mut count = 0;
         for _ in 0..400 {
@@ -447,11 +454,11 @@
         }
         count
     };
-    for balancers in [1, 100] {
-        let at = |home: Option<u32>, takes| at_home(balancers, home.map(ZoneId), takes);
+    for balancer_count in [1, 100] {
+        let at = |local_zone: Option<u32>, takes| at_home(balancer_count, local_zone.map(ZoneId), takes);
         let (well, free, late) = (at(Some(1), 40 * MS), at(None, 40 * MS), at(Some(1), 400 * MS));
-        assert!(well >= 350, "nothing is gained by leaving: {well} of 400, {balancers} balancers");
-        assert!(free <= 200, "leaving has no price: {free} of 400, {balancers} balancers");
-        assert!(late <= 200, "it answers late: {late} of 400, {balancers} balancers");
+        assert!(well >= 350, "nothing is gained by leaving: {well} of 400, {balancer_count} balancers");
+        assert!(free <= 200, "leaving has no price: {free} of 400, {balancer_count} balancers");
+        assert!(late <= 200, "it answers late: {late} of 400, {balancer_count} balancers");
     }
 }
--- a/policy/tests/random.rs
+++ b/policy/tests/random.rs
@@ -26,18 +26,19 @@
     let mut random = Pcg32::seed_from_u64(seed);
     let mut below = move |n: u64| u64::from(random.next_u32()) % n;
     let kinds = [
-        Repeat::Free,
-        Repeat::SingleShot,
-        Repeat::Guarded { scope: Scope::Cell, window: 300 * MS },
-        Repeat::Guarded { scope: Scope::All, window: 300 * MS },
+        Idempotency::Idempotent,
+        Idempotency::NonIdempotent,
+        Idempotency::Keyed { scope: DedupScope::Cell, window: 300 * MS },
+        Idempotency::Keyed { scope: DedupScope::All, window: 300 * MS },
     ];
-    let mut settings = settings(Repeat::Free);
-    settings.classes = kinds.iter().map(|&repeat| Class { repeat, ..settings.classes[0] }).collect();
-    settings.limits.second_copies = seed.is_multiple_of(2);
+    let mut settings = settings(Idempotency::Idempotent);
+    settings.classes =
+        kinds.iter().map(|&idempotency| Class { idempotency, ..settings.classes[0] }).collect();
+    settings.limits.hedging = seed.is_multiple_of(2);
     settings.limits.max_attempts = 4;
-    settings.balancers = 1 + below(5) as u32;
-    settings.ask = seed.is_multiple_of(3);
-    let (second_copies, classes) = (settings.limits.second_copies, settings.classes.clone());
+    settings.balancer_count = 1 + below(5) as u32;
+    settings.subscribe = seed.is_multiple_of(3);
+    let (hedging, classes) = (settings.limits.hedging, settings.classes.clone());
     let mut proxy = Proxy::new(settings, 0);
     let mut calls: BTreeMap<CallId, Seen> = BTreeMap::new();
     let mut list: BTreeMap<ServerId, State> = BTreeMap::new();
@@ -62,7 +63,7 @@
                 let (id, attempt) = open[below(open.len() as u64) as usize];
                 let outcome = match below(12) {
                     0 => Outcome::Error,
-                    1 => Outcome::TurnedAway,
+                    1 => Outcome::Rejected,
                     2 => Outcome::NoConnection,
                     3 => Outcome::Reset,
                     4 => Outcome::Unknown,
@@ -76,12 +77,15 @@
             }
             8 if step % 7 == 0 => {
                 let server = ServerId(below(8) as u32);
-                let state = [State::Ready, State::Ready, State::Draining, State::Gone][below(4) as usize];
-                let started = if below(4) > 0 { 0 } else { proxy.now };
+                let state = [State::Ready, State::Ready, State::Draining, State::Removed][below(4) as usize];
+                let started_at = if below(4) > 0 { 0 } else { proxy.now };
                 known.insert(server);
                 list.insert(server, state);
                 let cell = CellId(server.0 % 2);
-                proxy.list(ListKind::Delta, vec![Entry { server, state, started, cell, ..Entry::default() }])
+                proxy.list(
+                    ListKind::Delta,
+                    vec![Entry { server, state, started_at, cell, ..Entry::default() }],
+                )
             }
             8 if step % 31 == 0 => proxy.list(ListKind::Failed, vec![]),
             _ => {
@@ -98,27 +102,27 @@
                         seen.attempts[attempt].1 = Some(Outcome::TimedOut);
                         let elapsed = proxy.now - seen.attempts[attempt].2;
                         let actions = proxy.end(id, attempt as u32, Outcome::TimedOut, elapsed);
-                        check(&actions, &mut calls, &list, &known, &classes, second_copies, proxy.now);
+                        check(&actions, &mut calls, &list, &known, &classes, hedging, proxy.now);
                     }
                 }
                 all.extend(proxy.event(Event::Timer));
                 all
             }
         };
-        check(&actions, &mut calls, &list, &known, &classes, second_copies, proxy.now);
+        check(&actions, &mut calls, &list, &known, &classes, hedging, proxy.now);
     }
     // All is answered in the end.
     for _ in 0..3 {
         proxy.now += 700 * MS;
         let actions = proxy.event(Event::Timer);
-        check(&actions, &mut calls, &list, &known, &classes, second_copies, proxy.now);
+        check(&actions, &mut calls, &list, &known, &classes, hedging, proxy.now);
         let open: Vec<CallId> = calls.iter().filter(|c| !c.1.ended).map(|c| *c.0).collect();
         for id in open {
             for attempt in 0..calls[&id].attempts.len() {
                 if calls[&id].attempts[attempt].1.is_none() {
                     calls.get_mut(&id).expect("known").attempts[attempt].1 = Some(Outcome::TimedOut);
                     let actions = proxy.end(id, attempt as u32, Outcome::TimedOut, 700 * MS);
-                    check(&actions, &mut calls, &list, &known, &classes, second_copies, proxy.now);
+                    check(&actions, &mut calls, &list, &known, &classes, hedging, proxy.now);
                 }
             }
         }
@@ -135,39 +139,40 @@
     list: &BTreeMap<ServerId, State>,
     known: &BTreeSet<ServerId>,
     classes: &[Class],
-    second_copies: bool,
+    hedging: bool,
     now: Micros,
 ) {
     for action in actions {
         match *action {
-            Action::Send { call, server, begin_by, .. } => {
+            Action::Send { call, server, send_by, .. } => {
                 let seen = calls.get_mut(&call).expect("a call that came in");
                 assert!(!seen.ended, "sent after its end");
                 assert!(known.contains(&server) && list[&server] == State::Ready, "sent to one not ready");
                 assert!(seen.attempts.len() < 4, "more attempts than allowed");
                 let out = seen.attempts.iter().filter(|a| a.1.is_none()).count();
-                assert!(out == 0 || second_copies && out == 1);
+                assert!(out == 0 || hedging && out == 1);
                 let first = seen.attempts.iter().find(|a| a.1.is_none_or(|o| !o.never_ran()));
-                let bound = matches!(classes[seen.class].repeat, Repeat::Guarded { .. }) && first.is_some();
-                assert_eq!(begin_by.is_some(), bound, "one that may only go again in time says until when");
-                match (classes[seen.class].repeat, first) {
-                    (Repeat::SingleShot, Some(_)) => panic!("an unsafe call went again"),
-                    (Repeat::Guarded { scope, window }, Some(first)) => {
-                        assert!(scope == Scope::All || first.0 .0 % 2 == server.0 % 2, "left its cell");
-                        let by = begin_by.expect("a moment");
+                let bound =
+                    matches!(classes[seen.class].idempotency, Idempotency::Keyed { .. }) && first.is_some();
+                assert_eq!(send_by.is_some(), bound, "one that may only go again in time says until when");
+                match (classes[seen.class].idempotency, first) {
+                    (Idempotency::NonIdempotent, Some(_)) => panic!("an unsafe call went again"),
+                    (Idempotency::Keyed { scope, window }, Some(first)) => {
+                        assert!(scope == DedupScope::All || first.0 .0 % 2 == server.0 % 2, "left its cell");
+                        let by = send_by.expect("a moment");
                         assert!(now < by && by < first.2 + window, "left its window");
                     }
                     _ => {}
                 }
                 seen.attempts.push((server, None, now));
             }
-            Action::Refuse { call, .. } => {
+            Action::Reject { call, .. } => {
                 let seen = calls.get_mut(&call).expect("a call that came in");
                 assert!(!std::mem::replace(&mut seen.ended, true), "ended twice");
                 let proven = seen.attempts.iter().all(|a| a.1.is_some_and(Outcome::never_ran));
                 let harmless = matches!(
-                    classes[seen.class].repeat,
-                    Repeat::Free | Repeat::Guarded { scope: Scope::All, .. }
+                    classes[seen.class].idempotency,
+                    Idempotency::Idempotent | Idempotency::Keyed { scope: DedupScope::All, .. }
                 );
                 assert!(proven || harmless, "refused though it may have run");
             }
@@ -186,7 +191,7 @@
 #[test]
 fn the_same_events_give_the_same_actions() {
     let run = || {
-        let mut proxy = Proxy::new(settings(Repeat::Free), 5);
+        let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 5);
         for i in 0..300 {
             proxy.serve((i % 17) * MS);
         }
@@ -197,11 +202,16 @@
 
 #[test]
 fn odd_input_is_survived() {
-    let mut odd = settings(Repeat::Free);
-    odd.balancers = 0;
+    let mut odd = settings(Idempotency::Idempotent);
+    odd.balancer_count = 0;
     odd.limits.max_attempts = 0;
     odd.tenants = vec![Tenant { share: 0.0 }];
-    odd.rules = Rules { cold_share: 0.0, cold_time: 0, ask_every: 0, fall_multiple: 0.0 };
+    odd.safety = SafetyLimits {
+        slow_start_ratio: 0.0,
+        slow_start_window: 0,
+        max_poll_interval: 0,
+        overload_multiple: 0.0,
+    };
     let empty = Settings { classes: vec![], ..odd.clone() };
     for settings in [odd, empty] {
         let mut proxy = Proxy::new(settings, 2);
@@ -218,15 +228,19 @@
             }
         }
         proxy.end(CallId(99), 0, Outcome::Served, 0);
-        proxy.event(Event::Gone { call: CallId(99) });
+        proxy.event(Event::ClientCancelled { call: CallId(99) });
         proxy.event(Event::Streaming { call: CallId(99), attempt: 3 });
-        let load = Load { in_hand: Some(f64::NAN), waiting: Some(-1.0), busy: None };
+        let load = LoadReport {
+            active_requests: Some(f64::NAN),
+            queued_requests: Some(-1.0),
+            cpu_utilization: None,
+        };
         proxy.event(Event::Probed { server: ServerId(9), outcome: Outcome::Served, load });
         proxy.list(ListKind::Full, vec![]);
         proxy.now = u64::MAX - 10;
-        proxy.list(ListKind::Delta, vec![Entry { started: u64::MAX, ..ready(1) }]);
+        proxy.list(ListKind::Delta, vec![Entry { started_at: u64::MAX, ..ready(1) }]);
         let (call, _) = proxy.call();
         proxy.wait(5);
-        proxy.event(Event::Gone { call });
+        proxy.event(Event::ClientCancelled { call });
     }
 }
--- a/policy/tests/rules.rs
+++ b/policy/tests/rules.rs
@@ -4,7 +4,7 @@
 use common::*;
 use flaxhead_policy::*;
 
-const CELL: Repeat = Repeat::Guarded { scope: Scope::Cell, window: 400 * MS };
+const CELL: Idempotency = Idempotency::Keyed { scope: DedupScope::Cell, window: 400 * MS };
 
 fn two_cells() -> Vec<Entry> {
     (1..=4).map(|i| Entry { cell: CellId(i % 2), zone: ZoneId(i % 2), ..ready(i) }).collect()
@@ -14,8 +14,8 @@
 
 #[test]
 fn held_calls_are_ended_before_their_client_gives_up() {
-    for repeat in [Repeat::Free, Repeat::SingleShot, CELL] {
-        let mut proxy = Proxy::new(settings(repeat), 0);
+    for idempotency in [Idempotency::Idempotent, Idempotency::NonIdempotent, CELL] {
+        let mut proxy = Proxy::new(settings(idempotency), 0);
         let (call, mut actions) = proxy.call();
         assert!(sent(&actions).is_empty());
         while !refused(&actions, call) {
@@ -29,8 +29,10 @@
 
 #[test]
 fn the_deadlines_own_no_answer_ends_the_call() {
-    for (repeat, may_refuse) in [(Repeat::Free, true), (Repeat::SingleShot, false), (CELL, false)] {
-        let mut proxy = Proxy::new(settings(repeat), 1);
+    for (idempotency, may_refuse) in
+        [(Idempotency::Idempotent, true), (Idempotency::NonIdempotent, false), (CELL, false)]
+    {
+        let mut proxy = Proxy::new(settings(idempotency), 1);
         let (call, _) = proxy.call();
         proxy.now += 1_200 * MS;
         let actions = proxy.end(call, 0, Outcome::TimedOut, 1_200 * MS);
@@ -44,24 +46,29 @@
 
 const CODES: [Outcome; 8] = [
     Outcome::Error,
-    Outcome::TurnedAway,
+    Outcome::Rejected,
     Outcome::TimedOut,
     Outcome::NoConnection,
     Outcome::Reset,
-    Outcome::CalledOff,
+    Outcome::Cancelled,
     Outcome::NotSent,
     Outcome::Unknown,
 ];
 
 #[test]
 fn each_outcome_against_each_kind_of_call() {
-    let guarded = |scope| Repeat::Guarded { scope, window: 400 * MS };
-    let kinds =
-        [Repeat::Free, Repeat::SingleShot, guarded(Scope::All), guarded(Scope::Zone), guarded(Scope::Cell)];
-    for repeat in kinds {
+    let guarded = |scope| Idempotency::Keyed { scope, window: 400 * MS };
+    let kinds = [
+        Idempotency::Idempotent,
+        Idempotency::NonIdempotent,
+        guarded(DedupScope::All),
+        guarded(DedupScope::Zone),
+        guarded(DedupScope::Cell),
+    ];
+    for idempotency in kinds {
         for first in CODES {
             for second in CODES {
-                let mut proxy = Proxy::new(settings(repeat), 0);
+                let mut proxy = Proxy::new(settings(idempotency), 0);
                 proxy.list(ListKind::Full, two_cells());
                 let (call, actions) = proxy.call();
                 let home = sent(&actions)[0].1;
@@ -69,24 +76,27 @@
                 let actions = proxy.end(call, 0, first, MS);
                 let again = sent(&actions);
                 let proven = first.never_ran();
-                if repeat == Repeat::SingleShot && !proven {
+                if idempotency == Idempotency::NonIdempotent && !proven {
                     assert!(again.is_empty() && failed(&actions, call), "{first:?}");
                     continue;
                 }
-                assert_eq!(again.len(), 1, "{repeat:?} after {first:?}");
-                let bound = matches!(repeat, Repeat::Guarded { scope: Scope::Zone | Scope::Cell, .. });
+                assert_eq!(again.len(), 1, "{idempotency:?} after {first:?}");
+                let bound = matches!(
+                    idempotency,
+                    Idempotency::Keyed { scope: DedupScope::Zone | DedupScope::Cell, .. }
+                );
                 if bound && !proven {
                     assert_eq!(again[0].1 .0 % 2, home.0 % 2, "stays with its group");
                 }
                 // The second attempt's end, then the last chance gone: refused only where harmless.
                 proxy.now += 450 * MS;
                 let actions = proxy.end(call, 1, second, MS);
-                let harmless = match repeat {
-                    Repeat::Free | Repeat::Guarded { scope: Scope::All, .. } => true,
+                let harmless = match idempotency {
+                    Idempotency::Idempotent | Idempotency::Keyed { scope: DedupScope::All, .. } => true,
                     _ => proven && second.never_ran(),
                 };
                 assert!(sent(&actions).is_empty(), "too late to be in time");
-                assert_eq!(refused(&actions, call), harmless, "{repeat:?} {first:?} {second:?}");
+                assert_eq!(refused(&actions, call), harmless, "{idempotency:?} {first:?} {second:?}");
                 assert_eq!(failed(&actions, call), !harmless);
             }
         }
@@ -95,7 +105,7 @@
 
 #[test]
 fn a_guarded_call_does_not_go_again_after_its_window() {
-    let mut proxy = Proxy::new(settings(Repeat::Guarded { scope: Scope::Cell, window: 100 * MS }), 4);
+    let mut proxy = Proxy::new(settings(Idempotency::Keyed { scope: DedupScope::Cell, window: 100 * MS }), 4);
     let (call, _) = proxy.call();
     proxy.now += 100 * MS;
     let actions = proxy.end(call, 0, Outcome::Error, 100 * MS);
@@ -104,11 +114,13 @@
 
 #[test]
 fn second_copies_go_out_only_where_allowed_and_their_losers_are_called_off() {
-    for (repeat, allowed, copies) in
-        [(Repeat::Free, true, 1), (Repeat::Free, false, 0), (Repeat::SingleShot, true, 0)]
-    {
-        let mut settings = settings(repeat);
-        settings.limits.second_copies = allowed;
+    for (idempotency, allowed, copies) in [
+        (Idempotency::Idempotent, true, 1),
+        (Idempotency::Idempotent, false, 0),
+        (Idempotency::NonIdempotent, true, 0),
+    ] {
+        let mut settings = settings(idempotency);
+        settings.limits.hedging = allowed;
         let mut proxy = Proxy::new(settings, 3);
         for _ in 0..20 {
             proxy.serve(40 * MS);
@@ -128,8 +140,8 @@
 
 #[test]
 fn a_stream_is_bound_to_its_attempt() {
-    let mut settings = settings(Repeat::Free);
-    settings.limits.second_copies = true;
+    let mut settings = settings(Idempotency::Idempotent);
+    settings.limits.hedging = true;
     let mut proxy = Proxy::new(settings, 3);
     let (call, _) = proxy.call();
     proxy.event(Event::Streaming { call, attempt: 0 });
@@ -143,8 +155,8 @@
 #[test]
 fn nothing_goes_to_a_draining_or_gone_server_also_after_a_cached_list() {
     for kind in [ListKind::Delta, ListKind::Full] {
-        for state in [State::Draining, State::Gone] {
-            let mut proxy = Proxy::new(settings(Repeat::Free), 0);
+        for state in [State::Draining, State::Removed] {
+            let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 0);
             proxy.list(ListKind::Cached, vec![ready(1), ready(2)]);
             proxy.list(kind, vec![Entry { state, ..ready(1) }, ready(2)]);
             for _ in 0..50 {
@@ -152,7 +164,7 @@
             }
         }
     }
-    let mut proxy = Proxy::new(settings(Repeat::Free), 2);
+    let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 2);
     proxy.list(ListKind::Full, vec![ready(2)]);
     for _ in 0..50 {
         assert_eq!(proxy.serve(MS), Some(ServerId(2)), "what a full list leaves out is gone");
@@ -161,14 +173,14 @@
 
 // Safe fail-back.
 
-/// Sends within six seconds to a server beside two or three warm ones, when it started just now and ends attempts with `outcome`.
+/// Sends within six seconds to a server beside two or three warm ones, when it started_at just now and ends attempts with `outcome`.
 fn sends_to_cold(outcome: Outcome, restart: bool) -> usize {
-    let mut proxy = Proxy::new(settings(Repeat::Free), 3);
+    let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 3);
     for _ in 0..200 {
         proxy.serve(10 * MS);
     }
     let id = if restart { 1 } else { 4 };
-    proxy.list(ListKind::Delta, vec![Entry { started: proxy.now, ..ready(id) }]);
+    proxy.list(ListKind::Delta, vec![Entry { started_at: proxy.now, ..ready(id) }]);
     let mut count = 0;
     for _ in 0..600 {
         proxy.play(10 * MS, |server| {
@@ -186,7 +198,7 @@
 
 #[test]
 fn a_cold_server_gets_its_part_also_when_it_refuses_or_fails_fast_and_after_a_restart() {
-    for outcome in [Outcome::Served, Outcome::TurnedAway, Outcome::Error, Outcome::NoConnection] {
+    for outcome in [Outcome::Served, Outcome::Rejected, Outcome::Error, Outcome::NoConnection] {
         for restart in [false, true] {
             let count = sends_to_cold(outcome, restart);
             // From a tenth to a third warm, beside two or three warm ones: of 600 calls so much is its part. The rules
@@ -201,7 +213,7 @@
 
 #[test]
 fn fast_errors_set_a_server_aside_though_it_looks_idle() {
-    let mut proxy = Proxy::new(settings(Repeat::SingleShot), 4);
+    let mut proxy = Proxy::new(settings(Idempotency::NonIdempotent), 4);
     let mut errors = 0;
     for _ in 0..200 {
         let (call, actions) = proxy.call();
@@ -215,7 +227,7 @@
 
 #[test]
 fn one_good_answer_does_not_bring_back_a_server_that_fails_most() {
-    let mut proxy = Proxy::new(settings(Repeat::Free), 4);
+    let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 4);
     let mut to_bad = 0;
     for _ in 0..400 {
         proxy.play(5 * MS, |server| {
@@ -235,7 +247,7 @@
 fn most_of_the_fleet_is_never_set_aside() {
     for outcome in [Outcome::Error, Outcome::Reset, Outcome::NoConnection] {
         let limits = Limits { max_attempts: 1, ..Settings::default().limits };
-        let mut proxy = Proxy::new(Settings { limits, ..settings(Repeat::SingleShot) }, 6);
+        let mut proxy = Proxy::new(Settings { limits, ..settings(Idempotency::NonIdempotent) }, 6);
         for _ in 0..100 {
             let (call, actions) = proxy.call();
             assert_eq!(sent(&actions).len(), 1, "half of the fleet still takes calls after {outcome:?}");
@@ -247,7 +259,7 @@
 
 #[test]
 fn the_hold_is_bounded_by_time_so_that_not_all_are_served_late() {
-    let mut proxy = Proxy::new(settings(Repeat::SingleShot), 1);
+    let mut proxy = Proxy::new(settings(Idempotency::NonIdempotent), 1);
     let mut early = 0;
     for _ in 0..60 {
         proxy.now += 10 * MS;
@@ -259,7 +271,7 @@
 
 #[test]
 fn a_lost_subscription_is_asked_for_again_with_a_pause() {
-    let mut proxy = Proxy::new(Settings { ask: true, ..settings(Repeat::Free) }, 2);
+    let mut proxy = Proxy::new(Settings { subscribe: true, ..settings(Idempotency::Idempotent) }, 2);
     proxy.wait(7 * 30 * MS);
     assert!(proxy.actions.contains(&Action::Subscribe), "once its turn has come among seven");
     let actions = proxy.list(ListKind::Failed, vec![]);
@@ -267,7 +279,7 @@
     let after = actions.iter().find_map(|a| if let Action::Wake { after } = a { Some(*after) } else { None });
     assert!(proxy.wait(after.expect("a timer")).contains(&Action::Subscribe));
     assert_eq!(proxy.serve(MS).map(|s| s.0 <= 2), Some(true), "the old list stands");
-    let mut push = Proxy::new(settings(Repeat::Free), 1);
+    let mut push = Proxy::new(settings(Idempotency::Idempotent), 1);
     push.list(ListKind::Failed, vec![]);
     push.wait(60_000 * MS);
     assert!(!push.actions.contains(&Action::Subscribe), "only where the list must be asked for");
@@ -275,7 +287,7 @@
 
 #[test]
 fn a_server_that_refuses_as_full_is_left_alone_for_a_usual_answer_time() {
-    let mut proxy = Proxy::new(settings(Repeat::Free), 2);
+    let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 2);
     for _ in 0..30 {
         proxy.serve(40 * MS);
     }
@@ -286,7 +298,7 @@
             let full = server == ServerId(1);
             to_full += usize::from(full);
             if full {
-                Outcome::TurnedAway
+                Outcome::Rejected
             } else {
                 Outcome::Served
             }
@@ -299,7 +311,7 @@
 /// much of the traffic of a hundred goes on sending after a spell in which calls took long at some servers.
 #[test]
 fn a_busy_proxy_among_a_hundred_sends_again_at_once_after_a_slow_spell() {
-    let mut proxy = Proxy::new(Settings { balancers: 100, ..settings(Repeat::Free) }, 60);
+    let mut proxy = Proxy::new(Settings { balancer_count: 100, ..settings(Idempotency::Idempotent) }, 60);
     let spell = |proxy: &mut Proxy, rounds: u32, elapsed: Micros, outcome: Outcome| {
         let mut at_once = 0;
         for _ in 0..rounds {
@@ -319,7 +331,7 @@
 
 #[test]
 fn alarms_do_not_beget_alarms_for_good() {
-    let mut proxy = Proxy::new(settings(Repeat::Free), 0);
+    let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 0);
     (0..50).for_each(|_| drop(proxy.call()));
     let mut due = std::collections::BinaryHeap::new();
     let (mut alarms, mut seen) = (0, 0);
@@ -340,7 +352,7 @@
 
 #[test]
 fn a_strained_server_gets_no_trials() {
-    let mut proxy = Proxy::new(settings(Repeat::SingleShot), 1);
+    let mut proxy = Proxy::new(settings(Idempotency::NonIdempotent), 1);
     for _ in 0..10 {
         proxy.serve(40 * MS);
     }
@@ -354,9 +366,12 @@
 
 #[test]
 fn the_way_to_a_far_server_is_no_strain() {
-    let class = Class { aim: 150 * MS, deadline: 500 * MS, ..settings(Repeat::SingleShot).classes[0] };
-    let mut proxy =
-        Proxy::new(Settings { balancers: 2, classes: vec![class], ..settings(Repeat::SingleShot) }, 0);
+    let class =
+        Class { objective: 150 * MS, deadline: 500 * MS, ..settings(Idempotency::NonIdempotent).classes[0] };
+    let mut proxy = Proxy::new(
+        Settings { balancer_count: 2, classes: vec![class], ..settings(Idempotency::NonIdempotent) },
+        0,
+    );
     let zoned = |i| Entry { zone: ZoneId(i), ..ready(i) };
     proxy.list(ListKind::Full, vec![zoned(1)]);
     // The near server sets what an unloaded answer takes.
@@ -379,9 +394,12 @@
 
 #[test]
 fn a_call_with_little_time_left_goes_to_no_far_server_while_a_near_one_has_room() {
-    let class = Class { aim: 150 * MS, deadline: 500 * MS, ..settings(Repeat::SingleShot).classes[0] };
-    let mut proxy =
-        Proxy::new(Settings { balancers: 2, classes: vec![class], ..settings(Repeat::SingleShot) }, 0);
+    let class =
+        Class { objective: 150 * MS, deadline: 500 * MS, ..settings(Idempotency::NonIdempotent).classes[0] };
+    let mut proxy = Proxy::new(
+        Settings { balancer_count: 2, classes: vec![class], ..settings(Idempotency::NonIdempotent) },
+        0,
+    );
     proxy.list(ListKind::Full, (1..=2).map(|i| Entry { zone: ZoneId(i), ..ready(i) }).collect());
     for _ in 0..20 {
         let (_, actions) = proxy.call();
@@ -405,7 +423,7 @@
 
 #[test]
 fn time_outs_of_a_server_that_answers_others_do_not_set_it_aside() {
-    let mut proxy = Proxy::new(Settings { balancers: 1, ..settings(Repeat::SingleShot) }, 3);
+    let mut proxy = Proxy::new(Settings { balancer_count: 1, ..settings(Idempotency::NonIdempotent) }, 3);
     let mut log = Vec::new();
     for _ in 0..30 {
         // Of the calls at each server the first is answered and the others time out.
@@ -430,13 +448,13 @@
 }
 
 /// Answers of 40 ms with the given report; then: does a second call at once pass the full budget as a trial?
-fn trial_after(load: Load) -> bool {
-    let mut proxy = Proxy::new(Settings { balancers: 12, ..settings(Repeat::SingleShot) }, 1);
+fn trial_after(load: LoadReport) -> bool {
+    let mut proxy = Proxy::new(Settings { balancer_count: 12, ..settings(Idempotency::NonIdempotent) }, 1);
     for _ in 0..40 {
         let (call, _) = proxy.call();
         proxy.now += 40 * MS;
         let (outcome, elapsed) = (Outcome::Served, 40 * MS);
-        proxy.event(Event::Outcome { call, attempt: 0, outcome, elapsed, closed: true, load });
+        proxy.event(Event::Outcome { call, attempt: 0, outcome, elapsed, complete: true, load });
         proxy.wait(100 * MS);
     }
     assert_eq!(sent(&proxy.call().1).len(), 1, "the budget's own call");
@@ -445,9 +463,10 @@
 
 #[test]
 fn reported_queues_and_busy_cores_strain_a_server_that_still_answers_fast() {
-    let busy = |b| Load { busy: Some(b), ..Load::default() };
-    let queue = |w| Load { in_hand: Some(10.0), waiting: Some(w), ..Load::default() };
-    assert!(trial_after(Load::default()) && trial_after(busy(0.5)) && trial_after(queue(1.0)));
+    let busy = |b| LoadReport { cpu_utilization: Some(b), ..LoadReport::default() };
+    let queue =
+        |w| LoadReport { active_requests: Some(10.0), queued_requests: Some(w), ..LoadReport::default() };
+    assert!(trial_after(LoadReport::default()) && trial_after(busy(0.5)) && trial_after(queue(1.0)));
     assert!(!trial_after(busy(1.0)), "cores that are all busy");
     assert!(!trial_after(queue(5.5)), "more waiting than in work");
 }
@@ -456,11 +475,14 @@
 #[test]
 fn a_thousand_balancers_together_stay_under_a_cold_servers_share() {
     let (mut cold, mut all) = (0, 0);
-    for me in 0..1_000 {
-        let mut proxy = Proxy::new(Settings { balancers: 1_000, me, ..settings(Repeat::Free) }, 20);
+    for balancer_index in 0..1_000 {
+        let mut proxy = Proxy::new(
+            Settings { balancer_count: 1_000, balancer_index, ..settings(Idempotency::Idempotent) },
+            20,
+        );
         (0..3).for_each(|_| drop((proxy.wait(500 * MS), proxy.serve(40 * MS))));
-        let started = proxy.now;
-        proxy.list(ListKind::Delta, vec![Entry { started, ..ready(21) }]);
+        let started_at = proxy.now;
+        proxy.list(ListKind::Delta, vec![Entry { started_at, ..ready(21) }]);
         for _ in 0..4 {
             proxy.wait(500 * MS);
             all += 1;
@@ -475,11 +497,11 @@
 #[test]
 fn a_server_that_warms_up_gets_more_from_many_balancers_that_each_send_it_little() {
     let (mut cold, mut all) = (0, 0);
-    for me in 0..300 {
-        let settings = Settings { balancers: 300, me, ..settings(Repeat::Free) };
-        let mut proxy = Proxy::seeded(me.into(), settings, 20);
-        let started = proxy.now;
-        proxy.list(ListKind::Delta, vec![Entry { started, ..ready(21) }]);
+    for balancer_index in 0..300 {
+        let settings = Settings { balancer_count: 300, balancer_index, ..settings(Idempotency::Idempotent) };
+        let mut proxy = Proxy::seeded(balancer_index.into(), settings, 20);
+        let started_at = proxy.now;
+        proxy.list(ListKind::Delta, vec![Entry { started_at, ..ready(21) }]);
         for round in 0..36 {
             proxy.wait(460 * MS);
             let server = proxy.serve(40 * MS);
@@ -494,14 +516,15 @@
     assert!((all * 37 / 1_000..=all * 93 / 1_000).contains(&cold), "{cold} of {all}");
 }
 
-/// They all start with the same list, whose first servers have just started, and each has one call.
+/// They all start with the same list, whose first servers have just started_at, and each has one call.
 #[test]
 fn balancers_that_start_together_do_not_all_send_their_first_call_to_the_first_cold_server_of_the_list() {
     let mut first_calls = [0; 20];
-    for me in 0..1_000 {
-        let settings = Settings { balancers: 1_000, me, ..settings(Repeat::Free) };
-        let mut proxy = Proxy::seeded(me.into(), settings, 0);
-        let entry = |i| Entry { started: if i <= 2 { proxy.now } else { 0 }, ..ready(i) };
+    for balancer_index in 0..1_000 {
+        let settings =
+            Settings { balancer_count: 1_000, balancer_index, ..settings(Idempotency::Idempotent) };
+        let mut proxy = Proxy::seeded(balancer_index.into(), settings, 0);
+        let entry = |i| Entry { started_at: if i <= 2 { proxy.now } else { 0 }, ..ready(i) };
         proxy.list(ListKind::Cached, (1..=20).map(entry).collect());
         let server = proxy.serve(40 * MS).expect("sent");
         first_calls[server.0 as usize - 1] += 1;
@@ -512,10 +535,10 @@
 
 #[test]
 fn a_restarted_server_is_not_judged_by_its_last_process() {
-    let mut proxy = Proxy::new(Settings { balancers: 1, ..settings(Repeat::Free) }, 1);
+    let mut proxy = Proxy::new(Settings { balancer_count: 1, ..settings(Idempotency::Idempotent) }, 1);
     let calls: Vec<CallId> = (0..6).map(|_| proxy.call().0).collect();
-    let started = proxy.now;
-    proxy.list(ListKind::Delta, vec![Entry { started, ..ready(1) }]);
+    let started_at = proxy.now;
+    proxy.list(ListKind::Delta, vec![Entry { started_at, ..ready(1) }]);
     for call in calls {
         proxy.end(call, 0, Outcome::Reset, 5 * MS);
     }
@@ -526,7 +549,7 @@
 #[test]
 fn a_zone_that_is_cut_off_is_passed_over_as_a_whole() {
     let zoned = |i| Entry { zone: ZoneId(i % 2), ..ready(i) };
-    let mut proxy = Proxy::new(Settings { balancers: 1_000, ..settings(Repeat::Free) }, 0);
+    let mut proxy = Proxy::new(Settings { balancer_count: 1_000, ..settings(Idempotency::Idempotent) }, 0);
     proxy.list(ListKind::Full, (1..=40).map(zoned).collect());
     let mut lost = 0;
     for _ in 0..40 {
@@ -549,7 +572,8 @@
 fn a_server_that_fails_is_tried_by_a_part_of_the_usual_calls_however_slowly_they_come() {
     // A call a second, so that most come past a backoff by time: a thousand such balancers would give it no rest.
     let limits = Limits { max_attempts: 1, ..Settings::default().limits };
-    let mut proxy = Proxy::new(Settings { balancers: 1_000, limits, ..settings(Repeat::Free) }, 8);
+    let mut proxy =
+        Proxy::new(Settings { balancer_count: 1_000, limits, ..settings(Idempotency::Idempotent) }, 8);
     let mut tried = 0;
     for _ in 0..200 {
         proxy.now += 1_000 * MS;
@@ -558,7 +582,7 @@
         let bad = server == ServerId(1);
         tried += u32::from(bad);
         proxy.now += 20 * MS;
-        proxy.end(call, 0, if bad { Outcome::TurnedAway } else { Outcome::Served }, 20 * MS);
+        proxy.end(call, 0, if bad { Outcome::Rejected } else { Outcome::Served }, 20 * MS);
     }
     assert!(tried < 25, "an eighth of 200 is its usual part: {tried}");
 }
@@ -566,11 +590,16 @@
 /// Six in ten servers replaced: what the new ones are sent, beside what is answered in all.
 #[test]
 fn cold_servers_that_are_most_of_the_fleet_get_their_part_of_the_calls() {
-    let rules = Rules { cold_share: 0.25, cold_time: 1_000_000 * MS, ..Settings::default().rules };
-    let mut proxy = Proxy::new(Settings { balancers: 100, rules, ..settings(Repeat::Free) }, 24);
+    let safety = SafetyLimits {
+        slow_start_ratio: 0.25,
+        slow_start_window: 1_000_000 * MS,
+        ..Settings::default().safety
+    };
+    let mut proxy =
+        Proxy::new(Settings { balancer_count: 100, safety, ..settings(Idempotency::Idempotent) }, 24);
     (0..50).for_each(|_| drop((proxy.wait(20 * MS), proxy.serve(40 * MS))));
-    let started = proxy.now;
-    proxy.list(ListKind::Delta, (25..=60).map(|i| Entry { started, ..ready(i) }).collect());
+    let started_at = proxy.now;
+    proxy.list(ListKind::Delta, (25..=60).map(|i| Entry { started_at, ..ready(i) }).collect());
     let cold = (0..2_000).filter(|_| {
         proxy.wait(20 * MS);
         proxy.serve(40 * MS).is_some_and(|s| s.0 > 24)
@@ -583,8 +612,8 @@
 /// Clients that come again with what is left of their time: hosts would work for nobody.
 #[test]
 fn a_call_with_less_time_left_than_a_usual_answer_takes_is_refused_at_once() {
-    for repeat in [Repeat::Free, Repeat::SingleShot] {
-        let mut proxy = Proxy::new(settings(repeat), 5);
+    for idempotency in [Idempotency::Idempotent, Idempotency::NonIdempotent] {
+        let mut proxy = Proxy::new(settings(idempotency), 5);
         for _ in 0..200 {
             proxy.serve(40 * MS);
         }
@@ -594,7 +623,7 @@
         };
         let (late, actions) = ask(1_000, 20 * MS);
         assert!(refused(&actions, late) && sent(&actions).is_empty(), "{actions:?}");
-        let advice = |a: &Action| matches!(a, Action::Refuse { retry_after, .. } if *retry_after > 0);
+        let advice = |a: &Action| matches!(a, Action::Reject { retry_after, .. } if *retry_after > 0);
         assert!(actions.iter().any(advice), "it says when to come back: {actions:?}");
         let (_, actions) = ask(1_001, 100 * MS);
         assert_eq!(sent(&actions).len(), 1, "there is time for an answer: {actions:?}");
@@ -605,7 +634,7 @@
 /// the same, else only those answers make up what is usual that came in time.
 #[test]
 fn what_was_waited_for_in_vain_at_a_server_that_is_seldom_met_makes_up_what_is_usual() {
-    let mut proxy = Proxy::new(Settings { balancers: 300, ..settings(Repeat::SingleShot) }, 5);
+    let mut proxy = Proxy::new(Settings { balancer_count: 300, ..settings(Idempotency::NonIdempotent) }, 5);
     for _ in 0..20 {
         proxy.serve(40 * MS);
     }
@@ -620,7 +649,7 @@
         if !sent(&actions).is_empty() {
             proxy.now += spent;
             proxy.end(call, 0, Outcome::TimedOut, spent);
-            proxy.event(Event::Gone { call });
+            proxy.event(Event::ClientCancelled { call });
         }
         proxy.wait(200 * MS);
     }
@@ -633,7 +662,7 @@
 #[test]
 fn a_call_with_little_time_is_sent_where_no_answer_has_lately_told_what_is_usual() {
     for (answers, pause) in [(0, 0), (200, 5_000 * MS)] {
-        let mut proxy = Proxy::new(settings(Repeat::SingleShot), 5);
+        let mut proxy = Proxy::new(settings(Idempotency::NonIdempotent), 5);
         for _ in 0..answers {
             proxy.serve(40 * MS);
         }
@@ -647,7 +676,7 @@
 /// Slow answers raise what is usual; were all calls refused for it, none would ever show that they are fast again.
 #[test]
 fn however_slow_answers_have_been_a_call_with_the_usual_time_is_sent() {
-    let mut proxy = Proxy::new(settings(Repeat::Free), 5);
+    let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 5);
     for _ in 0..200 {
         proxy.serve(1_150 * MS);
     }
@@ -657,14 +686,18 @@
 }
 
 /// Calls of 800 that a server gets which stays cold beside four warm ones and answers after so long.
-fn calls_of_a_cold_server(balancers: u32, answers_after: Micros, fall_multiple: f64) -> usize {
-    let rules =
-        Rules { cold_share: 0.25, cold_time: 1_000_000 * MS, fall_multiple, ..Settings::default().rules };
-    let mut proxy = Proxy::new(Settings { balancers, rules, ..settings(Repeat::Free) }, 4);
+fn calls_of_a_cold_server(balancer_count: u32, answers_after: Micros, overload_multiple: f64) -> usize {
+    let safety = SafetyLimits {
+        slow_start_ratio: 0.25,
+        slow_start_window: 1_000_000 * MS,
+        overload_multiple,
+        ..Settings::default().safety
+    };
+    let mut proxy = Proxy::new(Settings { balancer_count, safety, ..settings(Idempotency::Idempotent) }, 4);
     for _ in 0..40 {
         proxy.serve(20 * MS);
     }
-    proxy.list(ListKind::Delta, vec![Entry { started: proxy.now, ..ready(5) }]);
+    proxy.list(ListKind::Delta, vec![Entry { started_at: proxy.now, ..ready(5) }]);
     let mut count = 0;
     for _ in 0..800 {
         let (call, actions) = proxy.call();
--- a/policy/tests/starving.rs
+++ b/policy/tests/starving.rs
@@ -58,7 +58,7 @@
 }
 
 fn alone() -> Settings {
-    Settings { balancers: 1, ..settings(Repeat::Free) }
+    Settings { balancer_count: 1, ..settings(Idempotency::Idempotent) }
 }
 
 fn pair() -> Vec<Entry> {
@@ -67,19 +67,19 @@
 
 #[test]
 fn a_server_that_answered_slowly_once_is_tried_again_within_seconds() {
-    for balancers in [1, 5, 1_000] {
-        let settings = Settings { balancers, ..alone() };
+    for balancer_count in [1, 5, 1_000] {
+        let settings = Settings { balancer_count, ..alone() };
         let mut proxy = after(settings, pair(), Outcome::Served, SLOW, 1);
         let (count, first) = lone_calls(&mut proxy, 6_000, |_| FAST);
-        assert!(first < 5_000_000, "{balancers} balancers: first after {first} us");
-        assert!(count.iter().all(|&n| n >= 1_500), "{balancers} balancers: {count:?}");
+        assert!(first < 5_000_000, "{balancer_count} balancers: first after {first} us");
+        assert!(count.iter().all(|&n| n >= 1_500), "{balancer_count} balancers: {count:?}");
     }
 }
 
 #[test]
 fn of_two_equal_servers_the_lesser_gets_a_quarter_after_any_trouble() {
     for outcome in
-        [Outcome::Error, Outcome::Reset, Outcome::TimedOut, Outcome::NoConnection, Outcome::TurnedAway]
+        [Outcome::Error, Outcome::Reset, Outcome::TimedOut, Outcome::NoConnection, Outcome::Rejected]
     {
         let mut proxy = after(alone(), pair(), outcome, FAST, 5);
         let (count, _) = lone_calls(&mut proxy, 60_000, |_| FAST);
--- a/proxy/src/config/check.rs
+++ b/proxy/src/config/check.rs
@@ -30,8 +30,8 @@
     }
 
     fn check_fleet(&self) -> Result<(), Unworkable> {
-        let cold = self.settings.rules.cold_share;
-        if self.settings.balancers == 0 {
+        let cold = self.settings.safety.slow_start_ratio;
+        if self.settings.balancer_count == 0 {
             return refuse("balancers", "0 proxies", "set it to the number of proxies of this tier");
         }
         if self.settings.limits.max_attempts == 0 {
--- a/proxy/src/config/mod.rs
+++ b/proxy/src/config/mod.rs
@@ -6,7 +6,7 @@
 
 use flaxhead_engine::EndpointList;
 use flaxhead_policy::Settings;
-use flaxhead_settings::Unreadable;
+use flaxhead_settings::SettingsError;
 use serde::Deserialize;
 use serde_json::Value;
 use std::io;
@@ -33,7 +33,7 @@
     Seed(#[from] ParseIntError),
     /// The decision module cannot be told these settings.
     #[error("settings: {0}")]
-    Settings(#[from] Unreadable),
+    Settings(#[from] SettingsError),
     /// The settings of connections are of another kind.
     #[error("settings: {0}")]
     Connections(serde_json::Error),
@@ -149,7 +149,7 @@
     pub fn parse(text: &str) -> Result<Config, Problem> {
         let file: File = serde_json::from_str(text)?;
         let seed = u64::from_str_radix(&file.seed, 16)?;
-        let (settings, classes, tenants) = flaxhead_settings::read(&file.settings)?;
+        let (settings, classes, tenants) = flaxhead_settings::parse(&file.settings)?;
         let site = Site::deserialize(&file.settings).map_err(Problem::Connections)?.limits;
         if file.limits.sockets < 2 * SPARE_DESCRIPTORS {
             return Err(Problem::Sockets(file.limits.sockets));
--- a/proxy/src/features/access.rs
+++ b/proxy/src/features/access.rs
@@ -2,7 +2,7 @@
 //! may come. What is allowed the module's crate says ([`flaxhead_policy::Access`]).
 
 use super::sections::{Problem, Section};
-use flaxhead_policy::{Access, Admission};
+use flaxhead_policy::{Access, PeerAccess};
 use ppp::{v1, v2};
 use std::io::Cursor;
 use std::net::IpAddr;
@@ -66,7 +66,7 @@
     mut stream: TcpStream,
     peer: IpAddr,
 ) -> Result<Admitted<impl AsyncRead + AsyncWrite + Unpin>, (IpAddr, Closed)> {
-    let front = access.peer(peer) == Admission::Front;
+    let front = access.check_peer(peer) == PeerAccess::TrustedProxy;
     let mut bytes = Vec::new();
     let (client, header) = loop {
         match begin(&bytes) {
--- a/proxy/src/features/capture/form/tests.rs
+++ b/proxy/src/features/capture/form/tests.rs
@@ -2,7 +2,9 @@
 
 use super::*;
 use flaxhead_engine::Health;
-use flaxhead_policy::{CellId, ClassId, Entry, ListKind, Load, ModelId, Outcome, State, TenantId, ZoneId};
+use flaxhead_policy::{
+    CellId, ClassId, Entry, ListKind, LoadReport, ModelId, Outcome, State, TenantId, ZoneId,
+};
 
 fn hex(value: &impl Serialize) -> String {
     let bytes = postcard::to_allocvec(value).expect("it can be encoded");
@@ -19,8 +21,8 @@
     CallId(300)
 }
 
-fn load() -> Load {
-    Load { in_hand: Some(1.0), waiting: None, busy: Some(0.5) }
+fn load() -> LoadReport {
+    LoadReport { active_requests: Some(1.0), queued_requests: None, cpu_utilization: Some(0.5) }
 }
 
 fn events() -> Vec<(&'static str, Event)> {
@@ -30,7 +32,7 @@
         zone: ZoneId(2),
         model: ModelId(3),
         cell: CellId(4),
-        started: 5,
+        started_at: 5,
         weight: 1.0,
     };
     let members = |kind, state| Event::Members { kind, entries: vec![entry(state)] };
@@ -39,14 +41,14 @@
         attempt: 1,
         outcome,
         elapsed: 2,
-        closed: true,
+        complete: true,
         load: load(),
     };
     vec![
         ("Start", Event::Start),
         ("Members, Delta, Ready", members(ListKind::Delta, State::Ready)),
         ("Members, Full, Draining", members(ListKind::Full, State::Draining)),
-        ("Members, Cached, Gone", members(ListKind::Cached, State::Gone)),
+        ("Members, Cached, Removed", members(ListKind::Cached, State::Removed)),
         ("Members, Failed", Event::Members { kind: ListKind::Failed, entries: Vec::new() }),
         (
             "Request",
@@ -60,16 +62,16 @@
         ),
         ("Outcome, Served", ended(Outcome::Served)),
         ("Outcome, Error", ended(Outcome::Error)),
-        ("Outcome, TurnedAway", ended(Outcome::TurnedAway)),
+        ("Outcome, Rejected", ended(Outcome::Rejected)),
         ("Outcome, TimedOut", ended(Outcome::TimedOut)),
         ("Outcome, NoConnection", ended(Outcome::NoConnection)),
         ("Outcome, Reset", ended(Outcome::Reset)),
-        ("Outcome, CalledOff", ended(Outcome::CalledOff)),
+        ("Outcome, Cancelled", ended(Outcome::Cancelled)),
         ("Outcome, NotSent", ended(Outcome::NotSent)),
         ("Outcome, Unknown", ended(Outcome::Unknown)),
         ("Streaming", Event::Streaming { call: call(), attempt: 1 }),
         ("Probed", Event::Probed { server: ServerId(1), outcome: Outcome::Served, load: load() }),
-        ("Gone", Event::Gone { call: call() }),
+        ("ClientCancelled", Event::ClientCancelled { call: call() }),
         ("Timer", Event::Timer),
     ]
 }
@@ -77,8 +79,8 @@
 fn actions() -> Vec<(&'static str, Action)> {
     let server = ServerId(1);
     vec![
-        ("Send", Action::Send { call: call(), server, until: Some(2), begin_by: None }),
-        ("Refuse", Action::Refuse { call: call(), retry_after: 3 }),
+        ("Send", Action::Send { call: call(), server, deadline: Some(2), send_by: None }),
+        ("Reject", Action::Reject { call: call(), retry_after: 3 }),
         ("Fail", Action::Fail { call: call() }),
         ("Cancel", Action::Cancel { call: call(), attempt: 1 }),
         ("Probe", Action::Probe { server }),
@@ -147,24 +149,24 @@
     ("Start", "00"),
     ("Members, Delta, Ready", "010001010002030405000000000000f03f"),
     ("Members, Full, Draining", "010101010102030405000000000000f03f"),
-    ("Members, Cached, Gone", "010201010202030405000000000000f03f"),
+    ("Members, Cached, Removed", "010201010202030405000000000000f03f"),
     ("Members, Failed", "010300"),
     ("Request", "02ac020101020301"),
     ("Outcome, Served", "03ac020100020101000000000000f03f0001000000000000e03f"),
     ("Outcome, Error", "03ac020101020101000000000000f03f0001000000000000e03f"),
-    ("Outcome, TurnedAway", "03ac020102020101000000000000f03f0001000000000000e03f"),
+    ("Outcome, Rejected", "03ac020102020101000000000000f03f0001000000000000e03f"),
     ("Outcome, TimedOut", "03ac020103020101000000000000f03f0001000000000000e03f"),
     ("Outcome, NoConnection", "03ac020104020101000000000000f03f0001000000000000e03f"),
     ("Outcome, Reset", "03ac020105020101000000000000f03f0001000000000000e03f"),
-    ("Outcome, CalledOff", "03ac020106020101000000000000f03f0001000000000000e03f"),
+    ("Outcome, Cancelled", "03ac020106020101000000000000f03f0001000000000000e03f"),
     ("Outcome, NotSent", "03ac020107020101000000000000f03f0001000000000000e03f"),
     ("Outcome, Unknown", "03ac020108020101000000000000f03f0001000000000000e03f"),
     ("Streaming", "04ac0201"),
     ("Probed", "05010001000000000000f03f0001000000000000e03f"),
-    ("Gone", "06ac02"),
+    ("ClientCancelled", "06ac02"),
     ("Timer", "07"),
     ("Send", "00ac0201010200"),
-    ("Refuse", "01ac0203"),
+    ("Reject", "01ac0203"),
     ("Fail", "02ac02"),
     ("Cancel", "03ac0201"),
     ("Probe", "0401"),
--- a/proxy/src/features/capture/replay/error.rs
+++ b/proxy/src/features/capture/replay/error.rs
@@ -1,6 +1,6 @@
 //! What cannot be replayed.
 
-use flaxhead_policy::Unfit;
+use flaxhead_policy::RestoreError;
 use std::io;
 use std::path::PathBuf;
 
@@ -40,6 +40,6 @@
         /// The file's number.
         number: u64,
         /// Why not.
-        reason: Unfit,
+        reason: RestoreError,
     },
 }
--- a/proxy/src/features/capture/replay/replayed.rs
+++ b/proxy/src/features/capture/replay/replayed.rs
@@ -49,7 +49,7 @@
             }
             Item::Fed(event) => {
                 self.compare(run, false);
-                if !flaxhead_policy::bounded(at, &event) {
+                if !flaxhead_policy::is_event_in_range(at, &event) {
                     return None;
                 }
                 if let Event::Outcome { call, outcome: Outcome::Served, .. } = *event {
@@ -60,7 +60,7 @@
                 self.balancer.handle(at, event.into_owned(), &mut self.now);
                 for action in &self.now {
                     match *action {
-                        Action::Refuse { call, .. } => drop(self.implied.insert(call, 503)),
+                        Action::Reject { call, .. } => drop(self.implied.insert(call, 503)),
                         Action::Fail { call } => drop(self.implied.insert(call, 502)),
                         _ => {}
                     }
@@ -128,7 +128,7 @@
                 Some(host) => host.escape_debug().to_string(),
                 None => format!("server {}", server.0),
             },
-            Action::Refuse { .. } => "503".to_owned(),
+            Action::Reject { .. } => "503".to_owned(),
             Action::Fail { .. } => "502".to_owned(),
             Action::Cancel { attempt, .. } => format!("attempt {attempt} called off"),
             Action::Wake { after } => format!("a timer in {after} us"),
@@ -145,7 +145,7 @@
 fn call_of(action: &Action) -> Option<CallId> {
     match *action {
         Action::Send { call, .. }
-        | Action::Refuse { call, .. }
+        | Action::Reject { call, .. }
         | Action::Fail { call }
         | Action::Cancel { call, .. } => Some(call),
         Action::Probe { .. } | Action::Wake { .. } | Action::Subscribe | Action::Log { .. } => None,
--- a/proxy/src/features/capture/replay/run.rs
+++ b/proxy/src/features/capture/replay/run.rs
@@ -4,7 +4,7 @@
 use super::error::Problem;
 use super::replayed::Replayed;
 use super::report::Run;
-use flaxhead_policy::{Balancer, Unfit};
+use flaxhead_policy::{Balancer, RestoreError};
 
 impl Run<'_> {
     /// Replays the files of a piece, one behind the other.
@@ -47,8 +47,8 @@
         let unusable = |reason| Problem::State { number, reason };
         let balancer = match state {
             Some(state) => state.restore(settings).map_err(unusable)?,
-            None if settings.bounded() => Balancer::new(seed, settings),
-            None => return Err(unusable(Unfit::Settings)),
+            None if settings.is_in_range() => Balancer::new(seed, settings),
+            None => return Err(unusable(RestoreError::InvalidSettings)),
         };
         let mut replayed = Replayed::new(balancer, origin);
         self.report.files += 1;
--- a/proxy/src/features/capture/replay/tests.rs
+++ b/proxy/src/features/capture/replay/tests.rs
@@ -4,8 +4,8 @@
 use super::super::{Recorder, Settings as Ring};
 use super::*;
 use flaxhead_policy::{
-    Action, Balancer, CallId, Class, ClassId, Entry, Event, ListKind, Load, Micros, Outcome, Repeat,
-    ServerId, Settings,
+    Action, Balancer, CallId, Class, ClassId, Entry, Event, Idempotency, ListKind, LoadReport, Micros,
+    Outcome, ServerId, Settings,
 };
 use std::borrow::Cow;
 
@@ -20,8 +20,13 @@
 
 impl Proxy {
     fn new() -> Proxy {
-        let class =
-            Class { aim: 500_000, deadline: 900_000, worth: 1.0, late_value: 0.0, repeat: Repeat::Free };
+        let class = Class {
+            objective: 500_000,
+            deadline: 900_000,
+            priority_weight: 1.0,
+            late_ratio: 0.0,
+            idempotency: Idempotency::Idempotent,
+        };
         let settings = Settings { classes: vec![class], ..Settings::default() };
         let balancer = Balancer::new(7, settings.clone());
         let ring = Recorder::new(&Ring { files: 2, file_bytes: 16 << 10, dir: None }, 7);
@@ -53,7 +58,7 @@
                     let attempt = self.sent.iter().filter(|sent| sent.0 == call).count() as u32;
                     self.sent.push((call, attempt));
                 }
-                Action::Refuse { call, .. } => self.ring.put(self.now, Item::Answered { call, code: 503 }),
+                Action::Reject { call, .. } => self.ring.put(self.now, Item::Answered { call, code: 503 }),
                 _ => {}
             }
         }
@@ -71,14 +76,21 @@
             let (class, tenant, time_left, resent) = (ClassId(0), None, 900_000, false);
             self.feed(Event::Request { call, class, tenant, time_left, resent });
             while let Some((call, attempt)) = self.sent.pop() {
-                let outcomes = [Outcome::Reset, Outcome::Served, Outcome::TurnedAway, Outcome::Served];
+                let outcomes = [Outcome::Reset, Outcome::Served, Outcome::Rejected, Outcome::Served];
                 let outcome = outcomes[self.now as usize % 4];
                 if outcome == Outcome::Served {
                     self.ring.put(self.now, Item::Answered { call, code: 200 });
                 }
-                let (elapsed, closed) = (40_000, outcome == Outcome::Served);
-                self.feed(Event::Outcome { call, attempt, outcome, elapsed, closed, load: Load::default() });
-                self.sent.retain(|sent| sent.0 != call || !closed);
+                let (elapsed, complete) = (40_000, outcome == Outcome::Served);
+                self.feed(Event::Outcome {
+                    call,
+                    attempt,
+                    outcome,
+                    elapsed,
+                    complete,
+                    load: LoadReport::default(),
+                });
+                self.sent.retain(|sent| sent.0 != call || !complete);
             }
             self.feed(Event::Timer);
         }
@@ -252,7 +264,7 @@
 #[test]
 fn a_hostile_opening_is_refused() {
     let own = postcard::to_stdvec(&Version::own()).expect("written");
-    let class = Class { aim: u64::MAX, deadline: u64::MAX, ..Class::default() };
+    let class = Class { objective: u64::MAX, deadline: u64::MAX, ..Class::default() };
     let settings = Settings { classes: vec![class], ..Settings::default() };
     let opening = Opening { number: 0, origin: 0, missed: 0, settings: &settings, state: None };
     let opening = postcard::to_stdvec(&opening).expect("written");
--- a/proxy/src/features/hosts.rs
+++ b/proxy/src/features/hosts.rs
@@ -2,7 +2,7 @@
 
 use crate::http::{Engine, Http};
 use flaxhead_engine::{Endpoint, EndpointList, EngineEvent, EngineView, Health, Observer};
-use flaxhead_policy::{Micros, Outcome, Rules, ServerId};
+use flaxhead_policy::{Micros, Outcome, SafetyLimits, ServerId};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
@@ -106,10 +106,10 @@
     fn record_outcome(&mut self, server: ServerId, outcome: Outcome) {
         let failed = match outcome {
             Outcome::Served => false,
-            Outcome::CalledOff | Outcome::NotSent => return,
+            Outcome::Cancelled | Outcome::NotSent => return,
             _ => true,
         };
-        let rejected = u32::from(outcome == Outcome::TurnedAway);
+        let rejected = u32::from(outcome == Outcome::Rejected);
         self.totals.ended = self.totals.ended.saturating_add(1);
         self.totals.rejected = self.totals.rejected.saturating_add(rejected);
         let now = Instant::now();
@@ -163,12 +163,12 @@
     /// Makes something of the condition of each listed host, by name.
     pub fn conditions<R>(&self, engine: &Engine, make: impl Fn(HostCondition<'_>) -> R) -> Vec<R> {
         let observations = self.0.borrow();
-        let (now, rules) = engine.view(|view| (view.now(), view.settings().rules));
+        let (now, safety) = engine.view(|view| (view.now(), view.settings().safety));
         let made = observations.hosts.values().map(|ListedHost { server, endpoint }| {
             make(HostCondition {
                 endpoint,
                 failing: observations.is_failing(*server),
-                warmth: warmth(now, endpoint, &rules),
+                warmth: warmth(now, endpoint, &safety),
                 weight: weight(endpoint),
             })
         });
@@ -187,13 +187,13 @@
 }
 
 /// How far a host has warmed up, in thousandths.
-fn warmth(now: Micros, endpoint: &Endpoint, rules: &Rules) -> u32 {
+fn warmth(now: Micros, endpoint: &Endpoint, safety: &SafetyLimits) -> u32 {
     let age = now.saturating_sub(endpoint.born_ms.saturating_mul(MICROS_PER_MILLI));
-    if endpoint.born_ms == 0 || age >= rules.cold_time {
+    if endpoint.born_ms == 0 || age >= safety.slow_start_window {
         return FULLY_WARM;
     }
-    let progress = age as f64 / rules.cold_time as f64;
-    (SCALE * (rules.cold_share + (1.0 - rules.cold_share) * progress)) as u32
+    let progress = age as f64 / safety.slow_start_window as f64;
+    (SCALE * (safety.slow_start_ratio + (1.0 - safety.slow_start_ratio) * progress)) as u32
 }
 
 /// A host's capacity relative to the other hosts', in thousandths.
--- a/proxy/src/features/quota/mod.rs
+++ b/proxy/src/features/quota/mod.rs
@@ -93,7 +93,9 @@
 }
 
 fn classes(config: &Config) -> Vec<Class> {
-    let class =
-        |class: &flaxhead_policy::Class| Class { latency_objective: class.aim, deadline: class.deadline };
+    let class = |class: &flaxhead_policy::Class| Class {
+        latency_objective: class.objective,
+        deadline: class.deadline,
+    };
     config.settings.classes.iter().map(class).collect()
 }
--- a/proxy/src/features/status/records.rs
+++ b/proxy/src/features/status/records.rs
@@ -27,7 +27,7 @@
     }
 
     pub(super) fn record_outcome(&mut self, server: ServerId, outcome: Outcome) {
-        if let Some(error) = outcome.error_word() {
+        if let Some(error) = outcome.error_label() {
             let errors = self.errors.entry(server).or_default();
             errors.truncate(MAX_ERRORS_PER_HOST - 1);
             errors.push_front(error);
--- a/proxy/src/features/status/tests.rs
+++ b/proxy/src/features/status/tests.rs
@@ -13,10 +13,10 @@
     let server = ServerId(1);
     let outcomes = [
         Outcome::Error,
-        Outcome::TurnedAway,
+        Outcome::Rejected,
         Outcome::Served,
         Outcome::NoConnection,
-        Outcome::CalledOff,
+        Outcome::Cancelled,
         Outcome::TimedOut,
         Outcome::Reset,
     ];
--- a/proxy/src/http/exchange.rs
+++ b/proxy/src/http/exchange.rs
@@ -1,7 +1,7 @@
 //! Connections to hosts, and one exchange on one of them.
 
 use flaxhead_engine::{spawn, BoxError, Task, WriteMeter};
-use flaxhead_policy::{Load, Outcome};
+use flaxhead_policy::{LoadReport, Outcome};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Bytes;
 use hyper::client::conn::http1::{self, SendRequest};
@@ -67,7 +67,7 @@
     /// How.
     pub outcome: Outcome,
     /// The host's report on its load.
-    pub load: Load,
+    pub load: LoadReport,
     /// The answer to pass on, where it served.
     pub answer: Option<Response<Bytes>>,
     /// The connection, if it can be used again.
@@ -77,7 +77,7 @@
 impl Exchanged {
     /// One without an answer.
     pub fn without_answer(outcome: Outcome) -> Exchanged {
-        Exchanged { outcome, load: Load::default(), answer: None, connection: None }
+        Exchanged { outcome, load: LoadReport::default(), answer: None, connection: None }
     }
 }
 
@@ -99,7 +99,7 @@
         .headers
         .get("x-load-report")
         .and_then(|v| v.to_str().ok())
-        .map(flaxhead_settings::load_report)
+        .map(flaxhead_settings::parse_load_report)
         .unwrap_or_default();
     let body = Limited::new(body, MAX_BODY_BYTES).collect();
     let (outcome, answer, whole) = if head.status == StatusCode::OK {
@@ -135,7 +135,7 @@
 fn outcome_of_status(status: StatusCode, headers: &HeaderMap) -> Outcome {
     let unseen = headers.get("x-rejected").is_some_and(|v| v == "1");
     match status {
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if unseen => Outcome::TurnedAway,
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if unseen => Outcome::Rejected,
         StatusCode::INTERNAL_SERVER_ERROR => Outcome::Error,
         _ => Outcome::Unknown,
     }
--- a/proxy/src/http/front/clients.rs
+++ b/proxy/src/http/front/clients.rs
@@ -3,7 +3,7 @@
 use super::activity::{Activity, Phase};
 use super::connection::{ClientConnection, ShutdownStage};
 use super::Driver;
-use flaxhead_policy::{Access, Admission};
+use flaxhead_policy::{Access, PeerAccess};
 use std::cmp::Reverse;
 use std::net::IpAddr;
 use std::rc::Rc;
@@ -86,7 +86,7 @@
 
     pub(super) fn serve(&mut self, stream: TcpStream, peer: IpAddr) {
         let (peer, access) = (peer.to_canonical(), self.access.clone());
-        if access.as_ref().is_some_and(|access| access.peer(peer) == Admission::Close) {
+        if access.as_ref().is_some_and(|access| access.check_peer(peer) == PeerAccess::Deny) {
             return tracing::info!(client = %peer, "closed: not allowed");
         }
         if let Err(error) = stream.set_nodelay(true) {
--- a/proxy/src/http/front/request.rs
+++ b/proxy/src/http/front/request.rs
@@ -5,7 +5,7 @@
 use crate::http::exchange::MAX_BODY_BYTES;
 use crate::http::Forward;
 use flaxhead_engine::CallSpec;
-use flaxhead_policy::{ClassId, Repeat, TenantId};
+use flaxhead_policy::{ClassId, Idempotency, TenantId};
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use hyper::body::{Body, Incoming};
 use hyper::header::{self, HeaderMap};
@@ -46,12 +46,12 @@
     single_value(headers, "x-call-id").filter(|id| !id.is_empty())?;
     let class = position(&config.classes, single_value(headers, "x-call-class")?)?;
     let spec = config.settings.classes.get(class)?;
-    let wanted = if spec.repeat == Repeat::Free { Method::GET } else { Method::POST };
+    let wanted = if spec.idempotency == Idempotency::Idempotent { Method::GET } else { Method::POST };
     if *method != wanted {
         return None;
     }
     // Without its key a keyed request would run again wherever it is sent again.
-    if matches!(spec.repeat, Repeat::Guarded { .. }) {
+    if matches!(spec.idempotency, Idempotency::Keyed { .. }) {
         single_value(headers, "idempotency-key").filter(|key| !key.is_empty())?;
     }
     let budget = single_value(headers, "x-budget-ms")?.parse::<u32>().ok().filter(|ms| *ms > 0)?;
--- a/proxy/src/lib.rs
+++ b/proxy/src/lib.rs
@@ -85,7 +85,7 @@
 impl ListSources {
     fn new(config: &Config, features: &EnabledFeatures) -> ListSources {
         ListSources {
-            is_shared: config.settings.ask,
+            is_shared: config.settings.subscribe,
             // Derived, so that when a silent watch is opened again does not shift the module's random draws.
             seed: config.seed.rotate_left(16),
             gate: features.maintenance.as_ref().map(MaintenanceService::may_serve),
--- a/proxy/tests/capture.rs
+++ b/proxy/tests/capture.rs
@@ -135,10 +135,10 @@
         }
         let log = captured.end().await;
         let counts = log.lines().rfind(|line| line.contains("outcomes:")).expect("figures");
-        for outcome in ["Served", "Error", "TurnedAway", "Reset"] {
+        for outcome in ["Served", "Error", "Rejected", "Reset"] {
             assert!(counts.contains(outcome), "{counts}");
         }
-        assert!(counts.contains("TimedOut") || counts.contains("CalledOff"), "{counts}");
+        assert!(counts.contains("TimedOut") || counts.contains("Cancelled"), "{counts}");
     });
 }
 
--- a/proxy/tests/fleet.rs
+++ b/proxy/tests/fleet.rs
@@ -4,7 +4,7 @@
 
 use common::*;
 use flaxhead_engine::{EndpointList, Engine, EngineConfig, Health};
-use flaxhead_policy::{Class, Repeat, Settings};
+use flaxhead_policy::{Class, Idempotency, Settings};
 use flaxhead_proxy::http::Http;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -209,16 +209,26 @@
         ))
         .expect("a list");
         let (discovery, address) = Overbooked::start(whole).await;
-        let class =
-            Class { aim: 100_000, deadline: 2_000_000, worth: 1.0, late_value: 0.5, repeat: Repeat::Free };
+        let class = Class {
+            objective: 100_000,
+            deadline: 2_000_000,
+            priority_weight: 1.0,
+            late_ratio: 0.5,
+            idempotency: Idempotency::Idempotent,
+        };
         let start = Instant::now();
         let engines: Vec<Engine<Http>> = (0..STARTS)
-            .map(|me| {
-                let settings =
-                    Settings { classes: vec![class], balancers: 300, me, ask: true, ..Settings::default() };
-                let setup = EngineConfig { seed: me.into(), settings, known: Some(old.clone()) };
+            .map(|balancer_index| {
+                let settings = Settings {
+                    classes: vec![class],
+                    balancer_count: 300,
+                    balancer_index,
+                    subscribe: true,
+                    ..Settings::default()
+                };
+                let setup = EngineConfig { seed: balancer_index.into(), settings, known: Some(old.clone()) };
                 let transport = Http::new(8, Duration::from_secs(1), Duration::from_secs(60));
-                let source = Rc::new(flaxhead_discovery::Discovery::shared(address, me.into()));
+                let source = Rc::new(flaxhead_discovery::Discovery::shared(address, balancer_index.into()));
                 Engine::start(setup, transport, source, Vec::new(), None)
             })
             .collect();
--- a/proxy/tests/told.rs
+++ b/proxy/tests/told.rs
@@ -7,7 +7,7 @@
 use common::*;
 use flaxhead_discovery::Discovery as Watched;
 use flaxhead_engine::{EndpointList, Engine, EngineConfig};
-use flaxhead_policy::{Class, Repeat, Settings};
+use flaxhead_policy::{Class, Idempotency, Settings};
 use flaxhead_proxy::http::Http;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -85,11 +85,22 @@
     }
 }
 
-fn engine(me: u32, watched: Watched, ask: bool, old: &EndpointList) -> Engine<Http> {
-    let class =
-        Class { aim: 100_000, deadline: 2_000_000, worth: 1.0, late_value: 0.5, repeat: Repeat::Free };
-    let settings = Settings { classes: vec![class], balancers: 300, me, ask, ..Settings::default() };
-    let setup = EngineConfig { seed: me.into(), settings, known: Some(old.clone()) };
+fn engine(balancer_index: u32, watched: Watched, subscribe: bool, old: &EndpointList) -> Engine<Http> {
+    let class = Class {
+        objective: 100_000,
+        deadline: 2_000_000,
+        priority_weight: 1.0,
+        late_ratio: 0.5,
+        idempotency: Idempotency::Idempotent,
+    };
+    let settings = Settings {
+        classes: vec![class],
+        balancer_count: 300,
+        balancer_index,
+        subscribe,
+        ..Settings::default()
+    };
+    let setup = EngineConfig { seed: balancer_index.into(), settings, known: Some(old.clone()) };
     let transport = Http::new(8, Duration::from_secs(1), Duration::from_secs(60));
     Engine::start(setup, transport, Rc::new(watched), Vec::new(), None)
 }
--- a/proxy/tests/withdrawn.rs
+++ b/proxy/tests/withdrawn.rs
@@ -7,7 +7,7 @@
     BoxError, CallSpec, EndpointList, Engine, EngineConfig, Health, ListHandler, ListSource, Reply,
     WatchFuture,
 };
-use flaxhead_policy::{Class, ClassId, Repeat, Settings};
+use flaxhead_policy::{Class, ClassId, Idempotency, Settings};
 use flaxhead_proxy::http::{Forward, Http};
 use hyper::Method;
 use std::cell::RefCell;
@@ -55,11 +55,11 @@
     run(async {
         let (old, new) = (Host::start([ok("old")]).await, Host::start([ok("new")]).await);
         let class = Class {
-            aim: 5_000_000,
+            objective: 5_000_000,
             deadline: 9_000_000,
-            worth: 1.0,
-            late_value: 0.5,
-            repeat: Repeat::SingleShot,
+            priority_weight: 1.0,
+            late_ratio: 0.5,
+            idempotency: Idempotency::NonIdempotent,
         };
         let settings = Settings { classes: vec![class], ..Settings::default() };
         let setup = EngineConfig { seed: 7, settings, known: Some(only("old", old.address)) };
--- a/rpc/src/front.rs
+++ b/rpc/src/front.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use flaxhead_engine::{AttemptTrace, CallSpec, Engine, FinalResponse, Reply, RetryLimiter};
 use flaxhead_limits::{Allowed, AttemptCount, IdempotencyCache, Rejection, RetryBudget};
-use flaxhead_policy::{ClassId, Micros, Repeat, TenantId};
+use flaxhead_policy::{ClassId, Idempotency, Micros, TenantId};
 use http::uri::PathAndQuery;
 use http::{HeaderMap, HeaderName};
 use std::cell::{Cell, RefCell};
@@ -46,7 +46,7 @@
     /// By what it is remembered.
     name: Option<Name>,
     forward: Forward,
-    repeat: Repeat,
+    idempotency: Idempotency,
 }
 
 type Name = (ClassId, Box<[u8]>);
@@ -92,7 +92,7 @@
         let Job { path, headers, body, arrived, mut filler, mut alive, open } = job;
         let answer = match self.take_in(path, headers, body, arrived) {
             Err(answer) => *answer,
-            Ok(Taken { ask, name, forward, repeat }) => {
+            Ok(Taken { ask, name, forward, idempotency }) => {
                 filler.or_else(lost);
                 let last = forward.last.clone();
                 let mut waiting = self.engine.request(ask, forward, None);
@@ -107,7 +107,7 @@
                 };
                 let ran = matches!(reply, Reply::Served(_));
                 self.ends(name, AttemptTrace { may_run: trace.may_run || ran, ..trace });
-                self.answer(reply, last.take(), repeat, ask.deadline)
+                self.answer(reply, last.take(), idempotency, ask.deadline)
             }
         };
         // Its place is free before its host can come again.
@@ -150,17 +150,17 @@
                 text.parse().map_err(|_| bad("grpc-previous-rpc-attempts cannot be read".to_owned()))?,
             ),
         };
-        let repeat = config.repeat(method.class);
-        let field = if matches!(repeat, Repeat::Guarded { .. }) { &config.key } else { &config.id };
+        let idempotency = config.repeat(method.class);
+        let field = if matches!(idempotency, Idempotency::Keyed { .. }) { &config.key } else { &config.id };
         let name = single(&headers, field)?.filter(|id| !id.is_empty() && id.len() <= ID_MOST);
-        if name.is_none() && repeat != Repeat::Free {
+        if name.is_none() && idempotency != Idempotency::Idempotent {
             return Err(bad(format!("its class wants the metadata {field}, once, of 1 to {ID_MOST} bytes")));
         }
         let name: Option<Name> = name.map(|id| (method.class, id.as_bytes().into()));
         let tenant = headers.get(&config.tenant).and_then(|value| value.to_str().ok());
         let tenant =
             tenant.and_then(|name| config.tenants.iter().position(|known| known == name)).map(TenantId);
-        let (allowed, name) = self.allow(name, repeat, method.attempts_most, tries)?;
+        let (allowed, name) = self.allow(name, idempotency, method.attempts_most, tries)?;
         let ask = CallSpec {
             class: method.class,
             tenant,
@@ -176,14 +176,14 @@
             tries: Cell::new(tries.0),
             last: Rc::default(),
         };
-        Ok(Taken { ask, name, forward, repeat })
+        Ok(Taken { ask, name, forward, idempotency })
     }
 
     /// What a call may still do, beside what layers above have done; it is remembered under what is returned.
     fn allow(
         &self,
         name: Option<Name>,
-        repeat: Repeat,
+        idempotency: Idempotency,
         attempts_most: u32,
         tries: AttemptCount,
     ) -> Result<(Allowed, Option<Name>), Refused> {
@@ -191,21 +191,23 @@
         let refuse =
             |code, reason, pushback| Err(Box::new(Answer::of(code, reason, Some(NEVER_RAN), pushback)));
         let begun = match &name {
-            Some(name) => self.memory.borrow_mut().begin(now, name, repeat, attempts_most, tries),
+            Some(name) => self.memory.borrow_mut().begin(now, name, idempotency, attempts_most, tries),
             None if tries.0 >= attempts_most => Err(Rejection::Exhausted),
             None => Ok(Allowed { attempts: attempts_most - tries.0, is_retry: tries.0 > 0 }),
         };
         let (allowed, name) = match begun {
             Ok(allowed) => (allowed, name),
             // Harmless beside its like; whose attempts are not known before it ends.
-            Err(Rejection::Open) if repeat == Repeat::Free => (Allowed { attempts: 1, is_retry: true }, None),
+            Err(Rejection::Open) if idempotency == Idempotency::Idempotent => {
+                (Allowed { attempts: 1, is_retry: true }, None)
+            }
             Err(Rejection::Open) => {
                 let reason = "one with the same id or key is open";
                 return refuse(
                     Code::FailedPrecondition,
                     reason,
-                    match repeat {
-                        Repeat::SingleShot => Pushback::Never,
+                    match idempotency {
+                        Idempotency::NonIdempotent => Pushback::Never,
                         _ => Pushback::After(OPEN_PAUSE),
                     },
                 );
@@ -255,7 +257,7 @@
         &self,
         reply: Reply<Answer>,
         last: Option<Answer>,
-        repeat: Repeat,
+        idempotency: Idempotency,
         deadline: Instant,
     ) -> Answer {
         match reply {
@@ -268,7 +270,11 @@
                 Answer::of(code, &reason, Some(NEVER_RAN), Pushback::After(after))
             }
             Reply::Failed => {
-                let pushback = if repeat == Repeat::SingleShot { Pushback::Never } else { Pushback::Unsaid };
+                let pushback = if idempotency == Idempotency::NonIdempotent {
+                    Pushback::Never
+                } else {
+                    Pushback::Unsaid
+                };
                 let late = Instant::now() >= deadline;
                 let code = last.as_ref().and_then(Answer::code);
                 let code = if late { Code::DeadlineExceeded } else { code.unwrap_or(Code::Unknown) };
--- a/rpc/src/grpc.rs
+++ b/rpc/src/grpc.rs
@@ -229,7 +229,7 @@
     let unseen = matches!(code, Code::Unavailable | Code::ResourceExhausted)
         && answer.field(&REJECTED).is_some_and(|value| value == "1");
     if unseen {
-        return (Outcome::TurnedAway, answer.pushback() == Pushback::Never);
+        return (Outcome::Rejected, answer.pushback() == Pushback::Never);
     }
     let again = code != Code::Ok && retryable.map_or(code.is_trouble(), |codes| codes.contains(&code));
     let outcome = match code.outcome() {
--- a/rpc/src/grpc/tests.rs
+++ b/rpc/src/grpc/tests.rs
@@ -15,7 +15,7 @@
         (ok, &[("grpc-status", "0")], Outcome::Served, true),
         (ok, &[("grpc-status", "5")], Outcome::Served, true),
         (ok, &[("grpc-status", "14")], Outcome::Error, false),
-        (ok, &[("grpc-status", "14"), ("x-rejected", "1")], Outcome::TurnedAway, false),
+        (ok, &[("grpc-status", "14"), ("x-rejected", "1")], Outcome::Rejected, false),
         (ok, &[("grpc-status", "13"), ("x-rejected", "1")], Outcome::Error, false),
         (ok, &[("grpc-status", "14"), ("grpc-retry-pushback-ms", "-1")], Outcome::Error, true),
         (ok, &[("grpc-status", "14"), ("grpc-retry-pushback-ms", "soon")], Outcome::Error, true),
@@ -34,7 +34,7 @@
     assert_eq!(verdict(ok, &mut answer(internal), Some(&[Code::Unavailable])), (Outcome::Error, true));
     let mut plain = Answer::default();
     plain.headers.insert(REJECTED, HeaderValue::from_static("1"));
-    assert_eq!(verdict(busy, &mut plain, None), (Outcome::TurnedAway, false));
+    assert_eq!(verdict(busy, &mut plain, None), (Outcome::Rejected, false));
 }
 
 #[test]
--- a/rpc/src/http2/transport.rs
+++ b/rpc/src/http2/transport.rs
@@ -5,7 +5,7 @@
 use crate::grpc::{self, Answer, Code};
 use bytes::{Bytes, BytesMut};
 use flaxhead_engine::{AttemptResult, AttemptTarget, Transport, WriteMeter};
-use flaxhead_policy::{Load, Micros, Outcome, ServerId};
+use flaxhead_policy::{LoadReport, Micros, Outcome, ServerId};
 use h2::client::SendRequest;
 use h2::{Reason, RecvStream};
 use http::uri::{Authority, PathAndQuery, Scheme};
@@ -341,10 +341,10 @@
         // A stream ends by a remote GOAWAY only where it is above the last one that the peer took.
         if unanswered && error.is_remote() && error.is_go_away() {
             counts.gone_away += 1;
-            Outcome::TurnedAway
+            Outcome::Rejected
         } else if unanswered && error.is_remote() && error.reason() == Some(Reason::REFUSED_STREAM) {
             counts.refused_streams += 1;
-            Outcome::TurnedAway
+            Outcome::Rejected
         } else if error.is_io() || error.is_reset() {
             Outcome::Reset
         } else {
@@ -354,9 +354,9 @@
 }
 
 /// The host's word on its load, in its headers or trailers.
-fn report(answer: &Answer) -> Load {
+fn report(answer: &Answer) -> LoadReport {
     let field = answer.field(&http::HeaderName::from_static("x-load-report"));
-    field.and_then(|value| value.to_str().ok()).map(flaxhead_settings::load_report).unwrap_or_default()
+    field.and_then(|value| value.to_str().ok()).map(flaxhead_settings::parse_load_report).unwrap_or_default()
 }
 
 /// Reads an answer whole. `Err(None)`: it is too long.
--- a/rpc/src/plugin.rs
+++ b/rpc/src/plugin.rs
@@ -173,7 +173,7 @@
             let known = lists.borrow().clone();
             (Some(known), Rc::new(Watched(lists)))
         }
-        Hosts::Discovery { address, known } if config.settings.ask => {
+        Hosts::Discovery { address, known } if config.settings.subscribe => {
             (known, Rc::new(Discovery::shared(address, seed.rotate_left(16))))
         }
         Hosts::Discovery { address, known } => {
--- a/rpc/src/service.rs
+++ b/rpc/src/service.rs
@@ -4,7 +4,7 @@
 
 use crate::grpc::Code;
 use flaxhead_limits::{IdempotencyCacheConfig, RetryBudgetConfig};
-use flaxhead_policy::{ClassId, Repeat, Settings};
+use flaxhead_policy::{ClassId, Idempotency, Settings};
 use http::HeaderName;
 use serde::Deserialize;
 use serde_json::Value;
@@ -184,9 +184,9 @@
             ));
         }
         let own = file.flaxhead;
-        let (settings, classes, tenants) = flaxhead_settings::read(&own.settings)
+        let (settings, classes, tenants) = flaxhead_settings::parse(&own.settings)
             .map_err(|reason| Problem::new("flaxhead.settings", reason.to_string()))?;
-        if settings.classes.is_empty() || !settings.bounded() {
+        if settings.classes.is_empty() || !settings.is_in_range() {
             return Err(Problem::new("flaxhead.settings", "no classes, or times that are too long"));
         }
         let budget = match own.retry_budget {
@@ -283,7 +283,7 @@
         };
         if let Some(retry) = file.retry_policy {
             let at = format!("{at}.retryPolicy");
-            if spec.repeat == Repeat::SingleShot {
+            if spec.idempotency == Idempotency::NonIdempotent {
                 return Err(Problem::new(at, format!("calls of class {class} must not run twice")));
             }
             let codes = retry.check(&at)?;
@@ -317,8 +317,8 @@
     }
 
     /// Whether a class may run again.
-    pub fn repeat(&self, class: ClassId) -> Repeat {
-        self.settings.classes.get(class.0).map_or(Repeat::SingleShot, |class| class.repeat)
+    pub fn repeat(&self, class: ClassId) -> Idempotency {
+        self.settings.classes.get(class.0).map_or(Idempotency::NonIdempotent, |class| class.idempotency)
     }
 }
 
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -4,7 +4,8 @@
 #![warn(missing_docs)]
 
 use flaxhead_policy::{
-    Class, Goal, Limits, Load, ModelId, Repeat, Rules, Scope, ServerId, Settings, Tenant, ZoneId,
+    Class, DedupScope, Idempotency, Limits, LoadReport, ModelId, SafetyLimits, ScoreWeights, ServerId,
+    Settings, Tenant, ZoneId,
 };
 use serde::Deserialize;
 use serde_json::Value;
@@ -82,11 +83,11 @@
 }
 
 fn fall_multiple() -> f64 {
-    Settings::default().rules.fall_multiple
+    Settings::default().safety.overload_multiple
 }
 
 fn ask_every() -> u64 {
-    Settings::default().rules.ask_every
+    Settings::default().safety.max_poll_interval
 }
 
 #[derive(Deserialize)]
@@ -111,7 +112,7 @@
 /// Settings that cannot be read: what they lack, or which value is of the wrong kind.
 #[derive(Debug, thiserror::Error)]
 #[error("{0}")]
-pub struct Unreadable(#[from] serde_json::Error);
+pub struct SettingsError(#[from] serde_json::Error);
 
 /// Settings, and the names of classes and tenants in their order.
 ///
@@ -119,67 +120,76 @@
 ///
 /// Where something that cannot be guessed is absent (the number of balancers, the classes, the limits, the rules),
 /// or a value is of another kind.
-pub fn read(facts: &Value) -> Result<(Settings, Vec<String>, Vec<String>), Unreadable> {
+pub fn parse(facts: &Value) -> Result<(Settings, Vec<String>, Vec<String>), SettingsError> {
     let facts = Facts::deserialize(facts)?;
     let mut classes = Vec::new();
     for class in &facts.classes {
         let scope = match class.dedup_scope.as_str() {
-            "all" => Some(Scope::All),
-            "zone" => Some(Scope::Zone),
-            "cell" => Some(Scope::Cell),
+            "all" => Some(DedupScope::All),
+            "zone" => Some(DedupScope::Zone),
+            "cell" => Some(DedupScope::Cell),
             _ => None,
         };
         // A kind or a scope that is not known is taken to allow no repeat.
-        let repeat = match (class.idempotency.as_str(), scope) {
-            ("free", _) => Repeat::Free,
-            ("guarded", Some(scope)) => Repeat::Guarded { scope, window: class.repeat_window_us },
-            _ => Repeat::SingleShot,
+        let idempotency = match (class.idempotency.as_str(), scope) {
+            ("free", _) => Idempotency::Idempotent,
+            ("guarded", Some(scope)) => Idempotency::Keyed { scope, window: class.repeat_window_us },
+            _ => Idempotency::NonIdempotent,
         };
-        let (aim, deadline) = (class.objective_us, class.deadline_us);
-        classes.push(Class { aim, deadline, worth: class.worth, late_value: class.late_value, repeat });
+        let (objective, deadline) = (class.objective_us, class.deadline_us);
+        classes.push(Class {
+            objective,
+            deadline,
+            priority_weight: class.worth,
+            late_ratio: class.late_value,
+            idempotency,
+        });
     }
     let limits = &facts.limits;
     let rules = &facts.invariants;
     let settings = Settings {
-        balancers: facts.balancers,
-        me: facts.me,
-        tick: facts.tick_us,
-        ask: facts.discovery == "ask",
+        balancer_count: facts.balancers,
+        balancer_index: facts.me,
+        clock_tick: facts.tick_us,
+        subscribe: facts.discovery == "ask",
         classes,
         tenants: facts.tenants.iter().map(|t| Tenant { share: t.portion }).collect(),
         limits: Limits {
             cancel: limits.cancel,
             probes: limits.probes,
-            second_copies: limits.second_copies,
+            hedging: limits.second_copies,
             max_attempts: limits.max_attempts,
             // Also where clients are said not to heed it: a refusal on sockets always says when to come back.
             max_retry_after: limits.max_retry_after_us,
         },
-        rules: Rules {
-            cold_share: rules.cold_from,
-            cold_time: rules.cold_us,
-            ask_every: rules.ask_every_us,
-            fall_multiple: rules.fall_multiple,
+        safety: SafetyLimits {
+            slow_start_ratio: rules.cold_from,
+            slow_start_window: rules.cold_us,
+            max_poll_interval: rules.ask_every_us,
+            overload_multiple: rules.fall_multiple,
         },
-        goal: Goal { whole: facts.result_mix.whole, worst_class: facts.result_mix.worst_class },
-        home: facts.locality.as_deref().filter(|_| facts.charges.cross_zone > 0.0).map(zone),
+        score_weights: ScoreWeights {
+            overall: facts.result_mix.whole,
+            worst_class: facts.result_mix.worst_class,
+        },
+        local_zone: facts.locality.as_deref().filter(|_| facts.charges.cross_zone > 0.0).map(zone_id),
     };
     let names = facts.classes.into_iter().map(|c| c.name).collect();
     Ok((settings, names, facts.tenants.into_iter().map(|t| t.name).collect()))
 }
 
 /// A number for a zone's name, the same wherever it is met.
-pub fn zone(name: &str) -> ZoneId {
+pub fn zone_id(name: &str) -> ZoneId {
     ZoneId(number(name))
 }
 
 /// A number for the name of a model of server, the same wherever it is met.
-pub fn model(name: &str) -> ModelId {
+pub fn model_id(name: &str) -> ModelId {
     ModelId(number(name))
 }
 
 /// A number for a server's name, the same wherever it is met. Two names may share one.
-pub fn server(name: &str) -> ServerId {
+pub fn server_id(name: &str) -> ServerId {
     ServerId(number(name))
 }
 
@@ -191,14 +201,14 @@
 /// Reads a load report, `name=value,name=value`; what is not known or no number is passed over. The names are
 /// those of the settings (`report.columns`), as on the simulator's wire: read under other names, every report
 /// would be lost without a sign.
-pub fn load_report(text: &str) -> Load {
-    let mut load = Load::default();
+pub fn parse_load_report(text: &str) -> LoadReport {
+    let mut load = LoadReport::default();
     for (name, value) in text.split(',').filter_map(|pair| pair.split_once('=')) {
         let value = value.trim().parse().ok().filter(|v: &f64| v.is_finite());
         match name.trim() {
-            "active" => load.in_hand = value,
-            "waiting" => load.waiting = value,
-            "cpu" => load.busy = value,
+            "active" => load.active_requests = value,
+            "waiting" => load.queued_requests = value,
+            "cpu" => load.cpu_utilization = value,
             _ => {}
         }
     }
