--- a/coordination/src/codec/tests.rs
+++ b/coordination/src/codec/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use flaxhead_lease::{
-    ApplicationTypes, Ballot, CommandError, LeaderContext, LeaseGrant, Member, Micros, Name, NoCommand,
+    ApplicationTypes, Ballot, CommandError, LeaderContext, LeaseGrant, LocalReplica, Micros, Name, NoCommand,
     Process,
 };
 
@@ -27,7 +27,7 @@
 impl Application for Texts {
     type LeaderData = ();
 
-    fn report(&mut self, _: Micros, _: &Member<Self>, (): &()) -> String {
+    fn report(&mut self, _: Micros, _: &LocalReplica<Self>, (): &()) -> String {
         String::new()
     }
 
--- a/coordination/src/coordinator.rs
+++ b/coordination/src/coordinator.rs
@@ -99,7 +99,7 @@
             let wake = wake.clone();
             store.on_write(move || wake.notify_one());
             let found = store.take_found();
-            machine = machine.with_disk(0, found.state, found.age);
+            machine = machine.with_persistence(0, found.state, found.age);
         }
         let coordinator = Coordinator(Rc::new(Inner {
             peers,
@@ -133,10 +133,10 @@
         loop {
             let persisted = self.0.store.as_ref().and_then(|store| store.borrow_mut().take_persisted());
             if let Some(mark) = persisted {
-                self.step(|machine, context, effects| machine.persisted(context, mark, effects));
+                self.step(|machine, context, effects| machine.state_persisted(context, mark, effects));
             }
             self.step(|machine, context, effects| machine.tick(context, effects));
-            let next_wake = self.0.clock.moment(self.0.machine.borrow().next_wake());
+            let next_wake = self.0.clock.to_instant(self.0.machine.borrow().next_wake());
             let latest = Instant::now() + MAX_TICK_INTERVAL;
             tokio::select! {
                 () = sleep_until(next_wake.min(latest)) => {}
@@ -156,7 +156,7 @@
     }
 
     /// Messages that were dropped, when sent or received: too long, or not to be decoded.
-    pub fn dropped(&self) -> u64 {
+    pub fn dropped_messages(&self) -> u64 {
         self.0.dropped.get()
     }
 
--- a/coordination/src/participant.rs
+++ b/coordination/src/participant.rs
@@ -19,7 +19,7 @@
     }
 
     /// A time of the machine as a moment of the process.
-    pub fn moment(self, at: Micros) -> Instant {
+    pub fn to_instant(self, at: Micros) -> Instant {
         self.0 + Duration::from_micros(at)
     }
 }
--- a/coordination/src/store.rs
+++ b/coordination/src/store.rs
@@ -1,6 +1,6 @@
 //! What a coordinator stores on disk over a restart, and how much of it the disk has.
 
-use flaxhead_lease::{Application, Machine, Micros, PersistenceMark, PersistentState};
+use flaxhead_lease::{Application, Machine, Micros, PersistentState, PersistentStateVersion};
 use flaxhead_snapshot::{AsOf, Part, RecoveredState, Rejection, SnapshotWriter};
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -26,13 +26,13 @@
 #[derive(Debug)]
 struct WaitingChange {
     number: u64,
-    mark: PersistenceMark,
+    mark: PersistentStateVersion,
 }
 
 /// What was last handed to the writer, and when.
 #[derive(Debug)]
 struct LastSave {
-    mark: PersistenceMark,
+    mark: PersistentStateVersion,
     at: Instant,
 }
 
@@ -108,7 +108,7 @@
 
     /// Stores what a restart of the machine would need, if that is new.
     pub(crate) fn save(&mut self, machine: &Machine<A>, now: Micros) {
-        let Some(mark) = machine.persistence_mark() else { return };
+        let Some(mark) = machine.persistent_state_version() else { return };
         let is_saved = |last: &LastSave| last.mark == mark && last.at.elapsed() < REFRESH_INTERVAL;
         if self.last_save.as_ref().is_some_and(is_saved) {
             return;
@@ -119,7 +119,7 @@
         let part = Part {
             name: self.name.to_owned(),
             version: FORMAT_VERSION,
-            ballot: state.fence.as_ref().map_or(0, |fence| fence.round),
+            ballot: state.highest_ballot.as_ref().map_or(0, |fence| fence.round),
             incarnation: machine.me().incarnation,
             age_ms: 0,
             bytes,
@@ -146,7 +146,7 @@
     }
 
     /// The newest state that has come to the disk since this was last called.
-    pub(crate) fn take_persisted(&mut self) -> Option<PersistenceMark> {
+    pub(crate) fn take_persisted(&mut self) -> Option<PersistentStateVersion> {
         let durable = self.writer.durable();
         let done = self.waiting.iter().take_while(|change| change.number <= durable).count();
         self.waiting.drain(..done).next_back().map(|change| change.mark)
--- a/lab/src/turns/operators.rs
+++ b/lab/src/turns/operators.rs
@@ -84,7 +84,7 @@
             while !self.over() && self.unfinished() {
                 let views = self.views();
                 for (place, view) in &views {
-                    if let Some(fence) = view.lease.fence.clone().filter(|_| view.lease.is_leader) {
+                    if let Some(fence) = view.lease.highest_ballot.clone().filter(|_| view.lease.is_leader) {
                         let mut fences = held(&self.fences);
                         if fences.last() != Some(&fence) {
                             fences.push(fence);
--- a/lease/rig/src/fault.rs
+++ b/lease/rig/src/fault.rs
@@ -5,18 +5,22 @@
 pub enum LastingFault {
     /// The process is stopped; all that is sent to it waits.
     Frozen,
-    /// The process neither receives nor is received from.
+    /// The process neither can_receive nor is received from.
     Partitioned,
-    /// The process receives nothing.
-    Deaf,
-    /// Nobody receives what the process sends.
-    Mute,
+    /// The process can_receive nothing.
+    InboundBlocked,
+    /// Nobody can_receive what the process sends.
+    OutboundBlocked,
 }
 
 impl LastingFault {
     /// All kinds.
-    pub const ALL: &[LastingFault] =
-        &[LastingFault::Frozen, LastingFault::Partitioned, LastingFault::Deaf, LastingFault::Mute];
+    pub const ALL: &[LastingFault] = &[
+        LastingFault::Frozen,
+        LastingFault::Partitioned,
+        LastingFault::InboundBlocked,
+        LastingFault::OutboundBlocked,
+    ];
 }
 
 /// What goes wrong in one step. Places count the messages of the step. `R`: what a restart of all processes finds.
@@ -49,7 +53,7 @@
     /// All processes crash and restart.
     RestartAll {
         /// What they find.
-        found: R,
+        restart_state: R,
         /// Before the message at this place.
         place: usize,
     },
--- a/lease/rig/src/lib.rs
+++ b/lease/rig/src/lib.rs
@@ -1,6 +1,6 @@
 //! Model checking of applications of a lease: processes, messages between them, and faults, one step at a time.
 //!
-//! A model says what is particular to its application ([`Fleet`]); the rig runs a step and lists the faults that may occur
+//! A model says what is particular to its application ([`SystemModel`]); the rig runs a step and lists the faults that may occur
 //! in it. Faults occur between any two messages of a step. For tests only.
 
 mod fault;
@@ -9,6 +9,6 @@
 mod world;
 
 pub use fault::{Fault, LastingFault};
-pub use fleet::{Bounds, Fleet, StepOutcome};
+pub use fleet::{Bounds, StepOutcome, SystemModel};
 pub use random::FixedRandom;
-pub use world::{ActiveFault, Envelope, QueuedMessage, World};
+pub use world::{ActiveFault, Envelope, QueuedMessage, SystemState};
--- a/lease/rig/src/random.rs
+++ b/lease/rig/src/random.rs
@@ -12,7 +12,7 @@
     /// # Panics
     ///
     /// Panics for the number of a node that no model has.
-    pub fn of(node: usize) -> FixedRandom {
+    pub fn for_node(node: usize) -> FixedRandom {
         FixedRandom(u32::try_from(node).expect("four nodes at the most") << 30)
     }
 }
--- a/lease/rig/src/world.rs
+++ b/lease/rig/src/world.rs
@@ -37,7 +37,7 @@
 
 /// A state. `M`: what the model of an application has beside it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct World<A: Application, M> {
+pub struct SystemState<A: Application, M> {
     /// Steps so far.
     pub step: u8,
     /// The processes; the voters come first.
@@ -51,26 +51,26 @@
     /// Faults so far.
     pub faults: u8,
     /// Starts of processes so far.
-    pub starts: u64,
+    pub process_starts: u64,
     /// The first rule that was seen broken.
     pub violation: Option<&'static str>,
     /// What the application's model has.
-    pub model: M,
+    pub environment: M,
 }
 
-impl<A: Application, M> World<A, M> {
+impl<A: Application, M> SystemState<A, M> {
     /// Before any process starts.
-    pub fn new(model: M) -> World<A, M> {
-        World {
+    pub fn new(environment: M) -> SystemState<A, M> {
+        SystemState {
             step: 0,
             nodes: Vec::new(),
             active_fault: None,
             queued: Vec::new(),
             duplicate: None,
             faults: 0,
-            starts: 0,
+            process_starts: 0,
             violation: None,
-            model,
+            environment,
         }
     }
 
@@ -78,14 +78,14 @@
         self.active_fault.is_some_and(|fault| fault.node == node && kinds.contains(&fault.kind))
     }
 
-    /// Whether a node receives anything.
-    pub fn receives(&self, node: usize) -> bool {
-        !self.has_fault(node, &[LastingFault::Partitioned, LastingFault::Deaf])
+    /// Whether a node can_receive anything.
+    pub fn can_receive(&self, node: usize) -> bool {
+        !self.has_fault(node, &[LastingFault::Partitioned, LastingFault::InboundBlocked])
     }
 
-    /// Whether anybody receives what a node sends.
-    pub fn is_received(&self, node: usize) -> bool {
-        !self.has_fault(node, &[LastingFault::Partitioned, LastingFault::Mute])
+    /// Whether anybody can_receive what a node sends.
+    pub fn can_send(&self, node: usize) -> bool {
+        !self.has_fault(node, &[LastingFault::Partitioned, LastingFault::OutboundBlocked])
     }
 
     /// Whether a node is stopped.
@@ -94,12 +94,16 @@
     }
 
     /// Whether one node's membership has not heard of another recently.
-    pub fn is_away(&self, of: usize, node: usize) -> bool {
+    pub fn is_unheard(&self, of: usize, node: usize) -> bool {
         self.active_fault.is_some_and(|fault| fault.node == node || fault.node == of)
     }
 
     /// What one node's membership says of all others.
-    pub fn members(&self, of: usize, presence: impl Fn(usize) -> Presence) -> BTreeMap<Name, MemberStatus> {
+    pub fn member_statuses(
+        &self,
+        of: usize,
+        presence: impl Fn(usize) -> Presence,
+    ) -> BTreeMap<Name, MemberStatus> {
         let member = |node: usize| {
             let me = self.nodes[node].me();
             let status = MemberStatus {
@@ -114,7 +118,7 @@
     }
 
     /// The messages among a node's effects.
-    pub fn sent(&self, from: usize, effects: Vec<Effect<A>>) -> Vec<Envelope<A>> {
+    pub fn sent_messages(&self, from: usize, effects: Vec<Effect<A>>) -> Vec<Envelope<A>> {
         let node_of = |name: &Name| (0..self.nodes.len()).find(|node| self.nodes[*node].me().name == *name);
         let envelope = |effect| match effect {
             Effect::Send { to, message } => Some(Envelope { from, to: node_of(&to)?, message }),
--- a/lease/src/admission/evidence.rs
+++ b/lease/src/admission/evidence.rs
@@ -38,8 +38,9 @@
             voters.has_majority(|name| wait.voter_recovery(now, config, own, name).is_some_and(counts))
         };
         let fresh: Vec<&Reply> = wait.replies.values().filter(|reply| reply.is_fresh(now, config)).collect();
-        let knows_state =
-            |reply: &&Reply| reply.status.has_complete_state || !reply.status.informed_peers.is_empty();
+        let knows_state = |reply: &&Reply| {
+            reply.status.has_complete_state || !reply.status.peers_with_complete_state.is_empty()
+        };
         let waited = now.saturating_sub(wait.started);
         // A process that was stopped itself has not waited: what counts is how often it has asked.
         let has_asked =
@@ -47,12 +48,12 @@
         Evidence {
             has_replies: !fresh.is_empty(),
             state_exists: fresh.iter().any(knows_state),
-            informed_peer: wait.informed_peers().into_iter().next(),
+            informed_peer: wait.peers_with_complete_state().into_iter().next(),
             lease_exists: fresh.iter().any(|reply| reply.status.has_lease),
             majority_lost_state: majority(RecoveryState::has_forgotten),
             majority_votes: majority(RecoveryState::may_vote),
             majority_is_silent: majority(|recovery| !recovery.may_vote()),
-            within_operator_wait: waited < config.operator_wait,
+            within_operator_wait: waited < config.operator_timeout,
             timed_out: waited >= config.autonomy_timeout && has_asked,
         }
     }
--- a/lease/src/admission/mod.rs
+++ b/lease/src/admission/mod.rs
@@ -33,7 +33,7 @@
     /// The leader, as far as it knows.
     pub leader: Option<Name>,
     /// Others that recently reported that their state is complete.
-    pub informed_peers: BTreeSet<Name>,
+    pub peers_with_complete_state: BTreeSet<Name>,
 }
 
 /// A query that is to be sent.
@@ -64,7 +64,7 @@
 impl Reply {
     /// Whether it was asked for within the duration of a lease.
     fn is_fresh(&self, now: Micros, config: &Config) -> bool {
-        now.saturating_sub(self.requested_at) <= config.lease
+        now.saturating_sub(self.requested_at) <= config.lease_duration
     }
 }
 
@@ -96,7 +96,7 @@
 
     /// The time between two rounds of queries.
     pub(crate) fn query_interval(config: &Config) -> Micros {
-        (config.lease / QUERIES_PER_LEASE).max(1)
+        (config.lease_duration / QUERIES_PER_LEASE).max(1)
     }
 
     /// The queries to send now: to all voters, and to one process with the complete state for that. One state is enough,
@@ -111,7 +111,7 @@
         self.queries_sent += 1;
         self.replies.retain(|_, reply| reply.is_fresh(now, config));
         let mut wants_state: BTreeMap<Name, bool> = voters.iter().map(|name| (name.clone(), false)).collect();
-        let informed = self.informed_peers();
+        let informed = self.peers_with_complete_state();
         let place = usize::try_from(self.queries_sent).unwrap_or(usize::MAX) % informed.len().max(1);
         wants_state.extend(informed.into_iter().nth(place).map(|name| (name, true)));
         wants_state.remove(me);
@@ -119,9 +119,9 @@
     }
 
     /// The processes with the complete state, by their own reply or another's.
-    fn informed_peers(&self) -> BTreeSet<Name> {
+    fn peers_with_complete_state(&self) -> BTreeSet<Name> {
         let complete = self.replies.iter().filter(|(_, reply)| reply.status.has_complete_state);
-        let named = self.replies.values().flat_map(|reply| &reply.status.informed_peers);
+        let named = self.replies.values().flat_map(|reply| &reply.status.peers_with_complete_state);
         complete.map(|(name, _)| name).chain(named).cloned().collect()
     }
 
--- a/lease/src/admission/tests.rs
+++ b/lease/src/admission/tests.rs
@@ -15,7 +15,7 @@
         has_complete_state,
         has_lease: false,
         leader: None,
-        informed_peers: BTreeSet::new(),
+        peers_with_complete_state: BTreeSet::new(),
     }
 }
 
@@ -36,8 +36,9 @@
     concluded_with(0, queries, replies)
 }
 
-fn concluded_with(operator_wait: Micros, queries: u64, replies: &[TestReply]) -> (bool, AdmissionReason) {
-    let config = Config { lease: LEASE, autonomy_timeout: 15_000_000, operator_wait, ..Config::default() };
+fn concluded_with(operator_timeout: Micros, queries: u64, replies: &[TestReply]) -> (bool, AdmissionReason) {
+    let config =
+        Config { lease_duration: LEASE, autonomy_timeout: 15_000_000, operator_timeout, ..Config::default() };
     let voters = Voters::new(["a", "b", "c"].map(name).to_vec(), Vec::new()).expect("voters");
     let mut wait = AdmissionWait { queries_sent: queries, ..AdmissionWait::new(0) };
     for reply in replies {
@@ -65,7 +66,7 @@
 
 #[test]
 fn all_voters_have_lost_the_state_only_if_each_voter_says_so() {
-    let config = Config { lease: LEASE, ..Config::default() };
+    let config = Config { lease_duration: LEASE, ..Config::default() };
     let voters = Voters::new(["a", "b", "c"].map(name).to_vec(), Vec::new()).expect("voters");
     let mut wait = AdmissionWait::new(0);
     let own_name = name("a");
--- a/lease/src/application.rs
+++ b/lease/src/application.rs
@@ -2,7 +2,7 @@
 
 use crate::ballot::Ballot;
 use crate::leader::LeaderContext;
-use crate::member::Member;
+use crate::replica::LocalReplica;
 use crate::roster::Process;
 use crate::types::ApplicationTypes;
 use flaxhead_membership::Micros;
@@ -46,7 +46,7 @@
 ///
 /// ```
 /// use flaxhead_lease::{
-///     Application, ApplicationTypes, CommandError, LeaderContext, Member, Micros, NoCommand, Process, ReceivedGrant,
+///     Application, ApplicationTypes, CommandError, LeaderContext, LocalReplica, Micros, NoCommand, Process, ReceivedGrant,
 ///     ReceivedReport,
 /// };
 /// use std::collections::BTreeMap;
@@ -78,12 +78,12 @@
 /// impl Application for EvenPermits {
 ///     type LeaderData = BTreeMap<Process, u32>;
 ///
-///     fn report(&mut self, _: Micros, _: &Member<Self>, _: &()) -> u32 {
+///     fn report(&mut self, _: Micros, _: &LocalReplica<Self>, _: &()) -> u32 {
 ///         self.renews_early = false;
 ///         self.wanted
 ///     }
 ///
-///     fn granted(&mut self, granted: &ReceivedGrant<Self>) {
+///     fn lease_granted(&mut self, granted: &ReceivedGrant<Self>) {
 ///         self.granted = granted.grant;
 ///     }
 ///
@@ -132,7 +132,7 @@
     // At every process.
 
     /// The report for the renewal that is sent now.
-    fn report(&mut self, now: Micros, member: &Member<Self>, facts: &Self::Facts) -> Self::Report;
+    fn report(&mut self, now: Micros, member: &LocalReplica<Self>, facts: &Self::Facts) -> Self::Report;
 
     /// A state was applied, no older than the one before.
     fn state_changed(&mut self, now: Micros, state: &Self::State) {
@@ -140,13 +140,13 @@
     }
 
     /// A lease came, of a leader whose fence counts.
-    fn granted(&mut self, granted: &ReceivedGrant<Self>) {
+    fn lease_granted(&mut self, granted: &ReceivedGrant<Self>) {
         let _ = granted;
     }
 
     /// A higher ballot was heard of: what was granted under a lower one is renewed by nobody.
-    fn fenced(&mut self, fence: &Ballot) {
-        let _ = fence;
+    fn higher_ballot_observed(&mut self, ballot: &Ballot) {
+        let _ = ballot;
     }
 
     /// While this process waits for its admission: every voter has said within the duration of a lease that it has lost
@@ -164,7 +164,7 @@
 
     /// This process becomes the leader. The state is the newest of those that a majority of voters and this process had;
     /// where too many have lost theirs ([`LeaderContext::state_lost_since`]), merged with all that any of them had
-    /// ([`crate::ReplicatedState::absorb`]). The processes are those of the last leader's roster, where that is
+    /// ([`crate::ReplicatedState::merge`]). The processes are those of the last leader's roster, where that is
     /// remembered. The state is replicated to all.
     fn begin_leadership(&self, context: &mut LeaderContext<'_, Self>) -> Self::LeaderData;
 
--- a/lease/src/ballot.rs
+++ b/lease/src/ballot.rs
@@ -26,7 +26,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Version {
     /// The ballot of the leader that wrote it; `None`: no leader did, as at a process that knows nothing yet.
-    pub fence: Option<Ballot>,
+    pub ballot: Option<Ballot>,
     /// The leader's count of its own versions.
     pub seq: u64,
 }
@@ -34,14 +34,14 @@
 impl Version {
     /// Whether it was written under this ballot.
     pub(crate) fn is_of(&self, ballot: &Ballot) -> bool {
-        self.fence.as_ref() == Some(ballot)
+        self.ballot.as_ref() == Some(ballot)
     }
 }
 
 impl fmt::Display for Version {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match &self.fence {
-            Some(fence) => write!(f, "{fence}.{}", self.seq),
+        match &self.ballot {
+            Some(ballot) => write!(f, "{ballot}.{}", self.seq),
             None => f.write_str("none"),
         }
     }
--- a/lease/src/config.rs
+++ b/lease/src/config.rs
@@ -14,7 +14,7 @@
 pub struct Config {
     /// Duration of a lease, of the leader's as well as of each process's own. It bounds the time without a leader after
     /// one fails; a process may pause for half of it without losing its lease.
-    pub lease: Micros,
+    pub lease_duration: Micros,
     /// The longest that a request may take: how long a process that is no longer heard may still have it in flight.
     pub max_call_duration: Micros,
     /// After all voters have lost their state: how long the leader treats the state as incomplete, unless its application
@@ -24,17 +24,17 @@
     /// autonomously.
     pub autonomy_timeout: Micros,
     /// How long, from its start, a process waits for operators to declare the state once it is known to be lost.
-    pub operator_wait: Micros,
+    pub operator_timeout: Micros,
 }
 
 impl Default for Config {
     fn default() -> Self {
         Config {
-            lease: 6_000_000,
+            lease_duration: 6_000_000,
             max_call_duration: 10_000_000,
             state_loss_timeout: 3_600_000_000,
             autonomy_timeout: 15_000_000,
-            operator_wait: 0,
+            operator_timeout: 0,
         }
     }
 }
@@ -47,12 +47,12 @@
 
     /// How long a restarted voter is quarantined: longer than any lease that it may have granted.
     pub(crate) fn quarantine(&self) -> Micros {
-        Config::with_max_drift(Config::with_max_drift(self.lease))
+        Config::with_max_drift(Config::with_max_drift(self.lease_duration))
     }
 
     /// How often leases are renewed.
     pub(crate) fn renewal_interval(&self) -> Micros {
-        (self.lease / RENEWALS_PER_LEASE).max(1)
+        (self.lease_duration / RENEWALS_PER_LEASE).max(1)
     }
 
     /// After which time a state that was not confirmed is sent again.
--- a/lease/src/leader/candidacy.rs
+++ b/lease/src/leader/candidacy.rs
@@ -41,7 +41,7 @@
         let mut newest = newest.cloned().unwrap_or_default();
         if !is_recovered {
             for other in states() {
-                newest.state.absorb(&other.state);
+                newest.state.merge(&other.state);
             }
         }
         newest
--- a/lease/src/leader/lease.rs
+++ b/lease/src/leader/lease.rs
@@ -44,7 +44,7 @@
         }
         self.acceptances.insert(from.clone());
         if voters.has_majority(|name| self.acceptances.contains(name)) {
-            self.lease_until = self.lease_until.max(self.round_started + config.lease);
+            self.lease_until = self.lease_until.max(self.round_started + config.lease_duration);
         }
     }
 
@@ -69,7 +69,7 @@
         roster_seq: u64,
     ) -> bool {
         let stores_it = |record: &VoterRecord| {
-            now.saturating_sub(record.accepted_at) <= config.lease && record.roster_seq >= roster_seq
+            now.saturating_sub(record.accepted_at) <= config.lease_duration && record.roster_seq >= roster_seq
         };
         voters.has_majority(|name| self.voter_records.get(name).is_some_and(stores_it))
     }
--- a/lease/src/leader/peer.rs
+++ b/lease/src/leader/peer.rs
@@ -28,7 +28,7 @@
             last_report_at: None,
             expected_since: now,
             // What another leader granted it may last as long as any lease.
-            lease_expiry: now + Config::with_max_drift(config.lease),
+            lease_expiry: now + Config::with_max_drift(config.lease_duration),
             report: None,
             state_sent_at: now,
             recorded_in,
@@ -62,6 +62,6 @@
 
     /// Whether it reported within the duration of a lease.
     pub(super) fn heard_recently(&self, now: Micros, config: &Config) -> bool {
-        self.last_report_at.is_some_and(|at| now.saturating_sub(at) <= config.lease)
+        self.last_report_at.is_some_and(|at| now.saturating_sub(at) <= config.lease_duration)
     }
 }
--- a/lease/src/leader/roster.rs
+++ b/lease/src/leader/roster.rs
@@ -55,7 +55,7 @@
                 is_current && is_leading && self.is_roster_committed(now, config, voters, recorded_in);
         }
         if let Some(peer) = self.peers.get_mut(process).filter(|_| is_granted) {
-            peer.lease_expiry = now + Config::with_max_drift(config.lease);
+            peer.lease_expiry = now + Config::with_max_drift(config.lease_duration);
         }
         RenewalOutcome { report_counts, is_first_report, is_granted, is_behind: !is_current, is_enrolled }
     }
@@ -119,7 +119,7 @@
     fn is_unheard(&self, now: Micros, config: &Config, process: &Process) -> bool {
         self.peers.get(process).is_some_and(|peer| {
             let since = peer.last_report_at.unwrap_or(peer.expected_since);
-            now.saturating_sub(since) > config.lease
+            now.saturating_sub(since) > config.lease_duration
         })
     }
 
--- a/lease/src/leader/state.rs
+++ b/lease/src/leader/state.rs
@@ -70,13 +70,13 @@
         let mut state = candidacy.newest_state(&own.state, is_recovered);
         let mut roster = candidacy.newest_roster();
         let Candidacy { ballot, started, promises, grants, .. } = candidacy;
-        state.version = Version { fence: Some(ballot.clone()), seq: INITIAL_STATE_SEQ };
-        roster.version = Version { fence: Some(ballot.clone()), seq: INITIAL_ROSTER_SEQ };
+        state.version = Version { ballot: Some(ballot.clone()), seq: INITIAL_STATE_SEQ };
+        roster.version = Version { ballot: Some(ballot.clone()), seq: INITIAL_ROSTER_SEQ };
         roster.processes.insert(me);
         let incarnation = |(name, promise): (&Name, &Promise<T>)| (name.clone(), promise.incarnation);
         let peer = |process: &Process| (process.clone(), PeerState::new(now, config, INITIAL_ROSTER_SEQ));
         LeaderState {
-            lease_until: started + config.lease,
+            lease_until: started + config.lease_duration,
             round: INITIAL_ROUND,
             round_started: started,
             acceptances: grants,
@@ -116,9 +116,9 @@
     }
 
     /// Merges another process's state, while its own may be incomplete.
-    pub(crate) fn absorb(&mut self, other: &T::State, is_complete: bool) {
+    pub(crate) fn merge(&mut self, other: &T::State, is_complete: bool) {
         self.has_survivor_state |= is_complete;
-        if self.state.state.absorb(other) {
+        if self.state.state.merge(other) {
             self.publish();
         }
     }
--- a/lease/src/lib.rs
+++ b/lease/src/lib.rs
@@ -24,10 +24,10 @@
 mod facts;
 mod leader;
 mod machine;
-mod member;
 mod message;
 mod persistent_state;
 mod recovery_state;
+mod replica;
 mod roster;
 mod status;
 mod types;
@@ -42,13 +42,13 @@
 pub use facts::{Facts, MemberStatus, Presence};
 pub use leader::{LeaderContext, LeaderState, PeerState};
 pub use machine::{Context, Effect, Machine};
-pub use member::{AdmissionStatus, Member};
 pub use message::{
     Acceptance, Denial, LeaseGrant, Message, Promise, Proposal, RecoveryQuery, RecoveryReply, Renewal,
     VoterRecoveryResponse,
 };
-pub use persistent_state::{PersistenceMark, PersistentState};
+pub use persistent_state::{PersistentState, PersistentStateVersion};
 pub use recovery_state::RecoveryState;
+pub use replica::{AdmissionStatus, LocalReplica};
 pub use roster::{Process, Roster};
 pub use status::LeaseStatus;
 pub use types::{ApplicationTypes, NoCommand, Payload, ReplicatedState};
--- a/lease/src/machine/admission.rs
+++ b/lease/src/machine/admission.rs
@@ -48,14 +48,14 @@
         effects: &mut Vec<Effect<A>>,
     ) {
         let RecoveryQuery { incarnation, sent_at, wants_state } = query;
-        let is_fresh = |(_, at): &(&Name, &Micros)| now.saturating_sub(**at) <= self.config.lease;
-        let informed = self.informed_peers.iter().filter(is_fresh).map(|(name, _)| name.clone());
+        let is_fresh = |(_, at): &(&Name, &Micros)| now.saturating_sub(**at) <= self.config.lease_duration;
+        let informed = self.peers_with_complete_state.iter().filter(is_fresh).map(|(name, _)| name.clone());
         let status = RecoveryStatus {
             voter: self.voter.as_ref().map(|voter| voter.recovery),
             has_complete_state: self.member.has_complete_state,
             has_lease: self.member.lease_expiry > now,
             leader: self.current_leader(now),
-            informed_peers: informed.take(MAX_INFORMED_PEERS).collect(),
+            peers_with_complete_state: informed.take(MAX_INFORMED_PEERS).collect(),
         };
         let sends_state = wants_state && self.member.has_complete_state;
         let state = sends_state.then(|| self.member.current_state(now));
@@ -84,7 +84,7 @@
         }
         self.member.wait.record_reply(from, requested_at, status, state.is_some());
         if let Some(state) = state {
-            if let Some(fence) = state.version.fence.clone() {
+            if let Some(fence) = state.version.ballot.clone() {
                 self.accept_fence(&fence);
             }
             self.member.merge(now, state);
@@ -119,8 +119,8 @@
 
     /// Another process has reported that its state is complete.
     pub(super) fn note_informed_peer(&mut self, now: Micros, name: &Name) {
-        let lease = self.config.lease;
-        self.informed_peers.retain(|_, at| now.saturating_sub(*at) <= lease);
-        self.informed_peers.insert(name.clone(), now);
+        let lease = self.config.lease_duration;
+        self.peers_with_complete_state.retain(|_, at| now.saturating_sub(*at) <= lease);
+        self.peers_with_complete_state.insert(name.clone(), now);
     }
 }
--- a/lease/src/machine/election.rs
+++ b/lease/src/machine/election.rs
@@ -38,7 +38,7 @@
             self.next_candidacy_at = now + wait + self.jitter(context);
             return;
         }
-        let highest = voter.promised.as_ref().max(self.member.fence.as_ref());
+        let highest = voter.promised.as_ref().max(self.member.highest_ballot.as_ref());
         let round = highest.map_or(0, |ballot| ballot.round) + 1;
         let ballot = Ballot { round, name: self.me.name.clone(), incarnation: self.me.incarnation };
         self.candidacy = Some(Candidacy::new(ballot.clone(), now));
@@ -129,7 +129,7 @@
         context: &mut Context<'_, A::Facts>,
         effects: &mut Vec<Effect<A>>,
     ) {
-        if let Some(fence) = self.member.fence.clone() {
+        if let Some(fence) = self.member.highest_ballot.clone() {
             self.step_down_below(context, &fence, effects);
         }
     }
--- a/lease/src/machine/lease.rs
+++ b/lease/src/machine/lease.rs
@@ -35,7 +35,7 @@
         let candidacy = self.candidacy.as_mut().filter(|candidacy| candidacy.ballot == acceptance.ballot);
         let Some(candidacy) = candidacy else { return false };
         // The lease counts from the beginning of the candidacy: an acceptance that comes too late grants nothing.
-        let is_late = now >= candidacy.started + self.config.lease;
+        let is_late = now >= candidacy.started + self.config.lease_duration;
         let promise = candidacy.promises.get(from);
         if is_late || promise.is_none_or(|promise| promise.incarnation != acceptance.incarnation) {
             return false;
--- a/lease/src/machine/persistence.rs
+++ b/lease/src/machine/persistence.rs
@@ -10,7 +10,7 @@
 use crate::application::Application;
 use crate::ballot::Version;
 use crate::message::{Acceptance, Message};
-use crate::persistent_state::{PersistenceMark, PersistentState};
+use crate::persistent_state::{PersistentState, PersistentStateVersion};
 use crate::recovery_state::RecoveryState;
 use crate::roster::Roster;
 use crate::types::ReplicatedState;
@@ -20,8 +20,13 @@
     /// Has the process use a disk, on which this was `found` of the process before it, `age` ago. Called at its start,
     /// before anything else happens.
     #[must_use]
-    pub fn with_disk(mut self, now: Micros, found: Option<PersistentState<A>>, age: Micros) -> Machine<A> {
-        let persisted = found.as_ref().map(PersistentState::mark).unwrap_or_default();
+    pub fn with_persistence(
+        mut self,
+        now: Micros,
+        found: Option<PersistentState<A>>,
+        age: Micros,
+    ) -> Machine<A> {
+        let persisted = found.as_ref().map(PersistentState::version).unwrap_or_default();
         if let Some(found) = found {
             self.load(now, found, age);
         }
@@ -30,12 +35,12 @@
     }
 
     fn load(&mut self, now: Micros, found: PersistentState<A>, age: Micros) {
-        let PersistentState { is_recovered, voter_sets, promised, fence, roster, mut state } = found;
+        let PersistentState { is_recovered, voter_sets, promised, highest_ballot, roster, mut state } = found;
         let was_recovered = is_recovered && voter_sets == self.voters.hashes();
         state.state.advance(age);
         self.apply(now, state);
-        if let Some(fence) = &fence {
-            self.accept_fence(fence);
+        if let Some(ballot) = &highest_ballot {
+            self.accept_fence(ballot);
         }
         if let Some(voter) = &mut self.voter {
             voter.was_recovered = was_recovered;
@@ -50,29 +55,29 @@
             is_recovered: self.is_recovered_voter(),
             voter_sets: self.voters.hashes(),
             promised: self.voter.as_ref().and_then(|voter| voter.promised.clone()),
-            fence: self.member.fence.clone(),
+            highest_ballot: self.member.highest_ballot.clone(),
             roster: self.voter.as_ref().map_or_else(Roster::default, |voter| voter.roster.clone()),
             state: self.member.current_state(now),
         }
     }
 
     /// The mark of [`Machine::persistent_state`], without making one; `None`: the process uses no disk.
-    pub fn persistence_mark(&self) -> Option<PersistenceMark> {
+    pub fn persistent_state_version(&self) -> Option<PersistentStateVersion> {
         self.persistence.as_ref()?;
-        Some(PersistenceMark {
+        Some(PersistentStateVersion {
             is_recovered: self.is_recovered_voter(),
             promised: self.voter.as_ref().and_then(|voter| voter.promised.clone()),
-            fence: self.member.fence.clone(),
+            highest_ballot: self.member.highest_ballot.clone(),
             roster: self.own_roster_version(),
             state: self.member.state.version.clone(),
         })
     }
 
     /// The state of this mark is on the disk: what waited for that is sent.
-    pub fn persisted(
+    pub fn state_persisted(
         &mut self,
         context: &mut Context<'_, A::Facts>,
-        mark: PersistenceMark,
+        mark: PersistentStateVersion,
         effects: &mut Vec<Effect<A>>,
     ) {
         let Some(persistence) = &mut self.persistence else { return };
--- a/lease/src/machine/persistence_state.rs
+++ b/lease/src/machine/persistence_state.rs
@@ -1,13 +1,13 @@
 //! What a process knows of its disk.
 
 use crate::ballot::Ballot;
-use crate::persistent_state::PersistenceMark;
+use crate::persistent_state::PersistentStateVersion;
 use flaxhead_membership::Name;
 
 /// What is on the disk, and what waits for it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Persistence {
-    pub(super) persisted: PersistenceMark,
+    pub(super) persisted: PersistentStateVersion,
     pub(super) waiting: Option<WaitingAcceptance>,
 }
 
--- a/lease/src/machine/receive.rs
+++ b/lease/src/machine/receive.rs
@@ -66,8 +66,8 @@
             Message::RecoveryQuery(query) => self.handle_recovery_query(now, from, query, effects),
             Message::RecoveryReply(reply) => self.handle_recovery_reply(context, from, *reply),
             Message::Granted(grant) => self.handle_grant(now, from, *grant),
-            Message::NotLeader { leader, fence } => {
-                self.handle_not_leader(context, from, leader, fence, effects);
+            Message::NotLeader { leader, highest_ballot } => {
+                self.handle_not_leader(context, from, leader, highest_ballot, effects);
             }
             Message::Command { id, command } => self.handle_command(context, from, id, command, effects),
             Message::CommandResponse { id, result } => self.complete_command(id, result, effects),
@@ -124,7 +124,7 @@
         effects: &mut Vec<Effect<A>>,
     ) {
         let now = context.now;
-        if state.version.fence.as_ref().is_none_or(|fence| fence.name != *from) {
+        if state.version.ballot.as_ref().is_none_or(|fence| fence.name != *from) {
             return;
         }
         if !self.apply(now, state) {
@@ -170,7 +170,7 @@
     ) {
         let leader = self.leader.as_mut().filter(|leader| leader.state.ballot == *ballot);
         if let Some(leader) = leader.filter(|leader| leader.state.state_lost_since.is_some()) {
-            leader.state.absorb(&state.state, is_complete);
+            leader.state.merge(&state.state, is_complete);
             self.lead(context, effects);
             self.send_state(from, effects);
         }
@@ -184,8 +184,8 @@
             return;
         }
         if self.member.take_lease(requested_at, is_recovered, &self.config) {
-            let expires_at = requested_at + self.config.lease;
-            self.application.granted(&ReceivedGrant { ballot, requested_at, expires_at, grant });
+            let expires_at = requested_at + self.config.lease_duration;
+            self.application.lease_granted(&ReceivedGrant { ballot, requested_at, expires_at, grant });
         }
         self.note_leader(now, from.clone());
     }
@@ -195,11 +195,11 @@
         context: &mut Context<'_, A::Facts>,
         from: &Name,
         leader: Option<Name>,
-        fence: Option<Ballot>,
+        highest_ballot: Option<Ballot>,
         effects: &mut Vec<Effect<A>>,
     ) {
-        if let Some(fence) = fence {
-            self.step_down_below(context, &fence, effects);
+        if let Some(ballot) = highest_ballot {
+            self.step_down_below(context, &ballot, effects);
         }
         if self.known_leader.as_ref().is_some_and(|known| known.name == *from) {
             self.known_leader = None;
@@ -212,7 +212,7 @@
 
     /// Tells a process that this one is not the leader, or knows of a later one.
     pub(super) fn reply_not_leader(&mut self, now: Micros, to: &Name, effects: &mut Vec<Effect<A>>) {
-        let (leader, fence) = (self.current_leader(now), self.member.fence.clone());
-        self.send(to, Message::NotLeader { leader, fence }, effects);
+        let (leader, highest_ballot) = (self.current_leader(now), self.member.highest_ballot.clone());
+        self.send(to, Message::NotLeader { leader, highest_ballot }, effects);
     }
 }
--- a/lease/src/machine/renewal.rs
+++ b/lease/src/machine/renewal.rs
@@ -75,7 +75,7 @@
     /// that it knows the state, twice before they may conclude that nobody does.
     fn is_unanswered(&self, now: Micros) -> bool {
         let overdue = 3 * self.config.renewal_interval() / 2;
-        self.member.is_admitted && self.member.lease_expiry + overdue < now + self.config.lease
+        self.member.is_admitted && self.member.lease_expiry + overdue < now + self.config.lease_duration
     }
 
     fn renewal(&mut self, now: Micros, facts: &A::Facts) -> Renewal<A> {
@@ -84,7 +84,7 @@
             sent_at: now,
             has_complete_state: self.member.has_complete_state,
             version: self.persisted_state_version(),
-            fence: self.member.fence.clone(),
+            highest_ballot: self.member.highest_ballot.clone(),
             report: self.application.report(now, &self.member, facts),
         }
     }
@@ -105,14 +105,14 @@
             self.note_informed_peer(now, from);
         }
         // A process that was admitted all along may have heard of a higher ballot than those that have forgotten.
-        if let Some(fence) = &renewal.fence {
+        if let Some(fence) = &renewal.highest_ballot {
             self.step_down_below(context, fence, effects);
         }
         let Some(ballot) = self.leading_ballot(now).cloned() else {
             return self.reply_not_leader(now, from, effects);
         };
         let (incarnation, requested_at) = (renewal.process.incarnation, renewal.sent_at);
-        let is_of_another_leader = renewal.version.fence.as_ref().is_some_and(|fence| *fence != ballot);
+        let is_of_another_leader = renewal.version.ballot.as_ref().is_some_and(|fence| *fence != ballot);
         let Some((leader, environment)) = self.leader_with_environment(now, context.facts) else { return };
         let wants_its_state = leader.state.state_lost_since.is_some() && is_of_another_leader;
         let RenewalResponse { grant, is_behind, is_enrolled } = leader.renew(&environment, renewal);
--- a/lease/src/machine/state.rs
+++ b/lease/src/machine/state.rs
@@ -8,8 +8,8 @@
 use crate::config::Config;
 use crate::facts::Facts;
 use crate::leader::{Candidacy, LeaderState};
-use crate::member::{AdmissionStatus, FenceCheck, Member};
 use crate::message::Message;
+use crate::replica::{AdmissionStatus, FenceCheck, LocalReplica};
 use crate::roster::Process;
 use crate::status::LeaseStatus;
 use crate::voter::Voter;
@@ -69,7 +69,7 @@
     pub(super) me: Process,
     /// `None`: it is no voter, and never becomes the leader.
     pub(super) voter: Option<Voter<A>>,
-    pub(super) member: Member<A>,
+    pub(super) member: LocalReplica<A>,
     pub(super) candidacy: Option<Candidacy<A>>,
     pub(super) next_candidacy_at: Micros,
     /// Candidacies in a row that did not succeed.
@@ -86,7 +86,7 @@
     /// The place, among the voters, of the one that it last took for the leader without knowing one.
     pub(super) voter_cursor: usize,
     /// The processes that recently reported that their state is complete, and when.
-    pub(super) informed_peers: BTreeMap<Name, Micros>,
+    pub(super) peers_with_complete_state: BTreeMap<Name, Micros>,
     pub(super) pending_commands: VecDeque<PendingCommand<A::Command>>,
     /// `None`: nothing outlives the process.
     pub(super) persistence: Option<Persistence>,
@@ -109,11 +109,11 @@
             next_round_at: now,
             known_leader: None,
             voter_cursor: 0,
-            informed_peers: BTreeMap::new(),
+            peers_with_complete_state: BTreeMap::new(),
             pending_commands: VecDeque::new(),
             persistence: None,
             loopback: VecDeque::new(),
-            member: Member::new(now),
+            member: LocalReplica::new(now),
             config,
             application,
             voters,
@@ -153,7 +153,7 @@
     }
 
     /// Its part as a participant: the state that it has applied, and its lease.
-    pub fn member(&self) -> &Member<A> {
+    pub fn local_replica(&self) -> &LocalReplica<A> {
         &self.member
     }
 
@@ -183,7 +183,7 @@
         LeaseStatus {
             me: self.me.name.to_string(),
             leader: self.current_leader(now).map(|name| name.to_string()),
-            fence: self.member.fence.as_ref().map(Ballot::to_string),
+            highest_ballot: self.member.highest_ballot.as_ref().map(Ballot::to_string),
             is_leader: leader_state.is_some(),
             is_state_lost: leader_state.is_some_and(|state| state.state_lost_since.is_some()),
             admission: self.admission_status().as_str().to_owned(),
@@ -196,7 +196,8 @@
 
     /// The leader that it has heard of within the duration of a lease.
     pub(super) fn current_leader(&self, now: Micros) -> Option<Name> {
-        let is_fresh = |leader: &&KnownLeader| now.saturating_sub(leader.heard_at) <= self.config.lease;
+        let is_fresh =
+            |leader: &&KnownLeader| now.saturating_sub(leader.heard_at) <= self.config.lease_duration;
         self.known_leader.as_ref().filter(is_fresh).map(|leader| leader.name.clone())
     }
 
@@ -229,7 +230,7 @@
             FenceCheck::Stale => false,
             FenceCheck::Current => true,
             FenceCheck::Raised => {
-                self.application.fenced(fence);
+                self.application.higher_ballot_observed(fence);
                 true
             }
         }
@@ -237,7 +238,7 @@
 
     /// Applies a state. Returns whether it counts.
     pub(super) fn apply(&mut self, now: Micros, state: Versioned<A::State>) -> bool {
-        let Some(fence) = state.version.fence.clone() else { return false };
+        let Some(fence) = state.version.ballot.clone() else { return false };
         let is_applied = self.accept_fence(&fence) && self.member.apply(now, state);
         if is_applied {
             self.application.state_changed(now, &self.member.state.state);
--- a/lease/src/message.rs
+++ b/lease/src/message.rs
@@ -102,7 +102,7 @@
     /// The version of the state that it has applied: it has what a leader replicated if that is of the leader's ballot.
     pub version: Version,
     /// The highest ballot that it has heard of.
-    pub fence: Option<Ballot>,
+    pub highest_ballot: Option<Ballot>,
     /// The application's report.
     pub report: T::Report,
 }
@@ -208,7 +208,7 @@
         /// The leader, as far as the sender knows.
         leader: Option<Name>,
         /// The highest ballot that the sender has heard of.
-        fence: Option<Ballot>,
+        highest_ballot: Option<Ballot>,
     },
     /// An operator's command, forwarded to the leader.
     Command {
--- a/lease/src/persistent_state.rs
+++ b/lease/src/persistent_state.rs
@@ -6,7 +6,7 @@
 use crate::voters::VoterSetHashes;
 use serde::{Deserialize, Serialize};
 
-/// What a restarted process needs of the one before it. Loaded by [`crate::Machine::with_disk`], it counts as possibly
+/// What a restarted process needs of the one before it. Loaded by [`crate::Machine::with_persistence`], it counts as possibly
 /// outdated: a voter recovers by it but does not leave its quarantine any sooner, and a process keeps away from what the
 /// state excludes but does not serve by it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -19,7 +19,7 @@
     /// The highest ballot that it has promised as a voter. A lower bound, for it may have promised more since.
     pub promised: Option<Ballot>,
     /// The highest ballot that it has heard of. A lower bound.
-    pub fence: Option<Ballot>,
+    pub highest_ballot: Option<Ballot>,
     /// The roster that it stores as a voter.
     pub roster: Roster,
     /// The state that it has applied.
@@ -28,21 +28,21 @@
 
 /// Identifies a [`PersistentState`] of one process: two with the same mark are equal but for the time spans within.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct PersistenceMark {
+pub struct PersistentStateVersion {
     pub(crate) is_recovered: bool,
     pub(crate) promised: Option<Ballot>,
-    pub(crate) fence: Option<Ballot>,
+    pub(crate) highest_ballot: Option<Ballot>,
     pub(crate) roster: Version,
     pub(crate) state: Version,
 }
 
 impl<T: ApplicationTypes> PersistentState<T> {
     /// Its mark.
-    pub fn mark(&self) -> PersistenceMark {
-        PersistenceMark {
+    pub fn version(&self) -> PersistentStateVersion {
+        PersistentStateVersion {
             is_recovered: self.is_recovered,
             promised: self.promised.clone(),
-            fence: self.fence.clone(),
+            highest_ballot: self.highest_ballot.clone(),
             roster: self.roster.version.clone(),
             state: self.state.version.clone(),
         }
--- a/lease/src/member.rs
+++ b/lease/src/replica.rs
@@ -41,7 +41,7 @@
 
 /// One process as a participant.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Member<T: ApplicationTypes> {
+pub struct LocalReplica<T: ApplicationTypes> {
     /// What it has learned while it waits for admission.
     pub(crate) wait: AdmissionWait,
     /// It serves without having been admitted.
@@ -51,20 +51,20 @@
     pub(crate) state: Versioned<T::State>,
     /// The time at which the spans in the state are exact.
     state_as_of: Micros,
-    pub(crate) fence: Option<Ballot>,
+    pub(crate) highest_ballot: Option<Ballot>,
     pub(crate) is_admitted: bool,
     pub(crate) lease_expiry: Micros,
 }
 
-impl<T: ApplicationTypes> Member<T> {
+impl<T: ApplicationTypes> LocalReplica<T> {
     pub(crate) fn new(now: Micros) -> Self {
-        Member {
+        LocalReplica {
             wait: AdmissionWait::new(now),
             is_autonomous: false,
             has_complete_state: false,
             state: Versioned::default(),
             state_as_of: now,
-            fence: None,
+            highest_ballot: None,
             is_admitted: false,
             lease_expiry: 0,
         }
@@ -83,8 +83,8 @@
     }
 
     /// The highest ballot that it has heard of: it accepts nothing under a lower one.
-    pub fn fence(&self) -> Option<&Ballot> {
-        self.fence.as_ref()
+    pub fn highest_ballot(&self) -> Option<&Ballot> {
+        self.highest_ballot.as_ref()
     }
 
     /// Whether a leader that knows the state has admitted it.
@@ -99,13 +99,13 @@
 
     /// Takes note of a ballot.
     pub(crate) fn observe_fence(&mut self, fence: &Ballot) -> FenceCheck {
-        if self.fence.as_ref().is_some_and(|own| own > fence) {
+        if self.highest_ballot.as_ref().is_some_and(|own| own > fence) {
             return FenceCheck::Stale;
         }
-        if self.fence.as_ref() == Some(fence) {
+        if self.highest_ballot.as_ref() == Some(fence) {
             return FenceCheck::Current;
         }
-        self.fence = Some(fence.clone());
+        self.highest_ballot = Some(fence.clone());
         FenceCheck::Raised
     }
 
@@ -128,7 +128,7 @@
         self.is_admitted = true;
         self.has_complete_state |= is_recovered;
         self.wait.reason = AdmissionReason::Admitted;
-        self.lease_expiry = self.lease_expiry.max(requested_at + config.lease);
+        self.lease_expiry = self.lease_expiry.max(requested_at + config.lease_duration);
         true
     }
 
@@ -137,9 +137,9 @@
         let mut own = self.current_state(now);
         if other.version > own.version {
             let older = std::mem::replace(&mut own, other);
-            own.state.absorb(&older.state);
+            own.state.merge(&older.state);
         } else {
-            own.state.absorb(&other.state);
+            own.state.merge(&other.state);
         }
         self.state = own;
         self.state_as_of = now;
--- a/lease/src/status.rs
+++ b/lease/src/status.rs
@@ -12,7 +12,8 @@
     #[serde(rename = "holder")]
     pub leader: Option<String>,
     /// The highest ballot that it has heard of.
-    pub fence: Option<String>,
+    #[serde(rename = "fence")]
+    pub highest_ballot: Option<String>,
     /// Whether the process itself is the leader.
     #[serde(rename = "holds")]
     pub is_leader: bool,
--- a/lease/src/types.rs
+++ b/lease/src/types.rs
@@ -22,7 +22,7 @@
 
     /// Merges what `other` holds and this state does not, while it is not known which of the two is complete. Returns
     /// whether anything was new.
-    fn absorb(&mut self, other: &Self) -> bool {
+    fn merge(&mut self, other: &Self) -> bool {
         let _ = other;
         false
     }
--- a/lease/src/voter/mod.rs
+++ b/lease/src/voter/mod.rs
@@ -114,7 +114,7 @@
         if lease_left > 0 || self.promised.as_ref() != Some(&ballot) {
             return Some(self.denial(ballot, lease_left));
         }
-        let until = now + Config::with_max_drift(config.lease);
+        let until = now + Config::with_max_drift(config.lease_duration);
         self.lease = Some(GrantedLease { ballot: ballot.clone(), until });
         if roster.version > self.roster.version {
             self.roster = roster;
--- a/lease/src/voter/recovery.rs
+++ b/lease/src/voter/recovery.rs
@@ -68,7 +68,8 @@
         let VoterRecoveryResponse { recovery, promised, roster, state, .. } = response;
         let received = ReceivedRecovery { received_at: now, recovery, promised, roster, state };
         self.responses.insert(from.clone(), received);
-        self.responses.retain(|_, response| now.saturating_sub(response.received_at) <= config.lease);
+        self.responses
+            .retain(|_, response| now.saturating_sub(response.received_at) <= config.lease_duration);
         self.recovery = self.recovered_state(voters, me)?;
         self.take_newest_response()
     }
--- a/lease/tests/application.rs
+++ b/lease/tests/application.rs
@@ -3,7 +3,7 @@
 
 use flaxhead_lease::{
     AdmissionStatus, Application, ApplicationTypes, Ballot, CommandError, Config, Context, Effect, Facts,
-    LeaderContext, Machine, Member, MemberStatus, Message, Micros, Name, NoCommand, Presence, Process,
+    LeaderContext, LocalReplica, Machine, MemberStatus, Message, Micros, Name, NoCommand, Presence, Process,
     ReceivedGrant, ReceivedReport, Voters,
 };
 use rand_core::{RngCore, SeedableRng};
@@ -57,13 +57,13 @@
 impl Application for Count {
     type LeaderData = BTreeMap<Process, u32>;
 
-    fn report(&mut self, now: Micros, _: &Member<Self>, (): &()) -> u32 {
+    fn report(&mut self, now: Micros, _: &LocalReplica<Self>, (): &()) -> u32 {
         self.renews_early = false;
         self.reports.push(now);
         COUNT_PER_REPORT
     }
 
-    fn granted(&mut self, granted: &ReceivedGrant<Self>) {
+    fn lease_granted(&mut self, granted: &ReceivedGrant<Self>) {
         let ReceivedGrant { ballot, requested_at, expires_at, grant } = granted;
         self.granted.push(Grant {
             ballot: ballot.clone(),
@@ -73,8 +73,8 @@
         });
     }
 
-    fn fenced(&mut self, fence: &Ballot) {
-        self.fences.push(fence.clone());
+    fn higher_ballot_observed(&mut self, ballot: &Ballot) {
+        self.fences.push(ballot.clone());
     }
 
     fn wants_early_renewal(&self) -> bool {
@@ -152,7 +152,7 @@
 impl Net {
     fn new() -> Net {
         let voters = Voters::new((0..3).map(name).collect(), Vec::new()).expect("voters");
-        let config = Config { lease: LEASE, state_loss_timeout: LEASE, ..Config::default() };
+        let config = Config { lease_duration: LEASE, state_loss_timeout: LEASE, ..Config::default() };
         let machine =
             |place| Machine::new(config.clone(), Count::default(), voters.clone(), process(place), 0);
         Net {
--- a/lease/tests/stale.rs
+++ b/lease/tests/stale.rs
@@ -3,8 +3,8 @@
 
 use flaxhead_lease::{
     AdmissionStatus, Application, ApplicationTypes, Ballot, CommandError, Config, Context, Facts,
-    LeaderContext, LeaseGrant, Machine, Member, Message, Micros, Name, NoCommand, Process, ReceivedGrant,
-    RecoveryReply, RecoveryState, RecoveryStatus, Version, Versioned, Voters,
+    LeaderContext, LeaseGrant, LocalReplica, Machine, Message, Micros, Name, NoCommand, Process,
+    ReceivedGrant, RecoveryReply, RecoveryState, RecoveryStatus, Version, Versioned, Voters,
 };
 use rand_pcg::Pcg32;
 use std::collections::BTreeSet;
@@ -31,9 +31,9 @@
 impl Application for Grants {
     type LeaderData = ();
 
-    fn report(&mut self, _: Micros, _: &Member<Self>, _: &()) {}
+    fn report(&mut self, _: Micros, _: &LocalReplica<Self>, _: &()) {}
 
-    fn granted(&mut self, granted: &ReceivedGrant<Self>) {
+    fn lease_granted(&mut self, granted: &ReceivedGrant<Self>) {
         self.0.push(granted.grant);
     }
 
@@ -92,7 +92,7 @@
         0,
         "asked for at a time that is not yet: a clock went back"
     );
-    let version = Version { fence: Some(ballot(2)), seq: 1 };
+    let version = Version { ballot: Some(ballot(2)), seq: 1 };
     let later = Message::StateUpdate { state: Versioned { version, state: () } };
     assert_eq!(
         taken(vec![("a", later), granted(1, INCARNATION, NOW)]),
@@ -109,7 +109,7 @@
             has_complete_state: false,
             has_lease: false,
             leader: None,
-            informed_peers: BTreeSet::new(),
+            peers_with_complete_state: BTreeSet::new(),
         };
         let reply = RecoveryReply { incarnation, requested_at, status, state: None };
         (from, Message::RecoveryReply(Box::new(reply)))
@@ -124,6 +124,6 @@
         "to an earlier process of this name"
     );
     assert_eq!(status(INCARNATION, NOW + 1), AdmissionStatus::Pending, "a clock went back");
-    let expired = NOW - Config::default().lease - 1;
+    let expired = NOW - Config::default().lease_duration - 1;
     assert_eq!(status(INCARNATION, expired), AdmissionStatus::Pending, "that voter may lead by now");
 }
--- a/maintenance/driver/src/participant.rs
+++ b/maintenance/driver/src/participant.rs
@@ -56,7 +56,7 @@
         }
         let until_notice = |excluded: &ExcludedHost| ExcludedUntilNotice {
             host: excluded.host.clone(),
-            from: clock.moment(excluded.from),
+            from: clock.to_instant(excluded.from),
         };
         self.hosts.exclude(excluded.iter().map(until_notice).collect());
         self.excluded.replace(excluded);
--- a/maintenance/src/application.rs
+++ b/maintenance/src/application.rs
@@ -5,7 +5,7 @@
 use crate::exclusion::excluded_from;
 use crate::facts::HostFacts;
 use crate::scheduler::Scheduler;
-use flaxhead_lease::{Application, LeaderContext, Member, Micros, Process};
+use flaxhead_lease::{Application, LeaderContext, LocalReplica, Micros, Process};
 
 /// The count of the schedule that a leader begins with.
 const INITIAL_SCHEDULE_SEQ: u64 = 1;
@@ -14,7 +14,7 @@
     /// All that the leader must keep is in the schedule, and in the reports of the processes.
     type LeaderData = ();
 
-    fn report(&mut self, _: Micros, member: &Member<Self>, facts: &HostFacts) -> UsageReport {
+    fn report(&mut self, _: Micros, member: &LocalReplica<Self>, facts: &HostFacts) -> UsageReport {
         // Only hosts that are excluded, or will be, are of interest.
         let is_excluded = |host: &str| excluded_from(member, host).is_some();
         let busy = self.usage.in_flight.iter().filter(|(host, calls)| **calls > 0 && is_excluded(host));
--- a/maintenance/src/exclusion.rs
+++ b/maintenance/src/exclusion.rs
@@ -2,7 +2,7 @@
 
 use crate::application_types::Maintenance;
 use crate::stage::Stage;
-use flaxhead_lease::{AdmissionStatus, Machine, Member, Micros};
+use flaxhead_lease::{AdmissionStatus, LocalReplica, Machine, Micros};
 use std::collections::BTreeSet;
 
 /// A host that nothing new is sent to.
@@ -15,7 +15,7 @@
 }
 
 /// From when on nothing new is sent to a host; `None`: it is not excluded.
-pub(crate) fn excluded_from(member: &Member<Maintenance>, host: &str) -> Option<Micros> {
+pub(crate) fn excluded_from(member: &LocalReplica<Maintenance>, host: &str) -> Option<Micros> {
     let drains = &member.state().state.drains;
     let stages = drains.iter().filter(|drain| drain.request.host == host).map(|drain| drain.stage);
     match stages.max()? {
@@ -28,7 +28,7 @@
 
 /// The hosts that are excluded, now or from a moment on.
 pub fn excluded_hosts(machine: &Machine<Maintenance>) -> Vec<ExcludedHost> {
-    let member = machine.member();
+    let member = machine.local_replica();
     let drains = &member.state().state.drains;
     let hosts: BTreeSet<&str> = drains.iter().map(|drain| drain.request.host.as_str()).collect();
     let excluded = |host: &str| {
@@ -41,5 +41,5 @@
 /// Whether something new may be sent to a host.
 pub fn may_send(machine: &Machine<Maintenance>, now: Micros, host: &str) -> bool {
     machine.admission_status() != AdmissionStatus::Pending
-        && excluded_from(machine.member(), host).is_none_or(|from| now < from)
+        && excluded_from(machine.local_replica(), host).is_none_or(|from| now < from)
 }
--- a/maintenance/src/schedule.rs
+++ b/maintenance/src/schedule.rs
@@ -127,7 +127,7 @@
     }
 
     /// Takes over what another schedule has announced.
-    fn absorb(&mut self, other: &DrainSchedule) -> bool {
+    fn merge(&mut self, other: &DrainSchedule) -> bool {
         let mut is_changed = false;
         for drain in other.drains.iter().filter(|drain| drain.stage >= Stage::Scheduled) {
             is_changed |= self.absorb_drain(drain);
--- a/maintenance/src/view.rs
+++ b/maintenance/src/view.rs
@@ -103,7 +103,7 @@
 /// What a process knows of the drains.
 pub fn view(machine: &Machine<Maintenance>, now: Micros) -> MaintenanceView {
     let leader = machine.leader_state(now);
-    let mut schedule = machine.member().current_state(now).state;
+    let mut schedule = machine.local_replica().current_state(now).state;
     if let Some(leader) = leader {
         // What its drains wait for is replicated with the next change only.
         for drain in &mut schedule.drains {
--- a/maintenance/tests/disks/mod.rs
+++ b/maintenance/tests/disks/mod.rs
@@ -46,7 +46,7 @@
     pub(crate) fn write(&self, world: &mut World, node: usize) -> Vec<Envelope<Maintenance>> {
         let mut out = Vec::new();
         if self.disks {
-            world.model.disks[node] =
+            world.environment.disks[node] =
                 Some((world.step, world.nodes[node].persistent_state(self.time(world, node))));
             self.confirm(world, node, &mut out);
         }
@@ -56,10 +56,10 @@
     /// It hears that this is so.
     pub(crate) fn confirm(&self, world: &mut World, node: usize, out: &mut Vec<Effect>) {
         let (facts, now) = (self.facts(world, node), self.time(world, node));
-        let mut random = FixedRandom::of(node);
+        let mut random = FixedRandom::for_node(node);
         let mut around = Context { now, facts: &facts, random: &mut random };
-        if let Some(mark) = world.nodes[node].persistence_mark() {
-            world.nodes[node].persisted(&mut around, mark, out);
+        if let Some(mark) = world.nodes[node].persistent_state_version() {
+            world.nodes[node].state_persisted(&mut around, mark, out);
         }
     }
 
@@ -71,7 +71,7 @@
         out: Vec<Effect>,
     ) -> Vec<Envelope<Maintenance>> {
         self.judge(world);
-        world.sent(node, out)
+        world.sent_messages(node, out)
     }
 }
 
@@ -90,18 +90,18 @@
 }
 
 /// Steps from a restart of all until all are let in, and whether anybody had forgotten meanwhile.
-fn back_after(found: Found) -> (u8, bool) {
+fn back_after(restart_state: Found) -> (u8, bool) {
     let mut fleet = Fleet::new(Broken::Nothing, 0, true, true);
     // Longer than all take to be let in again.
     fleet.works = 40;
     let mut world = (0..6).fold(fleet.first.clone(), |world, _| fleet.next(&world, Fault::Nothing));
     // It falls before a message: there must be one.
-    while fleet.run(&world, Fault::Nothing).messages == 0 {
+    while fleet.run_step(&world, Fault::Nothing).messages == 0 {
         world = fleet.next(&world, Fault::Nothing);
     }
-    assert!(world.model.free.contains_key(&host(0)) && world.model.back.is_empty(), "one is out");
+    assert!(world.environment.free.contains_key(&host(0)) && world.environment.back.is_empty(), "one is out");
     let at = world.step;
-    world = fleet.next(&world, Fault::RestartAll { found, place: 0 });
+    world = fleet.next(&world, Fault::RestartAll { restart_state, place: 0 });
     assert!(
         world.nodes.iter().all(|node| node.admission_status() == AdmissionStatus::Pending),
         "all were started again"
@@ -118,7 +118,7 @@
     }
     assert_eq!(
         spared_all,
-        found == Found::Last,
+        restart_state == Found::Last,
         "what was out is left alone from the start, where it is known"
     );
     (world.step - at, forgot)
--- a/maintenance/tests/fleet/mod.rs
+++ b/maintenance/tests/fleet/mod.rs
@@ -234,7 +234,7 @@
             ..Limits::default()
         };
         let config = Config {
-            lease: self.plan.lease,
+            lease_duration: self.plan.lease,
             max_call_duration: 2 * SECOND,
             autonomy_timeout: Micros::MAX,
             ..Config::default()
--- a/maintenance/tests/model.rs
+++ b/maintenance/tests/model.rs
@@ -14,7 +14,7 @@
     excluded_hosts, may_send, view, Command, Context, DrainRequest, Effect, ExcludedHost, Facts, HostFact,
     HostFacts, HostUsage, Machine, Maintenance, Message, SchedulerConfig, Stage,
 };
-use flaxhead_rig::{ActiveFault, Bounds, Envelope, FixedRandom, Fleet as _, LastingFault};
+use flaxhead_rig::{ActiveFault, Bounds, Envelope, FixedRandom, LastingFault, SystemModel as _};
 use stateright::{Checker, Model, Property};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -74,7 +74,7 @@
     known_wait: Micros,
 }
 
-type World = flaxhead_rig::World<Maintenance, Work>;
+type World = flaxhead_rig::SystemState<Maintenance, Work>;
 type Fault = flaxhead_rig::Fault<Found>;
 
 struct Fleet {
@@ -135,7 +135,7 @@
         for node in 0..nodes {
             let machine = machine(broken, node, &mut first, true);
             let time = now(first.step);
-            first.nodes.push(if disks { machine.with_disk(time, None, 0) } else { machine });
+            first.nodes.push(if disks { machine.with_persistence(time, None, 0) } else { machine });
         }
         let (works, kinds, hit, mute) =
             (if disks { 12 } else { 3 }, LastingFault::ALL, (0..nodes).collect(), None);
@@ -155,7 +155,7 @@
             fleet.order(&mut world, number, Command::Request(ask(host(number))));
         }
         let held = |node| ((node, host(0)), 3);
-        world.model.in_hand = BTreeMap::from([held(1), held(2)]);
+        world.environment.in_hand = BTreeMap::from([held(1), held(2)]);
         fleet.first = world;
         fleet
     }
@@ -169,9 +169,10 @@
             warmth: 1_000,
             weight: 1_000,
         };
-        let presence = |node| if world.is_away(of, node) { Presence::Unreachable } else { Presence::Alive };
+        let presence =
+            |node| if world.is_unheard(of, node) { Presence::Unreachable } else { Presence::Alive };
         Facts {
-            members: world.members(of, presence),
+            members: world.member_statuses(of, presence),
             participates: true,
             application: HostFacts {
                 hosts: (0..2).map(|number| (host(number), fact.clone())).collect(),
@@ -182,7 +183,7 @@
 
     fn order(&self, world: &mut World, node: usize, order: Command) {
         let (facts, time) = (self.facts(world, node), now(world.step));
-        let mut random = FixedRandom::of(node);
+        let mut random = FixedRandom::for_node(node);
         let mut around = Context { now: time, facts: &facts, random: &mut random };
         // What it sends is lost; it is sent again.
         world.nodes[node].submit(&mut around, time + node as u64, order, 20 * LEASE, &mut Vec::new());
@@ -204,15 +205,15 @@
     fn tampered(&self, world: &World, to: usize, mut message: Message) -> Message {
         match (&mut message, self.broken) {
             (Message::Renew(renewal), Broken::AllConfirm) => {
-                renewal.version = world.nodes[to].member().state().version.clone();
+                renewal.version = world.nodes[to].local_replica().state().version.clone();
             }
             (Message::StateUpdate { state }, Broken::Newest) => {
-                let own = &world.nodes[to].member().state().version;
+                let own = &world.nodes[to].local_replica().state().version;
                 if state.version < *own {
                     state.version = own.clone();
                 }
             }
-            (Message::RecoveryReply(reply), Broken::Named) => reply.status.informed_peers.clear(),
+            (Message::RecoveryReply(reply), Broken::Named) => reply.status.peers_with_complete_state.clear(),
             (Message::RecoveryReply(reply), Broken::Shown) => {
                 reply.state = reply.state.take().map(|_| Versioned::default());
                 reply.status.has_complete_state = true;
@@ -220,7 +221,7 @@
             (Message::RecoveryReply(reply), Broken::Alone) => {
                 let status = &mut reply.status;
                 (status.voter, status.has_complete_state, status.has_lease) = (None, false, false);
-                status.informed_peers.clear();
+                status.peers_with_complete_state.clear();
             }
             _ => {}
         }
@@ -233,9 +234,9 @@
             for turn in &world.nodes[node].state().drains {
                 if turn.is_free
                     && turn.stage == Stage::OutOfService
-                    && !world.model.back.contains(&turn.request.host)
+                    && !world.environment.back.contains(&turn.request.host)
                 {
-                    world.model.free.entry(turn.request.host.clone()).or_insert(world.step);
+                    world.environment.free.entry(turn.request.host.clone()).or_insert(world.step);
                 }
             }
         }
@@ -245,12 +246,12 @@
         if holding.len() > 1 {
             wrong = Some("two hold at once");
         }
-        let highest = world.model.fences.last();
-        if holding.iter().any(|b| !world.model.fences.contains(b) && highest.is_some_and(|h| h > b)) {
+        let highest = world.environment.fences.last();
+        if holding.iter().any(|b| !world.environment.fences.contains(b) && highest.is_some_and(|h| h > b)) {
             wrong = Some("a fence went back");
         }
-        world.model.fences.extend(holding.into_iter().cloned().collect::<Vec<_>>());
-        let out = world.model.free.keys().filter(|host| !world.model.back.contains(*host));
+        world.environment.fences.extend(holding.into_iter().cloned().collect::<Vec<_>>());
+        let out = world.environment.free.keys().filter(|host| !world.environment.back.contains(*host));
         if out.clone().count() > 1 {
             wrong = Some("more out than may be");
         }
@@ -259,7 +260,7 @@
                 if self.sends(world, node, host) {
                     wrong = Some("something new is sent to a host that was told free");
                 }
-                let until = world.model.in_hand.get(&(node, host.clone())).copied().unwrap_or(0);
+                let until = world.environment.in_hand.get(&(node, host.clone())).copied().unwrap_or(0);
                 if world.step < until + self.first.step && until > 0 {
                     wrong = Some("something runs at a host that was told free");
                 }
@@ -286,19 +287,19 @@
 
     fn start_again(&self, world: &mut World, node: usize, found: Found) {
         let fresh = machine(self.broken, node, world, false);
-        let on_disk = world.model.disks[node].clone().filter(|_| found != Found::Lost);
+        let on_disk = world.environment.disks[node].clone().filter(|_| found != Found::Lost);
         let on_disk = match found {
-            Found::Old => self.first.model.disks[node].clone(),
+            Found::Old => self.first.environment.disks[node].clone(),
             Found::OneLost if node == 0 => None,
             Found::OneOldYetFresh if node == 0 => {
-                self.first.model.disks[node].clone().map(|(_, memory)| (world.step, memory))
+                self.first.environment.disks[node].clone().map(|(_, memory)| (world.step, memory))
             }
             _ => on_disk,
         };
         let (taken, time) = (self.judged(world, on_disk), now(world.step));
-        world.nodes[node] = if self.disks { fresh.with_disk(time, taken, 0) } else { fresh };
+        world.nodes[node] = if self.disks { fresh.with_persistence(time, taken, 0) } else { fresh };
         if self.broken == Broken::Silence {
-            self.react(world, node, None);
+            self.handle_event(world, node, None);
             for other in (0..world.nodes.len()).filter(|other| *other != node) {
                 let forged = Message::VoterRecoveryResponse(Box::new(VoterRecoveryResponse {
                     nonce: 1,
@@ -308,11 +309,11 @@
                     roster: Roster::default(),
                     state: Versioned::default(),
                 }));
-                self.react(world, node, Some((other, forged)));
+                self.handle_event(world, node, Some((other, forged)));
             }
         }
         // What it had in hand is gone with it.
-        world.model.in_hand.retain(|(who, _), _| *who != node);
+        world.environment.in_hand.retain(|(who, _), _| *who != node);
     }
 
     /// Where the proxies have forgotten and all of them are there again, the operators say what is out, and that it is
@@ -324,7 +325,7 @@
             return;
         };
         let out: Vec<String> =
-            world.model.free.keys().filter(|h| !world.model.back.contains(*h)).cloned().collect();
+            world.environment.free.keys().filter(|h| !world.environment.back.contains(*h)).cloned().collect();
         for host in &out {
             if world.nodes[node].state().of_host(host).is_none_or(|turn| turn.stage < Stage::OutOfService) {
                 self.order(
@@ -351,23 +352,23 @@
         self.remember(world);
         // Whoever waits asks again.
         for (node, host) in (0..2).map(|n| (n, host(n))) {
-            let unseen = !world.model.free.contains_key(&host) && world.step.is_multiple_of(10);
+            let unseen = !world.environment.free.contains_key(&host) && world.step.is_multiple_of(10);
             if unseen && !world.is_frozen(node) {
                 self.order(world, node, Command::Request(ask(host)));
             }
         }
         let ready: Vec<String> = world
-            .model
+            .environment
             .free
             .iter()
-            .filter(|(h, at)| world.step >= **at + self.works && !world.model.back.contains(*h))
+            .filter(|(h, at)| world.step >= **at + self.works && !world.environment.back.contains(*h))
             .map(|(h, _)| h.clone())
             .collect();
         for host in ready {
             // The host serves from here on, whenever the proxies hear of it.
-            world.model.back.insert(host);
+            world.environment.back.insert(host);
         }
-        for host in world.model.back.clone() {
+        for host in world.environment.back.clone() {
             for node in 0..world.nodes.len() {
                 let turn =
                     world.nodes[node].state().of_host(&host).filter(|turn| turn.stage == Stage::OutOfService);
@@ -379,33 +380,33 @@
     }
 
     fn next(&self, world: &World, fault: Fault) -> World {
-        self.run(world, fault).world
+        self.run_step(world, fault).world
     }
 }
 
-impl flaxhead_rig::Fleet for Fleet {
+impl flaxhead_rig::SystemModel for Fleet {
     type Application = Maintenance;
-    type Model = Work;
-    type Found = Found;
+    type Environment = Work;
+    type RestartState = Found;
 
     fn bounds(&self) -> Bounds<'_, Found> {
         let Fleet { faults, fine, hit, kinds, .. } = self;
         let (first, faulty) = (self.first.step, self.faulty());
-        let found = if self.disks { Found::ALL } else { &[] };
+        let restart_states = if self.disks { Found::ALL } else { &[] };
         Bounds {
             first_step: first,
             max_faults: *faults,
-            is_fine: *fine,
-            nodes: hit,
+            faults_between_messages: *fine,
+            faulty_nodes: hit,
             lasting_kinds: kinds,
             lasting_steps: LASTS,
-            found,
-            faulty_steps: faulty,
+            restart_states,
+            fault_steps: faulty,
             steps: ENDS,
         }
     }
 
-    fn react(
+    fn handle_event(
         &self,
         world: &mut World,
         node: usize,
@@ -413,12 +414,12 @@
     ) -> Vec<Envelope<Maintenance>> {
         let facts = self.facts(world, node);
         let time = self.time(world, node);
-        let mut random = FixedRandom::of(node);
+        let mut random = FixedRandom::for_node(node);
         let mut around = Context { now: time, facts: &facts, random: &mut random };
         let mut out = Vec::new();
         let in_hand = |number: usize| {
             let held = world
-                .model
+                .environment
                 .in_hand
                 .get(&(node, host(number)))
                 .is_some_and(|until| world.step < *until + self.first.step);
@@ -447,7 +448,7 @@
         (0..world.nodes.len()).for_each(|node| self.start_again(world, node, found));
         if matches!(found, Found::Lost | Found::Old) {
             // Nobody is left that knows of any number.
-            world.model.fences.clear();
+            world.environment.fences.clear();
         }
     }
 
@@ -455,32 +456,32 @@
         self.judge(world);
     }
 
-    fn act(&self, world: &mut World, node: usize) -> Vec<Envelope<Maintenance>> {
+    fn tick(&self, world: &mut World, node: usize) -> Vec<Envelope<Maintenance>> {
         let mut out = self.write(world, node);
-        out.extend(self.react(world, node, None));
+        out.extend(self.handle_event(world, node, None));
         out
     }
 
-    fn after_acting(&self, world: &mut World) {
+    fn after_ticks(&self, world: &mut World) {
         if self.first.step > 0 {
             self.operators(world);
         }
     }
 
-    fn is_received(&self, world: &World, node: usize) -> bool {
-        world.is_received(node) && self.mute != Some(node)
+    fn can_send(&self, world: &World, node: usize) -> bool {
+        world.can_send(node) && self.mute != Some(node)
     }
 }
 
 fn machine(broken: Broken, node: usize, world: &mut World, first: bool) -> Machine {
-    world.starts += 1;
+    world.process_starts += 1;
     let voters = Voters::new((0..VOTERS).map(name).collect(), Vec::new()).expect("voters");
-    let Work { alone_after, known_wait, .. } = world.model;
+    let Work { alone_after, known_wait, .. } = world.environment;
     let config = Config {
-        lease: LEASE,
+        lease_duration: LEASE,
         max_call_duration: 2 * STEP,
         autonomy_timeout: alone_after,
-        operator_wait: known_wait,
+        operator_timeout: known_wait,
         ..Config::default()
     };
     let mut rules = SchedulerConfig {
@@ -492,7 +493,11 @@
         rules.limits.max_total = 2;
         (rules.limits.max_per_zone, rules.limits.max_per_pod) = (2, 2);
     }
-    let me = Process { name: name(node), incarnation: 100 * world.starts + node as u64, address: at(node) };
+    let me = Process {
+        name: name(node),
+        incarnation: 100 * world.process_starts + node as u64,
+        address: at(node),
+    };
     let time = now(world.step);
     let begun = if broken == Broken::Silence && !first { time - 3 * LEASE } else { time };
     Machine::new(config, Maintenance::new(rules), voters, me, begun)
@@ -507,7 +512,7 @@
     }
 
     fn actions(&self, world: &World, faults: &mut Vec<Fault>) {
-        flaxhead_rig::Fleet::faults(self, world, faults);
+        flaxhead_rig::SystemModel::list_faults(self, world, faults);
     }
 
     fn next_state(&self, world: &World, fault: Fault) -> Option<World> {
@@ -520,7 +525,7 @@
             Property::always(
                 "both hosts had their turn once faults ended",
                 |fleet: &Fleet, world: &World| {
-                    world.step < fleet.first.step + ENDS || world.model.back.len() == 2
+                    world.step < fleet.first.step + ENDS || world.environment.back.len() == 2
                 },
             ),
         ]
@@ -541,7 +546,7 @@
             let last = path.last_state().clone();
             let faults: Vec<(usize, &Fault)> =
                 faults.iter().enumerate().filter(|(_, a)| **a != Fault::Nothing).collect();
-            println!("{name}: {faults:?}\n{:?}, {:?}", last.violation, last.model.free);
+            println!("{name}: {faults:?}\n{:?}, {:?}", last.violation, last.environment.free);
             for node in &last.nodes {
                 println!("{:?}", view(node, now(last.step)));
             }
@@ -591,8 +596,8 @@
         .find(|n| fleet.first.nodes[*n].leading_ballot(now(fleet.first.step)).is_some())
         .expect("a holder");
     let others: Vec<usize> = (0..VOTERS).filter(|node| *node != holder).collect();
-    let mut world =
-        fleet.next(&fleet.first, Fault::Begin { node: others[0], kind: LastingFault::Deaf, place: 0 });
+    let mut world = fleet
+        .next(&fleet.first, Fault::Begin { node: others[0], kind: LastingFault::InboundBlocked, place: 0 });
     while world.active_fault.is_some_and(|fault| fault.steps_left > 2) {
         world = fleet.next(&world, Fault::Nothing);
     }
@@ -616,9 +621,9 @@
 fn after_all_voters_forgot(nodes: usize, broken: Broken, faults: u8) -> Fleet {
     let mut fleet = Fleet::of(nodes, broken, faults, true, false);
     fleet.works = 30;
-    fleet.first.model.in_hand.clear();
+    fleet.first.environment.in_hand.clear();
     let mut world = fleet.first.clone();
-    while world.model.free.is_empty() {
+    while world.environment.free.is_empty() {
         world = fleet.next(&world, Fault::Nothing);
     }
     for voter in 0..VOTERS {
@@ -648,12 +653,12 @@
     let mut fleet = Fleet::of(VOTERS, broken, 2, false, false);
     fleet.works = 30;
     fleet.kinds = &[LastingFault::Frozen];
-    fleet.first.model.in_hand.clear();
+    fleet.first.environment.in_hand.clear();
     let mut world = fleet.first.clone();
-    while world.model.free.is_empty() {
+    while world.environment.free.is_empty() {
         world = fleet.next(&world, Fault::Nothing);
     }
-    world.model.alone_after = 8 * STEP;
+    world.environment.alone_after = 8 * STEP;
     fleet.first = world;
     fleet
 }
@@ -675,7 +680,7 @@
         let mut fleet = after_all_voters_forgot(VOTERS + 1, Broken::Nothing, 0);
         (fleet.works, fleet.mute) = (1, mute);
         let end = (0..ENDS).fold(fleet.first.clone(), |world, _| fleet.next(&world, Fault::Nothing));
-        end.model.back.len() == 2
+        end.environment.back.len() == 2
     };
     assert!(both_went(None));
     assert!(!both_went(Some(VOTERS)), "nobody has heard from it whether it sends to the next host");
--- a/maintenance/tests/wire_format.rs
+++ b/maintenance/tests/wire_format.rs
@@ -39,7 +39,7 @@
 }
 
 fn version() -> Version {
-    Version { fence: Some(ballot()), seq: 5 }
+    Version { ballot: Some(ballot()), seq: 5 }
 }
 
 fn process() -> Process {
@@ -47,7 +47,7 @@
 }
 
 fn roster() -> Roster {
-    Roster { version: Version { fence: None, seq: 2 }, processes: BTreeSet::from([process()]) }
+    Roster { version: Version { ballot: None, seq: 2 }, processes: BTreeSet::from([process()]) }
 }
 
 fn ask() -> DrainRequest {
@@ -104,7 +104,7 @@
         has_complete_state: true,
         has_lease: false,
         leader: Some(name("n1")),
-        informed_peers: BTreeSet::from([name("n3")]),
+        peers_with_complete_state: BTreeSet::from([name("n3")]),
     }
 }
 
@@ -124,7 +124,7 @@
         sent_at: 1_000,
         has_complete_state: true,
         version: version(),
-        fence: Some(ballot()),
+        highest_ballot: Some(ballot()),
         report: word(),
     };
     let messages: Vec<(&str, Message<Maintenance>)> = vec![
@@ -190,7 +190,7 @@
                 state: Some(told()),
             })),
         ),
-        ("NotHolder", Message::NotLeader { leader: Some(name("n1")), fence: Some(ballot()) }),
+        ("NotHolder", Message::NotLeader { leader: Some(name("n1")), highest_ballot: Some(ballot()) }),
         ("Order", Message::Command { id: 4, command: order }),
         ("Answer", Message::CommandResponse { id: 4, result: Ok(CommandResponse::Done) }),
     ];
@@ -338,7 +338,7 @@
         is_recovered: true,
         voter_sets: VoterSetHashes { current: 1, next: 2 },
         promised: Some(ballot()),
-        fence: None,
+        highest_ballot: None,
         roster: roster(),
         state: told(),
     };
--- a/proxy/src/features/maintenance/settings.rs
+++ b/proxy/src/features/maintenance/settings.rs
@@ -29,11 +29,11 @@
         *to = value.map_or(*to, |value| value * unit);
         Ok::<_, Problem>(())
     };
-    time("lease_ms", (500, 60_000), MILLISECOND, &mut config.lease)?;
+    time("lease_ms", (500, 60_000), MILLISECOND, &mut config.lease_duration)?;
     time("drain_s", (1, 86_400), SECOND, &mut scheduler.max_drain_time)?;
     time("forgotten_s", (1, 86_400), SECOND, &mut config.state_loss_timeout)?;
     time("alone_s", (1, 3_600), SECOND, &mut config.autonomy_timeout)?;
-    time("known_s", (0, 3_600), SECOND, &mut config.operator_wait)?;
+    time("known_s", (0, 3_600), SECOND, &mut config.operator_timeout)?;
     time("back_s", (1, 3_600), SECOND, &mut scheduler.max_recovery_time)?;
     time("longest_s", (1, 7 * 86_400), SECOND, &mut scheduler.limits.max_duration)?;
     read_limits(section, &mut scheduler.limits)?;
--- a/proxy/src/features/maintenance/tests.rs
+++ b/proxy/src/features/maintenance/tests.rs
@@ -9,7 +9,11 @@
     let good = format!("{peers}[work]\nvoters = a, b, c\nhosts = 2\nlease_ms = 2000\nmargin_percent = 50\n");
     let settings = Features::parse(&good).expect("good").maintenance.expect("on");
     assert_eq!(
-        (settings.scheduler.limits.max_total, settings.scheduler.limits.load_margin, settings.config.lease),
+        (
+            settings.scheduler.limits.max_total,
+            settings.scheduler.limits.load_margin,
+            settings.config.lease_duration
+        ),
         (2, 500, 2_000_000)
     );
     let cases = [
--- a/proxy/src/features/quota/participant.rs
+++ b/proxy/src/features/quota/participant.rs
@@ -61,7 +61,8 @@
         }
         let AppliedQuota { allowance, slot } = quota.clone();
         let clock = self.clock.get();
-        let expires_at = allowance.expires_at.zip(clock).map(|(at, clock)| self.queues.at(clock.moment(at)));
+        let expires_at =
+            allowance.expires_at.zip(clock).map(|(at, clock)| self.queues.at(clock.to_instant(at)));
         self.queues.set_allowance(Allowance { expires_at, ..allowance }, slot == Slot::Pending);
         *applied = Some(quota);
     }
--- a/proxy/src/features/tests.rs
+++ b/proxy/src/features/tests.rs
@@ -92,10 +92,10 @@
     let work = features.maintenance.as_ref().expect("on");
     assert_eq!(
         (
-            work.config.lease,
+            work.config.lease_duration,
             work.config.state_loss_timeout,
             work.config.autonomy_timeout,
-            work.config.operator_wait
+            work.config.operator_timeout
         ),
         (2 * second, 12 * second, 13 * second, 14 * second)
     );
--- a/quota/src/application.rs
+++ b/quota/src/application.rs
@@ -8,8 +8,8 @@
 use crate::report::{GrantVersion, QuotaGrant, QuotaReport, Slot, Usage};
 use crate::timing::QuotaTiming;
 use flaxhead_lease::{
-    Application, ApplicationTypes, Ballot, CommandError, Config, LeaderContext, Member, MemberStatus, Micros,
-    Name, NoCommand, Presence, Process, ReceivedGrant, ReceivedReport,
+    Application, ApplicationTypes, Ballot, CommandError, Config, LeaderContext, LocalReplica, MemberStatus,
+    Micros, Name, NoCommand, Presence, Process, ReceivedGrant, ReceivedReport,
 };
 
 /// One process's part in the quotas.
@@ -43,11 +43,11 @@
     /// long as grants may be valid.
     pub fn config(timing: &QuotaTiming) -> Config {
         Config {
-            lease: timing.lease,
+            lease_duration: timing.lease,
             max_call_duration: timing.max_call_duration,
             state_loss_timeout: timing.max_grant_lifetime(),
             autonomy_timeout: timing.autonomy_timeout,
-            operator_wait: 0,
+            operator_timeout: 0,
         }
     }
 
@@ -110,7 +110,7 @@
 impl Application for QuotaApplication {
     type LeaderData = QuotaLedger;
 
-    fn report(&mut self, now: Micros, _: &Member<Self>, _: &Vec<HostCapacity>) -> QuotaReport {
+    fn report(&mut self, now: Micros, _: &LocalReplica<Self>, _: &Vec<HostCapacity>) -> QuotaReport {
         self.wants_early_renewal = false;
         let reported = self.usage.clone();
         for tenant in &mut self.usage.tenants {
@@ -122,12 +122,12 @@
         self.local.report(now, reported)
     }
 
-    fn granted(&mut self, granted: &ReceivedGrant<Self>) {
+    fn lease_granted(&mut self, granted: &ReceivedGrant<Self>) {
         self.local.take_grant(&granted.ballot, granted.expires_at, granted.grant.clone());
     }
 
-    fn fenced(&mut self, fence: &Ballot) {
-        self.local.observe_fence(fence);
+    fn higher_ballot_observed(&mut self, ballot: &Ballot) {
+        self.local.observe_fence(ballot);
     }
 
     fn state_lost(&mut self) {
--- a/quota/tests/disks.rs
+++ b/quota/tests/disks.rs
@@ -134,8 +134,8 @@
         let list = Voters::new(voters.clone(), Vec::new()).expect("voters");
         let found = fleet.memory(place).filter(|memory| memory.is_recovered);
         assert!(found.is_some(), "it is sure");
-        let mut machine =
-            Machine::new(QuotaApplication::config(&pace), shares, list, me, 0).with_disk(0, found, SECOND);
+        let mut machine = Machine::new(QuotaApplication::config(&pace), shares, list, me, 0)
+            .with_persistence(0, found, SECOND);
         let mut steps = std::iter::once(0).chain((LEASE..3 * LEASE).step_by(1_000));
         let bid = |now: &u64| {
             let mut out = Vec::new();
--- a/quota/tests/fleet/mod.rs
+++ b/quota/tests/fleet/mod.rs
@@ -270,7 +270,7 @@
 
     /// Starts one that goes by a disk, and finds this there.
     pub fn launch_with(&mut self, place: usize, found: Option<PersistentState<QuotaApplication>>) {
-        self.start(place, |machine, now| machine.with_disk(now, found, SECOND));
+        self.start(place, |machine, now| machine.with_persistence(now, found, SECOND));
     }
 
     fn start(&mut self, place: usize, with: impl FnOnce(Machine, Micros) -> Machine) {
--- a/quota/tests/fleet/play.rs
+++ b/quota/tests/fleet/play.rs
@@ -88,8 +88,8 @@
         let mut around = Context { now: local, facts: &facts, random: &mut self.random };
         act(&mut machine, &mut around, &mut out);
         // A disk has at once what is to be kept.
-        if let Some(mark) = machine.persistence_mark() {
-            machine.persisted(&mut around, mark, &mut out);
+        if let Some(mark) = machine.persistent_state_version() {
+            machine.state_persisted(&mut around, mark, &mut out);
         }
         let mut allowance = match self.plan.mode {
             Mode::Settled => machine.application_mut().allowance(local),
--- a/quota/tests/model/main.rs
+++ b/quota/tests/model/main.rs
@@ -6,7 +6,7 @@
 
 mod world;
 
-use flaxhead_rig::Fleet as _;
+use flaxhead_rig::SystemModel as _;
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use world::{
     in_hand, now, usable, Broken, Fault, Fleet, Site, World, ENDS, PARTS_FOR_ALL, TWO_BESIDE, VOTERS,
@@ -24,11 +24,11 @@
     }
 
     fn actions(&self, world: &World, faults: &mut Vec<Fault>) {
-        flaxhead_rig::Fleet::faults(self, world, faults);
+        flaxhead_rig::SystemModel::list_faults(self, world, faults);
     }
 
     fn next_state(&self, world: &World, fault: Fault) -> Option<World> {
-        Some(self.run(world, fault).world)
+        Some(self.run_step(world, fault).world)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
@@ -67,7 +67,7 @@
                 faults.iter().enumerate().filter(|(_, a)| **a != Fault::Nothing).collect();
             println!(
                 "{name}: {faults:?}\n{:?}, {:?}, {:?}",
-                last.violation, last.model.allowances, last.model.calls
+                last.violation, last.environment.allowances, last.environment.calls
             );
             last.nodes.iter().for_each(|node| println!("{:?}", node.status(now(last.step))));
         }
--- a/quota/tests/model/world.rs
+++ b/quota/tests/model/world.rs
@@ -6,7 +6,7 @@
     Allowance, Context, Facts, Machine, Message, Micros, Name, Process, QuotaApplication, QuotaConfig,
     QuotaTiming, Slot, TenantRegistry, TenantUsage, Usage,
 };
-use flaxhead_rig::{Bounds, Envelope, FixedRandom, Fleet as _, LastingFault};
+use flaxhead_rig::{Bounds, Envelope, FixedRandom, LastingFault, SystemModel as _};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -53,7 +53,7 @@
     pub begun: Option<Ballot>,
 }
 
-pub type World = flaxhead_rig::World<QuotaApplication, Calls>;
+pub type World = flaxhead_rig::SystemState<QuotaApplication, Calls>;
 pub type Fault = flaxhead_rig::Fault<NoCommand>;
 
 /// Who takes part, and what there is for them.
@@ -106,7 +106,7 @@
 }
 
 fn machine(site: &Site, node: usize, world: &mut World) -> Machine {
-    world.starts += 1;
+    world.process_starts += 1;
     let voters = Voters::new((0..VOTERS).map(name).collect(), Vec::new()).expect("voters");
     let terms = QuotaConfig {
         max_proxies: site.seats,
@@ -116,7 +116,11 @@
     let book = TenantRegistry::new(&terms, []).expect("terms");
     let longest_call = Micros::from(site.call) * STEP;
     let pace = QuotaTiming { lease: LEASE, max_call_duration: longest_call, autonomy_timeout: Micros::MAX };
-    let me = Process { name: name(node), incarnation: 100 * world.starts + node as u64, address: at(node) };
+    let me = Process {
+        name: name(node),
+        incarnation: 100 * world.process_starts + node as u64,
+        address: at(node),
+    };
     let time = now(world.step);
     Machine::new(QuotaApplication::config(&pace), QuotaApplication::new(time, book, pace), voters, me, time)
 }
@@ -138,7 +142,7 @@
             first: world.clone(),
         };
         for _ in 0..40 {
-            world = fleet.run(&world, Fault::Nothing).world;
+            world = fleet.run_step(&world, Fault::Nothing).world;
         }
         // Three that start at once, where nobody remembers anything, each take the one seat until a holder has answered.
         let early = (site.seats == 1).then_some("more have a seat than there are");
@@ -160,14 +164,14 @@
             if self.broken == Broken::KeepsUnheard { Presence::Exited } else { Presence::Unreachable };
         let begins = world.nodes[of]
             .leading_ballot(now(world.step))
-            .is_some_and(|b| world.model.begun.as_ref() != Some(b));
+            .is_some_and(|b| world.environment.begun.as_ref() != Some(b));
         let ended = begins && self.broken == Broken::Learns;
-        let presence = |node: usize| match (ended, world.is_away(of, node)) {
+        let presence = |node: usize| match (ended, world.is_unheard(of, node)) {
             (true, _) => Presence::Exited,
             (false, true) => silent,
             (false, false) => Presence::Alive,
         };
-        Facts { members: world.members(of, presence), participates: true, application: Vec::new() }
+        Facts { members: world.member_statuses(of, presence), participates: true, application: Vec::new() }
     }
 
     /// Calls that a process has: as many as it may, up to two, in its time.
@@ -184,7 +188,7 @@
     fn begin_calls(&self, world: &mut World, node: usize) {
         let wants = self.wants(world, node);
         while in_hand(world, node) < wants.min(may(world, self.broken, node)) {
-            world.model.calls.push((node, world.step + self.site.call));
+            world.environment.calls.push((node, world.step + self.site.call));
         }
     }
 
@@ -233,35 +237,35 @@
     }
 }
 
-impl flaxhead_rig::Fleet for Fleet {
+impl flaxhead_rig::SystemModel for Fleet {
     type Application = QuotaApplication;
-    type Model = Calls;
-    type Found = NoCommand;
+    type Environment = Calls;
+    type RestartState = NoCommand;
 
     fn bounds(&self) -> Bounds<'_, NoCommand> {
         let Fleet { faults, fine, hit, .. } = self;
-        let (first, kinds, found) = (self.first.step, LastingFault::ALL, [].as_slice());
+        let (first, kinds, restart_states) = (self.first.step, LastingFault::ALL, [].as_slice());
         Bounds {
             first_step: first,
             max_faults: *faults,
-            is_fine: *fine,
-            nodes: hit,
+            faults_between_messages: *fine,
+            faulty_nodes: hit,
             lasting_kinds: kinds,
             lasting_steps: LASTS,
-            found,
-            faulty_steps: FAULTY,
+            restart_states,
+            fault_steps: FAULTY,
             steps: ENDS,
         }
     }
 
-    fn react(
+    fn handle_event(
         &self,
         world: &mut World,
         node: usize,
         message: Option<(usize, Message)>,
     ) -> Vec<Envelope<QuotaApplication>> {
         let (facts, time) = (self.facts(world, node), now(world.step));
-        let mut random = FixedRandom::of(node);
+        let mut random = FixedRandom::for_node(node);
         let mut around = Context { now: time, facts: &facts, random: &mut random };
         let (in_hand, wants) = (in_hand(world, node), self.wants(world, node));
         let told = if self.broken == Broken::InHand { 0 } else { in_hand };
@@ -277,21 +281,22 @@
             None => machine.tick(&mut around, &mut out),
             Some((from, message)) => machine.receive(&mut around, &name(from), message, &mut out),
         }
-        world.model.allowances[node] = machine.application_mut().allowance(time);
+        world.environment.allowances[node] = machine.application_mut().allowance(time);
         if ticks {
-            world.model.begun = machine.leading_ballot(time).cloned().or(world.model.begun.take());
+            world.environment.begun =
+                machine.leading_ballot(time).cloned().or(world.environment.begun.take());
         }
         self.begin_calls(world, node);
         self.judge(world);
-        world.sent(node, out)
+        world.sent_messages(node, out)
     }
 
     fn crash(&self, world: &mut World, node: usize) {
         let fresh = machine(&self.site, node, world);
-        (world.nodes[node], world.model.allowances[node]) = (fresh, Allowance::default());
+        (world.nodes[node], world.environment.allowances[node]) = (fresh, Allowance::default());
         // What it had in hand is gone with it.
-        world.model.calls.retain(|(who, _)| *who != node);
-        world.model.allowances[node] = world.nodes[node].application_mut().allowance(now(world.step));
+        world.environment.calls.retain(|(who, _)| *who != node);
+        world.environment.allowances[node] = world.nodes[node].application_mut().allowance(now(world.step));
     }
 
     fn restart_all(&self, _: &mut World, found: NoCommand) {
@@ -306,17 +311,17 @@
 
     fn begin_step(&self, world: &mut World) {
         let step = world.step;
-        world.model.calls.retain(|(_, until)| *until > step);
+        world.environment.calls.retain(|(_, until)| *until > step);
     }
 }
 
 pub fn in_hand(world: &World, node: usize) -> u32 {
-    world.model.calls.iter().filter(|(who, until)| *who == node && *until > world.step).count() as u32
+    world.environment.calls.iter().filter(|(who, until)| *who == node && *until > world.step).count() as u32
 }
 
 /// What a gate lets in now.
 pub fn may(world: &World, broken: Broken, node: usize) -> u32 {
-    let allowance = &world.model.allowances[node];
+    let allowance = &world.environment.allowances[node];
     if broken == Broken::Ends {
         return allowance.tenants.first().and_then(|units| units.cap).unwrap_or(0);
     }
--- a/quota/tests/wire_format.rs
+++ b/quota/tests/wire_format.rs
@@ -62,13 +62,13 @@
 fn renewal(seat: Slot) -> Message<QuotaApplication> {
     let process =
         Process { name: name("n2"), incarnation: 9, address: SocketAddr::from(([127, 0, 0, 2], 7_946)) };
-    let (version, fence) = (Version { fence: None, seq: 0 }, Some(ballot()));
+    let (version, highest_ballot) = (Version { ballot: None, seq: 0 }, Some(ballot()));
     Message::Renew(Box::new(Renewal {
         process,
         sent_at: 1_000,
         has_complete_state: true,
         version,
-        fence,
+        highest_ballot,
         report: word(seat),
     }))
 }
@@ -82,7 +82,7 @@
         is_recovered: true,
         grant: leave(),
     }));
-    let told = Versioned { version: Version { fence: None, seq: 1 }, state: () };
+    let told = Versioned { version: Version { ballot: None, seq: 1 }, state: () };
     let promise = Promise::<QuotaApplication> {
         ballot: ballot(),
         incarnation: 9,
@@ -94,7 +94,7 @@
         is_recovered: true,
         voter_sets: VoterSetHashes { current: 1, next: 2 },
         promised: None,
-        fence: Some(ballot()),
+        highest_ballot: Some(ballot()),
         roster: Roster::default(),
         state: told,
     };
--- a/zones/src/application.rs
+++ b/zones/src/application.rs
@@ -6,12 +6,12 @@
 use crate::plan::Plan;
 use crate::word::Word;
 use crate::zones::Zones;
-use flaxhead_lease::{Application, LeaderContext, Member, Micros, Process};
+use flaxhead_lease::{Application, LeaderContext, LocalReplica, Micros, Process};
 
 impl Application for Zones {
     type LeaderData = Desk;
 
-    fn report(&mut self, now: Micros, _: &Member<Self>, _: &Vec<Host>) -> Word {
+    fn report(&mut self, now: Micros, _: &LocalReplica<Self>, _: &Vec<Host>) -> Word {
         self.hurries = false;
         self.tally.word(now, &self.map)
     }
--- a/zones/src/desk/look.rs
+++ b/zones/src/desk/look.rs
@@ -110,7 +110,7 @@
     pub(super) fn knows(&self) -> bool {
         let all = self.room.processes().count();
         let heard = self.room.processes().filter(|(_, heard)| self.room.heard_recently(heard)).count();
-        let long = self.room.now.saturating_sub(self.desk.began) > self.room.config.lease;
+        let long = self.room.now.saturating_sub(self.desk.began) > self.room.config.lease_duration;
         (heard * 3 >= all * 2 || long) && self.desk.asked.iter().flatten().any(|asked| *asked > 0)
     }
 
--- a/zones/src/desk/state.rs
+++ b/zones/src/desk/state.rs
@@ -62,7 +62,7 @@
                 learned[zone] = of.learned.clamp(1, 1_000);
             }
         }
-        let number = Version { fence: Some(room.ballot().clone()), seq: room.state_seq() };
+        let number = Version { ballot: Some(room.ballot().clone()), seq: room.state_seq() };
         room.state_mut().number = number;
         Desk {
             judge,
--- a/zones/src/desk/write.rs
+++ b/zones/src/desk/write.rs
@@ -91,7 +91,7 @@
     /// The plan is another: it gets the next number, and all are told.
     pub(super) fn tell(&mut self) {
         self.room.publish();
-        let number = Version { fence: Some(self.room.ballot().clone()), seq: self.room.state_seq() };
+        let number = Version { ballot: Some(self.room.ballot().clone()), seq: self.room.state_seq() };
         self.room.state_mut().number = number;
     }
 }
--- a/zones/src/plan.rs
+++ b/zones/src/plan.rs
@@ -184,7 +184,7 @@
     }
 
     /// The later plan, with the orders that stand in either: what an operator emptied stays so.
-    fn absorb(&mut self, other: &Plan) -> bool {
+    fn merge(&mut self, other: &Plan) -> bool {
         let before = self.clone();
         let mut earlier = other.clone();
         if other.number > self.number {
--- a/zones/src/view.rs
+++ b/zones/src/view.rs
@@ -4,7 +4,7 @@
 use crate::plan::Plan;
 use crate::word::Sight;
 use crate::zones::Zones;
-use flaxhead_lease::{Member, Micros, Version};
+use flaxhead_lease::{LocalReplica, Micros, Version};
 
 /// How a process finds a zone itself, now.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
@@ -63,7 +63,7 @@
 impl Zones {
     /// What may be chosen now: by the plan in force, the own zone and what is found here. What is found here goes
     /// first.
-    pub fn allow(&self, now: Micros, member: &Member<Zones>, here: &[Here]) -> Allow {
+    pub fn allow(&self, now: Micros, member: &LocalReplica<Zones>, here: &[Here]) -> Allow {
         match self.in_force(now, member).and_then(|plan| self.narrow(plan, here)) {
             Ok(narrowed) => Allow::By(narrowed),
             Err(lapse) => Allow::Alone(lapse),
@@ -71,7 +71,7 @@
     }
 
     /// The plan that is gone by.
-    pub fn in_force<'a>(&'a self, now: Micros, member: &'a Member<Zones>) -> Result<&'a Plan, Lapse> {
+    pub fn in_force<'a>(&'a self, now: Micros, member: &'a LocalReplica<Zones>) -> Result<&'a Plan, Lapse> {
         if !member.is_admitted() {
             return Err(Lapse::NotLetIn);
         }
@@ -80,8 +80,8 @@
         }
         // The last good one: where the one that was told last cannot be gone by, it is kept.
         let plan = &self.good;
-        let Some(fence) = &plan.number.fence else { return Err(Lapse::NoPlan) };
-        if member.fence().is_some_and(|heard| heard > fence) {
+        let Some(fence) = &plan.number.ballot else { return Err(Lapse::NoPlan) };
+        if member.highest_ballot().is_some_and(|heard| heard > fence) {
             return Err(Lapse::Superseded);
         }
         if plan.rows.is_empty() {
--- a/zones/src/zones.rs
+++ b/zones/src/zones.rs
@@ -41,13 +41,13 @@
 
     /// How the machine is to be paced. A plan that is forgotten is made anew from figures; a lease is how long an old
     /// one may be gone by at the longest.
-    pub fn config(lease: Micros) -> Config {
+    pub fn config(lease_duration: Micros) -> Config {
         Config {
-            lease,
-            max_call_duration: lease,
-            state_loss_timeout: 2 * lease,
-            autonomy_timeout: 2 * lease,
-            operator_wait: 0,
+            lease_duration,
+            max_call_duration: lease_duration,
+            state_loss_timeout: 2 * lease_duration,
+            autonomy_timeout: 2 * lease_duration,
+            operator_timeout: 0,
         }
     }
 
--- a/zones/tests/failover.rs
+++ b/zones/tests/failover.rs
@@ -53,7 +53,7 @@
 fn in_force(fleet: &Fleet, place: usize) -> Result<String, Lapse> {
     let machine = fleet.machine(place).expect("runs");
     let now = fleet.places[place].local(fleet.now);
-    machine.application().in_force(now, machine.member()).map(|plan| plan.number.to_string())
+    machine.application().in_force(now, machine.local_replica()).map(|plan| plan.number.to_string())
 }
 
 /// What must be so of every run.
@@ -478,7 +478,7 @@
         let here = |zone: u32| Here { listed: drawn >> zone & 1 == 1, fails: drawn >> (4 + zone) & 1 == 1 };
         let here: Vec<Here> = (0..4).map(here).collect();
         let may = |zone: &usize| here[*zone].listed && !here[*zone].fails && given(*zone);
-        match machine.application().allow(now, machine.member(), &here) {
+        match machine.application().allow(now, machine.local_replica(), &here) {
             Allow::Alone(lapse) => {
                 assert_eq!((lapse, (0..4).find(may)), (Lapse::NothingLeft, None));
             }
--- a/zones/tests/fleet/site.rs
+++ b/zones/tests/fleet/site.rs
@@ -132,8 +132,10 @@
     fn sends(&mut self, place: usize, calls: [f64; 3]) -> (Vec<f64>, f64) {
         let (count, local, here) = (self.map.count(), self.local(place), self.here(place));
         let all: f64 = calls.iter().sum();
-        let allow =
-            self.places[place].machine.as_ref().map(|m| m.application().allow(local, m.member(), &here));
+        let allow = self.places[place]
+            .machine
+            .as_ref()
+            .map(|m| m.application().allow(local, m.local_replica(), &here));
         let mut sends = vec![0.0; count];
         let through;
         let mut trials: Vec<usize> = (0..count).filter(|zone| here[*zone].fails).collect();
--- a/zones/tests/model/world.rs
+++ b/zones/tests/model/world.rs
@@ -200,7 +200,7 @@
     /// The plan that a process goes by now.
     fn goes_by<'a>(&self, world: &'a World, node: usize) -> Option<&'a Plan> {
         let machine = &world.nodes[node];
-        let (application, member) = (machine.application(), machine.member());
+        let (application, member) = (machine.application(), machine.local_replica());
         match (application.in_force(now(world.step), member), self.broken) {
             (Ok(plan), _) => Some(plan),
             (Err(Lapse::RanOut), Broken::Lapses) | (Err(Lapse::Superseded), Broken::Fence) => {
@@ -282,10 +282,10 @@
             let settled = world.settled.get(&plan.number);
             let old = settled.is_none_or(|(_, last)| world.step > last + LEASE_STEPS);
             let other = settled.is_some_and(|(rows, _)| *rows != plan.rows);
-            let fence = world.nodes[node].member().fence().cloned();
+            let fence = world.nodes[node].local_replica().highest_ballot().cloned();
             let checks = [
                 (plan.number < world.highest[node], "a process went back to a lower number"),
-                (plan.number.fence < fence, "a plan of a lower number than one heard of is gone by"),
+                (plan.number.ballot < fence, "a plan of a lower number than one heard of is gone by"),
                 (old, "a plan is gone by that was not settled within a lease"),
                 (other, "two plans have one number"),
             ];
@@ -362,7 +362,7 @@
     /// Each goes by the same plan, and has its own zone's traffic at home.
     pub fn all_go_by_one(&self) -> bool {
         let plan = |node: &Machine| {
-            let plan = node.application().in_force(now(self.step), node.member()).ok()?;
+            let plan = node.application().in_force(now(self.step), node.local_replica()).ok()?;
             let home = |row: &Row| row.shares.iter().any(|(to, part)| *to == row.from && *part >= 9_500);
             (plan.rows.len() == NODES && plan.rows.iter().all(home)).then(|| plan.number.clone())
         };
--- a/zones/tests/plan.rs
+++ b/zones/tests/plan.rs
@@ -21,8 +21,8 @@
 }
 
 fn plan(seq: u64, rows: Vec<Row>) -> Plan {
-    let fence = Some(Ballot { round: 1, name: Name::new("p1").expect("a name"), incarnation: 1 });
-    Plan { number: Version { fence, seq }, rows, ..Plan::default() }
+    let ballot = Some(Ballot { round: 1, name: Name::new("p1").expect("a name"), incarnation: 1 });
+    Plan { number: Version { ballot, seq }, rows, ..Plan::default() }
 }
 
 #[test]
@@ -107,9 +107,9 @@
     let early = Plan { emptied: vec![out("a"), out("b")], ..plan(1, vec![row("a", &[("a", PARTS)])]) };
     let late = Plan { emptied: vec![out("b")], ..plan(2, vec![row("a", &[("c", PARTS)])]) };
     for (mut one, other) in [(early.clone(), late.clone()), (late.clone(), early.clone())] {
-        assert!(one.absorb(&other));
+        assert!(one.merge(&other));
         assert_eq!((one.number.seq, &one.rows), (2, &late.rows));
         assert!(one.emptied("a") && one.emptied("b") && one.emptied.len() == 2);
-        assert!(!one.clone().absorb(&other));
+        assert!(!one.clone().merge(&other));
     }
 }
