--- a/maintenance/driver/src/participant.rs
+++ b/maintenance/driver/src/participant.rs
@@ -56,7 +56,7 @@
         }
         let timed = |excluded: &ExcludedHost| TimedExclusion {
             host: excluded.host.clone(),
-            from: clock.moment(excluded.from),
+            from: clock.to_instant(excluded.from),
         };
         self.hosts.exclude(excluded.iter().map(timed).collect());
         self.excluded.replace(excluded);
--- a/maintenance/src/application.rs
+++ b/maintenance/src/application.rs
@@ -5,7 +5,7 @@
 use crate::exclusion::excluded_from;
 use crate::facts::HostFacts;
 use crate::scheduler::Scheduler;
-use flaxhead_lease::{Application, LeaderContext, Member, Micros, Process};
+use flaxhead_lease::{Application, LeaderContext, LocalReplica, Micros, Process};
 
 /// Sequence number of the first schedule of a leader.
 const INITIAL_SCHEDULE_SEQ: u64 = 1;
@@ -14,9 +14,9 @@
     /// Empty: the schedule and the reports of the processes hold all that a leader needs.
     type LeaderData = ();
 
-    fn report(&mut self, _: Micros, member: &Member<Self>, facts: &HostFacts) -> UsageReport {
+    fn report(&mut self, _: Micros, replica: &LocalReplica<Self>, facts: &HostFacts) -> UsageReport {
         // The leader needs the calls at hosts that are excluded or will be.
-        let is_excluded = |host: &str| excluded_from(member, host).is_some();
+        let is_excluded = |host: &str| excluded_from(replica, host).is_some();
         let busy = self.usage.in_flight.iter().filter(|(host, calls)| **calls > 0 && is_excluded(host));
         UsageReport {
             busy: busy.map(|(host, calls)| (host.clone(), *calls)).collect(),
--- a/maintenance/src/exclusion.rs
+++ b/maintenance/src/exclusion.rs
@@ -2,7 +2,7 @@
 
 use crate::application_types::Maintenance;
 use crate::stage::Stage;
-use flaxhead_lease::{AdmissionStatus, Machine, Member, Micros};
+use flaxhead_lease::{AdmissionStatus, LocalReplica, Machine, Micros};
 use std::collections::BTreeSet;
 
 /// Host that receives no new calls.
@@ -15,25 +15,25 @@
 }
 
 /// Returns the time from which no new call is sent to a host; `None`: the host is not excluded.
-pub(crate) fn excluded_from(member: &Member<Maintenance>, host: &str) -> Option<Micros> {
-    let drains = &member.state().state.drains;
+pub(crate) fn excluded_from(replica: &LocalReplica<Maintenance>, host: &str) -> Option<Micros> {
+    let drains = &replica.state().state.drains;
     let stages = drains.iter().filter(|drain| drain.request.host == host).map(|drain| drain.stage);
     match stages.max()? {
         Stage::Requested | Stage::Recovering => None,
         // The leader waits only for admitted processes to confirm the drain, so others exclude the host at
         // once.
-        Stage::Scheduled => Some(if member.is_admitted() { member.lease_expiry() } else { 0 }),
+        Stage::Scheduled => Some(if replica.is_admitted() { replica.lease_expiry() } else { 0 }),
         Stage::Draining | Stage::OutOfService => Some(0),
     }
 }
 
 /// Returns the hosts that are excluded, now or from a later time.
 pub fn excluded_hosts(machine: &Machine<Maintenance>) -> Vec<ExcludedHost> {
-    let member = machine.member();
-    let drains = &member.state().state.drains;
+    let replica = machine.local_replica();
+    let drains = &replica.state().state.drains;
     let hosts: BTreeSet<&str> = drains.iter().map(|drain| drain.request.host.as_str()).collect();
     let excluded = |host: &str| {
-        let from = excluded_from(member, host)?;
+        let from = excluded_from(replica, host)?;
         Some(ExcludedHost { host: host.to_owned(), from })
     };
     hosts.into_iter().filter_map(excluded).collect()
@@ -42,5 +42,5 @@
 /// Returns whether a new call may be sent to a host now.
 pub fn may_send(machine: &Machine<Maintenance>, now: Micros, host: &str) -> bool {
     machine.admission_status() != AdmissionStatus::Pending
-        && excluded_from(machine.member(), host).is_none_or(|from| now < from)
+        && excluded_from(machine.local_replica(), host).is_none_or(|from| now < from)
 }
--- a/maintenance/src/schedule.rs
+++ b/maintenance/src/schedule.rs
@@ -97,7 +97,7 @@
 
     /// Merges a drain of another schedule into this one; the later stage wins. Returns whether this schedule
     /// changed.
-    fn absorb_drain(&mut self, other: &Drain) -> bool {
+    fn merge_drain(&mut self, other: &Drain) -> bool {
         match self.drains.iter_mut().find(|own| own.request.host == other.request.host) {
             Some(own) if own.stage >= other.stage => false,
             Some(own) => {
@@ -128,10 +128,10 @@
     }
 
     /// Merges the drains of another schedule that have been scheduled; requests are left out.
-    fn absorb(&mut self, other: &DrainSchedule) -> bool {
+    fn merge(&mut self, other: &DrainSchedule) -> bool {
         let mut is_changed = false;
         for drain in other.drains.iter().filter(|drain| drain.stage >= Stage::Scheduled) {
-            is_changed |= self.absorb_drain(drain);
+            is_changed |= self.merge_drain(drain);
         }
         is_changed
     }
--- a/maintenance/src/view.rs
+++ b/maintenance/src/view.rs
@@ -103,7 +103,7 @@
 /// Returns the state of maintenance as this process knows it.
 pub fn view(machine: &Machine<Maintenance>, now: Micros) -> MaintenanceView {
     let leader = machine.leader_state(now);
-    let mut schedule = machine.member().current_state(now).state;
+    let mut schedule = machine.local_replica().current_state(now).state;
     if let Some(leader) = leader {
         // A change of `waits_for` alone is not replicated, so the leader's own values are the latest.
         for drain in &mut schedule.drains {
--- a/maintenance/tests/disks/mod.rs
+++ b/maintenance/tests/disks/mod.rs
@@ -50,7 +50,7 @@
     pub(crate) fn write_snapshot(&self, world: &mut World, node: usize) -> Vec<Envelope<Maintenance>> {
         let mut out = Vec::new();
         if self.has_disks {
-            world.model.disks[node] =
+            world.environment.disks[node] =
                 Some((world.step, world.nodes[node].persistent_state(self.local_time(world, node))));
             self.confirm_write(world, node, &mut out);
         }
@@ -60,10 +60,10 @@
     /// Tells a node that its state is on the disk.
     pub(crate) fn confirm_write(&self, world: &mut World, node: usize, out: &mut Vec<Effect>) {
         let (facts, now) = (self.facts(world, node), self.local_time(world, node));
-        let mut random = FixedRandom::of(node);
+        let mut random = FixedRandom::for_node(node);
         let mut context = Context { now, facts: &facts, random: &mut random };
-        if let Some(mark) = world.nodes[node].persistence_mark() {
-            world.nodes[node].persisted(&mut context, mark, out);
+        if let Some(mark) = world.nodes[node].persistent_state_version() {
+            world.nodes[node].state_persisted(&mut context, mark, out);
         }
     }
 
@@ -75,14 +75,15 @@
         out: Vec<Effect>,
     ) -> Vec<Envelope<Maintenance>> {
         self.check_invariants(world);
-        world.sent(node, out)
+        world.sent_messages(node, out)
     }
 }
 
 #[test]
 fn a_restart_of_all_processes_with_any_disk_state_violates_no_invariant() {
-    for (max_faults, is_fine) in [(1, true), (2, false)] {
-        let (states, violated) = check_fleet(Fleet::new(Mutation::Unmodified, max_faults, is_fine, true));
+    for (max_faults, faults_between_messages) in [(1, true), (2, false)] {
+        let (states, violated) =
+            check_fleet(Fleet::new(Mutation::Unmodified, max_faults, faults_between_messages, true));
         println!("{states} states");
         assert!(violated.is_empty() && states > 10_000, "{states} {violated:?}");
     }
@@ -95,21 +96,21 @@
 
 /// Returns the steps from a restart of all until all are admitted, and whether any process reported a lost
 /// state.
-fn recovery_after_restart(found: DiskState) -> (u8, bool) {
+fn recovery_after_restart(restart_state: DiskState) -> (u8, bool) {
     let mut fleet = Fleet::new(Mutation::Unmodified, 0, true, true);
     // Longer than the admission of all takes.
     fleet.duration_steps = 40;
     let mut world = (0..6).fold(fleet.first.clone(), |world, _| fleet.next(&world, Fault::Nothing));
     // A fault strikes before a message, so the step must have one.
-    while fleet.run(&world, Fault::Nothing).messages == 0 {
+    while fleet.run_step(&world, Fault::Nothing).messages == 0 {
         world = fleet.next(&world, Fault::Nothing);
     }
     assert!(
-        world.model.free_since.contains_key(&host_name(0)) && world.model.returned.is_empty(),
+        world.environment.free_since.contains_key(&host_name(0)) && world.environment.returned.is_empty(),
         "one host is out of service"
     );
     let at = world.step;
-    world = fleet.next(&world, Fault::RestartAll { found, place: 0 });
+    world = fleet.next(&world, Fault::RestartAll { restart_state, place: 0 });
     assert!(
         world.nodes.iter().all(|node| node.admission_status() == AdmissionStatus::Pending),
         "all processes have restarted"
@@ -126,7 +127,7 @@
     }
     assert_eq!(
         excluded_by_all,
-        found == DiskState::Latest,
+        restart_state == DiskState::Latest,
         "a process excludes the host from its start on if its disk has the schedule"
     );
     (world.step - at, state_lost)
--- a/maintenance/tests/fleet/mod.rs
+++ b/maintenance/tests/fleet/mod.rs
@@ -236,7 +236,7 @@
             ..Limits::default()
         };
         let config = Config {
-            lease: self.scenario.lease,
+            lease_duration: self.scenario.lease,
             max_call_duration: 2 * SECOND,
             autonomy_timeout: Micros::MAX,
             ..Config::default()
@@ -628,8 +628,8 @@
             self.submit_command(index, command);
         }
         // The completion was lost if the host has returned and its drain is still out of service.
-        let is_returned = |drain: &&Drain| {
-            drain.stage == Stage::OutOfService && !self.free_hosts.contains(&drain.request.host)
+        let is_returned = |open: &&Drain| {
+            open.stage == Stage::OutOfService && !self.free_hosts.contains(&open.request.host)
         };
         let returned: Vec<(u64, bool)> = schedule
             .drains
--- a/maintenance/tests/model.rs
+++ b/maintenance/tests/model.rs
@@ -14,7 +14,7 @@
     excluded_hosts, may_send, view, Command, Context, DrainRequest, Effect, ExcludedHost, Facts, HostFacts,
     HostStatus, HostUsage, Machine, Maintenance, Message, SchedulerConfig, Stage,
 };
-use flaxhead_rig::{ActiveFault, Bounds, Envelope, FixedRandom, Fleet as _, LastingFault};
+use flaxhead_rig::{ActiveFault, Bounds, Envelope, FixedRandom, LastingFault, SystemModel as _};
 use stateright::{Checker, Model, Property};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -54,7 +54,7 @@
     /// A state is confirmed before it is written to the disk.
     ConfirmBeforeWrite,
     /// Recovery replies do not name the peers that have the state.
-    HidePeers,
+    NoPeers,
     /// Recovery replies carry an empty state, declared complete.
     ForgeEmptyState,
     /// Recovery replies do not tell that the sender has a lease or the state.
@@ -77,7 +77,7 @@
     declaration_wait: Micros,
 }
 
-type World = flaxhead_rig::World<Maintenance, ModelState>;
+type World = flaxhead_rig::SystemState<Maintenance, ModelState>;
 type Fault = flaxhead_rig::Fault<DiskState>;
 
 struct Fleet {
@@ -85,14 +85,14 @@
     /// Maximum number of faults in one history.
     max_faults: u8,
     /// Faults occur between any two messages, not only between steps.
-    is_fine: bool,
+    faults_between_messages: bool,
     /// Processes persist their state.
     has_disks: bool,
     /// Duration of a maintenance, in steps.
     duration_steps: u8,
     fault_kinds: &'static [LastingFault],
     /// Nodes that faults strike.
-    faulty_nodes: Vec<usize>,
+    fault_targets: Vec<usize>,
     /// Node whose messages reach nobody, though the membership lists it as alive.
     mute_node: Option<usize>,
     first: World,
@@ -120,11 +120,17 @@
 }
 
 impl Fleet {
-    fn new(mutation: Mutation, max_faults: u8, is_fine: bool, has_disks: bool) -> Fleet {
-        Fleet::with_nodes(VOTER_COUNT, mutation, max_faults, is_fine, has_disks)
+    fn new(mutation: Mutation, max_faults: u8, faults_between_messages: bool, has_disks: bool) -> Fleet {
+        Fleet::with_nodes(VOTER_COUNT, mutation, max_faults, faults_between_messages, has_disks)
     }
 
-    fn with_nodes(nodes: usize, mutation: Mutation, max_faults: u8, is_fine: bool, has_disks: bool) -> Fleet {
+    fn with_nodes(
+        nodes: usize,
+        mutation: Mutation,
+        max_faults: u8,
+        faults_between_messages: bool,
+        has_disks: bool,
+    ) -> Fleet {
         let mut first = World::new(ModelState {
             in_flight: BTreeMap::new(),
             free_since: BTreeMap::new(),
@@ -139,18 +145,18 @@
         for node in 0..nodes {
             let machine = machine(mutation, node, &mut first, true);
             let time = time_at(first.step);
-            first.nodes.push(if has_disks { machine.with_disk(time, None, 0) } else { machine });
+            first.nodes.push(if has_disks { machine.with_persistence(time, None, 0) } else { machine });
         }
-        let (duration_steps, fault_kinds, faulty_nodes, mute_node) =
+        let (duration_steps, fault_kinds, fault_targets, mute_node) =
             (if has_disks { 12 } else { 3 }, LastingFault::ALL, (0..nodes).collect(), None);
         let mut fleet = Fleet {
             mutation,
             max_faults,
-            is_fine,
+            faults_between_messages,
             has_disks,
             duration_steps,
             fault_kinds,
-            faulty_nodes,
+            fault_targets,
             mute_node,
             first,
         };
@@ -170,7 +176,7 @@
             fleet.submit_command(&mut world, number, Command::Request(drain_request(host_name(number))));
         }
         let call_at = |node| ((node, host_name(0)), 3);
-        world.model.in_flight = BTreeMap::from([call_at(1), call_at(2)]);
+        world.environment.in_flight = BTreeMap::from([call_at(1), call_at(2)]);
         fleet.first = world;
         fleet
     }
@@ -184,9 +190,10 @@
             warmth: 1_000,
             weight: 1_000,
         };
-        let presence = |node| if world.is_away(of, node) { Presence::Unreachable } else { Presence::Alive };
+        let presence =
+            |node| if world.is_unheard(of, node) { Presence::Unreachable } else { Presence::Alive };
         Facts {
-            members: world.members(of, presence),
+            members: world.member_statuses(of, presence),
             participates: true,
             application: HostFacts {
                 hosts: (0..2).map(|number| (host_name(number), fact.clone())).collect(),
@@ -197,7 +204,7 @@
 
     fn submit_command(&self, world: &mut World, node: usize, command: Command) {
         let (facts, time) = (self.facts(world, node), time_at(world.step));
-        let mut random = FixedRandom::of(node);
+        let mut random = FixedRandom::for_node(node);
         let mut context = Context { now: time, facts: &facts, random: &mut random };
         // The first transmission is lost; the process sends the command again.
         world.nodes[node].submit(&mut context, time + node as u64, command, 20 * LEASE, &mut Vec::new());
@@ -219,15 +226,17 @@
     fn mutate_message(&self, world: &World, to: usize, mut message: Message) -> Message {
         match (&mut message, self.mutation) {
             (Message::Renew(renewal), Mutation::AssumeConfirmed) => {
-                renewal.version = world.nodes[to].member().state().version.clone();
+                renewal.version = world.nodes[to].local_replica().state().version.clone();
             }
             (Message::StateUpdate { state }, Mutation::AcceptOldState) => {
-                let own = &world.nodes[to].member().state().version;
+                let own = &world.nodes[to].local_replica().state().version;
                 if state.version < *own {
                     state.version = own.clone();
                 }
             }
-            (Message::RecoveryReply(reply), Mutation::HidePeers) => reply.status.informed_peers.clear(),
+            (Message::RecoveryReply(reply), Mutation::NoPeers) => {
+                reply.status.peers_with_complete_state.clear()
+            }
             (Message::RecoveryReply(reply), Mutation::ForgeEmptyState) => {
                 reply.state = reply.state.take().map(|_| Versioned::default());
                 reply.status.has_complete_state = true;
@@ -235,7 +244,7 @@
             (Message::RecoveryReply(reply), Mutation::HideRecoveryStatus) => {
                 let status = &mut reply.status;
                 (status.voter, status.has_complete_state, status.has_lease) = (None, false, false);
-                status.informed_peers.clear();
+                status.peers_with_complete_state.clear();
             }
             _ => {}
         }
@@ -248,9 +257,9 @@
             for drain in &world.nodes[node].state().drains {
                 if drain.is_free
                     && drain.stage == Stage::OutOfService
-                    && !world.model.returned.contains(&drain.request.host)
+                    && !world.environment.returned.contains(&drain.request.host)
                 {
-                    world.model.free_since.entry(drain.request.host.clone()).or_insert(world.step);
+                    world.environment.free_since.entry(drain.request.host.clone()).or_insert(world.step);
                 }
             }
         }
@@ -260,15 +269,16 @@
         if leading.len() > 1 {
             violation = Some("two processes lead at the same time");
         }
-        let highest_ballot = world.model.leader_ballots.last();
+        let highest_ballot = world.environment.leader_ballots.last();
         if leading
             .iter()
-            .any(|b| !world.model.leader_ballots.contains(b) && highest_ballot.is_some_and(|h| h > b))
+            .any(|b| !world.environment.leader_ballots.contains(b) && highest_ballot.is_some_and(|h| h > b))
         {
             violation = Some("a new leader has a lower ballot than an earlier one");
         }
-        world.model.leader_ballots.extend(leading.into_iter().cloned().collect::<Vec<_>>());
-        let out = world.model.free_since.keys().filter(|host| !world.model.returned.contains(*host));
+        world.environment.leader_ballots.extend(leading.into_iter().cloned().collect::<Vec<_>>());
+        let out =
+            world.environment.free_since.keys().filter(|host| !world.environment.returned.contains(*host));
         if out.clone().count() > 1 {
             violation = Some("more hosts are out of service than the limit");
         }
@@ -277,7 +287,7 @@
                 if self.may_send_to(world, node, host) {
                     violation = Some("a call may be sent to a host that was reported free");
                 }
-                let until = world.model.in_flight.get(&(node, host.clone())).copied().unwrap_or(0);
+                let until = world.environment.in_flight.get(&(node, host.clone())).copied().unwrap_or(0);
                 if world.step < until + self.first.step && until > 0 {
                     violation = Some("a call is in flight at a host that was reported free");
                 }
@@ -302,21 +312,21 @@
         }
     }
 
-    fn restart(&self, world: &mut World, node: usize, found: DiskState) {
+    fn restart(&self, world: &mut World, node: usize, restart_state: DiskState) {
         let fresh = machine(self.mutation, node, world, false);
-        let on_disk = world.model.disks[node].clone().filter(|_| found != DiskState::AllLost);
-        let on_disk = match found {
-            DiskState::Outdated => self.first.model.disks[node].clone(),
+        let on_disk = world.environment.disks[node].clone().filter(|_| restart_state != DiskState::AllLost);
+        let on_disk = match restart_state {
+            DiskState::Outdated => self.first.environment.disks[node].clone(),
             DiskState::FirstLost if node == 0 => None,
             DiskState::FirstUndetectablyOutdated if node == 0 => {
-                self.first.model.disks[node].clone().map(|(_, memory)| (world.step, memory))
+                self.first.environment.disks[node].clone().map(|(_, memory)| (world.step, memory))
             }
             _ => on_disk,
         };
         let (loaded, time) = (self.load_snapshot(world, on_disk), time_at(world.step));
-        world.nodes[node] = if self.has_disks { fresh.with_disk(time, loaded, 0) } else { fresh };
+        world.nodes[node] = if self.has_disks { fresh.with_persistence(time, loaded, 0) } else { fresh };
         if self.mutation == Mutation::SkipQuarantine {
-            self.react(world, node, None);
+            self.handle_event(world, node, None);
             for other in (0..world.nodes.len()).filter(|other| *other != node) {
                 let forged = Message::VoterRecoveryResponse(Box::new(VoterRecoveryResponse {
                     nonce: 1,
@@ -326,11 +336,11 @@
                     roster: Roster::default(),
                     state: Versioned::default(),
                 }));
-                self.react(world, node, Some((other, forged)));
+                self.handle_event(world, node, Some((other, forged)));
             }
         }
         // The calls of the crashed process end with it.
-        world.model.in_flight.retain(|(who, _), _| *who != node);
+        world.environment.in_flight.retain(|(who, _), _| *who != node);
     }
 
     /// Where the processes have lost their state and no fault is active, operators request the drains of the
@@ -342,8 +352,13 @@
         else {
             return;
         };
-        let out: Vec<String> =
-            world.model.free_since.keys().filter(|h| !world.model.returned.contains(*h)).cloned().collect();
+        let out: Vec<String> = world
+            .environment
+            .free_since
+            .keys()
+            .filter(|h| !world.environment.returned.contains(*h))
+            .cloned()
+            .collect();
         for host in &out {
             if world.nodes[node]
                 .state()
@@ -376,23 +391,26 @@
         self.restore_schedule(world);
         // A request may have been lost, so operators repeat it.
         for (node, host) in (0..2).map(|n| (n, host_name(n))) {
-            let is_not_free = !world.model.free_since.contains_key(&host) && world.step.is_multiple_of(10);
+            let is_not_free =
+                !world.environment.free_since.contains_key(&host) && world.step.is_multiple_of(10);
             if is_not_free && !world.is_frozen(node) {
                 self.submit_command(world, node, Command::Request(drain_request(host)));
             }
         }
         let finished_hosts: Vec<String> = world
-            .model
+            .environment
             .free_since
             .iter()
-            .filter(|(h, at)| world.step >= **at + self.duration_steps && !world.model.returned.contains(*h))
+            .filter(|(h, at)| {
+                world.step >= **at + self.duration_steps && !world.environment.returned.contains(*h)
+            })
             .map(|(h, _)| h.clone())
             .collect();
         for host in finished_hosts {
             // The host serves from now on, even before the processes learn of it.
-            world.model.returned.insert(host);
+            world.environment.returned.insert(host);
         }
-        for host in world.model.returned.clone() {
+        for host in world.environment.returned.clone() {
             for node in 0..world.nodes.len() {
                 let drain = world.nodes[node]
                     .state()
@@ -410,33 +428,33 @@
     }
 
     fn next(&self, world: &World, fault: Fault) -> World {
-        self.run(world, fault).world
+        self.run_step(world, fault).world
     }
 }
 
-impl flaxhead_rig::Fleet for Fleet {
+impl flaxhead_rig::SystemModel for Fleet {
     type Application = Maintenance;
-    type Model = ModelState;
-    type Found = DiskState;
+    type Environment = ModelState;
+    type RestartState = DiskState;
 
     fn bounds(&self) -> Bounds<'_, DiskState> {
-        let Fleet { max_faults, is_fine, faulty_nodes, fault_kinds, .. } = self;
+        let Fleet { max_faults, faults_between_messages, fault_targets, fault_kinds, .. } = self;
         let (first, faulty) = (self.first.step, self.fault_window_steps());
-        let found = if self.has_disks { DiskState::ALL } else { &[] };
+        let restart_states = if self.has_disks { DiskState::ALL } else { &[] };
         Bounds {
             first_step: first,
             max_faults: *max_faults,
-            is_fine: *is_fine,
-            nodes: faulty_nodes,
+            faults_between_messages: *faults_between_messages,
+            faulty_nodes: fault_targets,
             lasting_kinds: fault_kinds,
             lasting_steps: FAULT_STEPS,
-            found,
-            faulty_steps: faulty,
+            restart_states,
+            fault_steps: faulty,
             steps: HISTORY_STEPS,
         }
     }
 
-    fn react(
+    fn handle_event(
         &self,
         world: &mut World,
         node: usize,
@@ -444,12 +462,12 @@
     ) -> Vec<Envelope<Maintenance>> {
         let facts = self.facts(world, node);
         let time = self.local_time(world, node);
-        let mut random = FixedRandom::of(node);
+        let mut random = FixedRandom::for_node(node);
         let mut context = Context { now: time, facts: &facts, random: &mut random };
         let mut out = Vec::new();
         let host_usage = |number: usize| {
             let is_busy = world
-                .model
+                .environment
                 .in_flight
                 .get(&(node, host_name(number)))
                 .is_some_and(|until| world.step < *until + self.first.step);
@@ -476,11 +494,11 @@
         self.restart(world, node, DiskState::Latest);
     }
 
-    fn restart_all(&self, world: &mut World, found: DiskState) {
-        (0..world.nodes.len()).for_each(|node| self.restart(world, node, found));
-        if matches!(found, DiskState::AllLost | DiskState::Outdated) {
+    fn restart_all(&self, world: &mut World, restart_state: DiskState) {
+        (0..world.nodes.len()).for_each(|node| self.restart(world, node, restart_state));
+        if matches!(restart_state, DiskState::AllLost | DiskState::Outdated) {
             // No process remembers any ballot, so numbering may start again.
-            world.model.leader_ballots.clear();
+            world.environment.leader_ballots.clear();
         }
     }
 
@@ -488,32 +506,32 @@
         self.check_invariants(world);
     }
 
-    fn act(&self, world: &mut World, node: usize) -> Vec<Envelope<Maintenance>> {
+    fn tick(&self, world: &mut World, node: usize) -> Vec<Envelope<Maintenance>> {
         let mut out = self.write_snapshot(world, node);
-        out.extend(self.react(world, node, None));
+        out.extend(self.handle_event(world, node, None));
         out
     }
 
-    fn after_acting(&self, world: &mut World) {
+    fn after_ticks(&self, world: &mut World) {
         if self.first.step > 0 {
             self.run_operators(world);
         }
     }
 
-    fn is_received(&self, world: &World, node: usize) -> bool {
-        world.is_received(node) && self.mute_node != Some(node)
+    fn can_send(&self, world: &World, node: usize) -> bool {
+        world.can_send(node) && self.mute_node != Some(node)
     }
 }
 
 fn machine(mutation: Mutation, node: usize, world: &mut World, first: bool) -> Machine {
-    world.starts += 1;
+    world.process_starts += 1;
     let voters = Voters::new((0..VOTER_COUNT).map(node_name).collect(), Vec::new()).expect("voters");
-    let ModelState { autonomy_delay, declaration_wait, .. } = world.model;
+    let ModelState { autonomy_delay, declaration_wait, .. } = world.environment;
     let config = Config {
-        lease: LEASE,
+        lease_duration: LEASE,
         max_call_duration: 2 * STEP,
         autonomy_timeout: autonomy_delay,
-        operator_wait: declaration_wait,
+        operator_timeout: declaration_wait,
         ..Config::default()
     };
     let mut scheduler = SchedulerConfig {
@@ -527,7 +545,7 @@
     }
     let me = Process {
         name: node_name(node),
-        incarnation: 100 * world.starts + node as u64,
+        incarnation: 100 * world.process_starts + node as u64,
         address: address(node),
     };
     let time = time_at(world.step);
@@ -544,7 +562,7 @@
     }
 
     fn actions(&self, world: &World, faults: &mut Vec<Fault>) {
-        flaxhead_rig::Fleet::faults(self, world, faults);
+        flaxhead_rig::SystemModel::list_faults(self, world, faults);
     }
 
     fn next_state(&self, world: &World, fault: Fault) -> Option<World> {
@@ -557,15 +575,19 @@
             Property::always(
                 "both drains complete once the faults have ended",
                 |fleet: &Fleet, world: &World| {
-                    world.step < fleet.first.step + HISTORY_STEPS || world.model.returned.len() == 2
+                    world.step < fleet.first.step + HISTORY_STEPS || world.environment.returned.len() == 2
                 },
             ),
         ]
     }
 }
 
-fn check_model(mutation: Mutation, max_faults: u8, is_fine: bool) -> (u64, Vec<&'static str>) {
-    check_fleet(Fleet::new(mutation, max_faults, is_fine, false))
+fn check_model(
+    mutation: Mutation,
+    max_faults: u8,
+    faults_between_messages: bool,
+) -> (u64, Vec<&'static str>) {
+    check_fleet(Fleet::new(mutation, max_faults, faults_between_messages, false))
 }
 
 fn check_fleet(fleet: Fleet) -> (u64, Vec<&'static str>) {
@@ -578,7 +600,7 @@
             let last = path.last_state().clone();
             let faults: Vec<(usize, &Fault)> =
                 faults.iter().enumerate().filter(|(_, a)| **a != Fault::Nothing).collect();
-            println!("{name}: {faults:?}\n{:?}, {:?}", last.violation, last.model.free_since);
+            println!("{name}: {faults:?}\n{:?}, {:?}", last.violation, last.environment.free_since);
             for node in &last.nodes {
                 println!("{:?}", view(node, time_at(last.step)));
             }
@@ -613,8 +635,8 @@
         (Mutation::AcceptOldState, 1, true),
     ];
     let mut undetected = Vec::new();
-    for (mutation, max_faults, is_fine) in mutations {
-        let (states, violated) = check_model(mutation, max_faults, is_fine);
+    for (mutation, max_faults, faults_between_messages) in mutations {
+        let (states, violated) = check_model(mutation, max_faults, faults_between_messages);
         println!("{mutation:?}: {states} states, {violated:?}");
         undetected.extend((!violated.contains(&"all invariants hold")).then_some(mutation));
     }
@@ -629,8 +651,8 @@
         .find(|n| fleet.first.nodes[*n].leading_ballot(time_at(fleet.first.step)).is_some())
         .expect("a leader");
     let others: Vec<usize> = (0..VOTER_COUNT).filter(|node| *node != leader).collect();
-    let mut world =
-        fleet.next(&fleet.first, Fault::Begin { node: others[0], kind: LastingFault::Deaf, place: 0 });
+    let mut world = fleet
+        .next(&fleet.first, Fault::Begin { node: others[0], kind: LastingFault::InboundBlocked, place: 0 });
     while world.active_fault.is_some_and(|fault| fault.steps_left > 2) {
         world = fleet.next(&world, Fault::Nothing);
     }
@@ -654,16 +676,16 @@
 fn fleet_without_voter_state(nodes: usize, mutation: Mutation, max_faults: u8) -> Fleet {
     let mut fleet = Fleet::with_nodes(nodes, mutation, max_faults, true, false);
     fleet.duration_steps = 30;
-    fleet.first.model.in_flight.clear();
+    fleet.first.environment.in_flight.clear();
     let mut world = fleet.first.clone();
-    while world.model.free_since.is_empty() {
+    while world.environment.free_since.is_empty() {
         world = fleet.next(&world, Fault::Nothing);
     }
     for voter in 0..VOTER_COUNT {
         fleet.restart(&mut world, voter, DiskState::AllLost);
     }
     // Spares the only process that still has the schedule.
-    fleet.faulty_nodes = (0..if nodes == VOTER_COUNT + 1 { VOTER_COUNT } else { nodes }).collect();
+    fleet.fault_targets = (0..if nodes == VOTER_COUNT + 1 { VOTER_COUNT } else { nodes }).collect();
     fleet.first = world;
     fleet
 }
@@ -675,7 +697,7 @@
         println!("{nodes}: {states} states");
         assert!(violated.is_empty() && states > 10_000, "{states} {violated:?}");
     }
-    for mutation in [Mutation::HidePeers, Mutation::ForgeEmptyState] {
+    for mutation in [Mutation::NoPeers, Mutation::ForgeEmptyState] {
         let (states, violated) = check_fleet(fleet_without_voter_state(VOTER_COUNT + 1, mutation, 1));
         assert!(violated.contains(&"all invariants hold"), "{mutation:?}: {states} states");
     }
@@ -686,12 +708,12 @@
     let mut fleet = Fleet::with_nodes(VOTER_COUNT, mutation, 2, false, false);
     fleet.duration_steps = 30;
     fleet.fault_kinds = &[LastingFault::Frozen];
-    fleet.first.model.in_flight.clear();
+    fleet.first.environment.in_flight.clear();
     let mut world = fleet.first.clone();
-    while world.model.free_since.is_empty() {
+    while world.environment.free_since.is_empty() {
         world = fleet.next(&world, Fault::Nothing);
     }
-    world.model.autonomy_delay = 8 * STEP;
+    world.environment.autonomy_delay = 8 * STEP;
     fleet.first = world;
     fleet
 }
@@ -713,7 +735,7 @@
         let mut fleet = fleet_without_voter_state(VOTER_COUNT + 1, Mutation::Unmodified, 0);
         (fleet.duration_steps, fleet.mute_node) = (1, mute_node);
         let end = (0..HISTORY_STEPS).fold(fleet.first.clone(), |world, _| fleet.next(&world, Fault::Nothing));
-        end.model.returned.len() == 2
+        end.environment.returned.len() == 2
     };
     assert!(both_drains_complete(None));
     assert!(
--- a/proxy/src/features/maintenance/tests.rs
+++ b/proxy/src/features/maintenance/tests.rs
@@ -12,7 +12,7 @@
         (
             settings.scheduler.limits.max_total,
             settings.scheduler.limits.load_margin_per_mille,
-            settings.config.lease
+            settings.config.lease_duration
         ),
         (2, 500, 2_000_000)
     );
