--- a/maintenance/tests/fleet/mod.rs
+++ b/maintenance/tests/fleet/mod.rs
@@ -628,9 +628,8 @@
             self.submit_command(index, command);
         }
         // The completion was lost if the host has returned and its drain is still out of service.
-        let is_returned = |open: &&Drain| {
-            open.stage == Stage::OutOfService && !self.free_hosts.contains(&open.request.host)
-        };
+        let is_returned =
+            |row: &&Drain| row.stage == Stage::OutOfService && !self.free_hosts.contains(&row.request.host);
         let returned: Vec<(u64, bool)> = schedule
             .drains
             .iter()
--- a/maintenance/tests/model.rs
+++ b/maintenance/tests/model.rs
@@ -54,7 +54,7 @@
     /// A state is confirmed before it is written to the disk.
     ConfirmBeforeWrite,
     /// Recovery replies do not name the peers that have the state.
-    NoPeers,
+    HidePeers,
     /// Recovery replies carry an empty state, declared complete.
     ForgeEmptyState,
     /// Recovery replies do not tell that the sender has a lease or the state.
@@ -234,7 +234,7 @@
                     state.version = own.clone();
                 }
             }
-            (Message::RecoveryReply(reply), Mutation::NoPeers) => {
+            (Message::RecoveryReply(reply), Mutation::HidePeers) => {
                 reply.status.peers_with_complete_state.clear()
             }
             (Message::RecoveryReply(reply), Mutation::ForgeEmptyState) => {
@@ -697,7 +697,7 @@
         println!("{nodes}: {states} states");
         assert!(violated.is_empty() && states > 10_000, "{states} {violated:?}");
     }
-    for mutation in [Mutation::NoPeers, Mutation::ForgeEmptyState] {
+    for mutation in [Mutation::HidePeers, Mutation::ForgeEmptyState] {
         let (states, violated) = check_fleet(fleet_without_voter_state(VOTER_COUNT + 1, mutation, 1));
         assert!(violated.contains(&"all invariants hold"), "{mutation:?}: {states} states");
     }
--- a/maintenance/tests/wire_format.rs
+++ b/maintenance/tests/wire_format.rs
@@ -1,10 +1,10 @@
-//! The bytes of everything that the proxies exchange and store for host maintenance. postcard encodes fields and
-//! variants by position, so a reordered variant or an inserted field changes the protocol: these bytes must not change.
+//! Encoded forms of the messages, commands and persistent state of host maintenance. postcard encodes fields
+//! and variants by position, so a reordered variant or an inserted field changes the protocol.
 
 use flaxhead_lease::{
     Acceptance, Ballot, Denial, LeaseGrant, Message, Name, PersistentState, Process, Promise, Proposal,
-    RecoveryQuery, RecoveryReply, RecoveryState, RecoveryStatus as LeaseWord, Renewal, Roster, Version,
-    Versioned, VoterRecoveryResponse, VoterSetHashes,
+    RecoveryQuery, RecoveryReply, RecoveryState, RecoveryStatus as LeaseRecoveryStatus, Renewal, Roster,
+    Version, Versioned, VoterRecoveryResponse, VoterSetHashes,
 };
 use flaxhead_maintenance::{
     Command, CommandResponse, CompletedDrain, Drain, DrainRequest, DrainSchedule, Maintenance, Outcome,
@@ -50,7 +50,7 @@
     Roster { version: Version { ballot: None, seq: 2 }, processes: BTreeSet::from([process()]) }
 }
 
-fn ask() -> DrainRequest {
+fn request() -> DrainRequest {
     DrainRequest {
         host: "h1".to_owned(),
         kind: "kernel".to_owned(),
@@ -62,10 +62,10 @@
     }
 }
 
-fn turn(stage: Stage) -> Drain {
+fn drain(stage: Stage) -> Drain {
     Drain {
         id: 3,
-        request: ask(),
+        request: request(),
         stage,
         stage_seq: 4,
         stage_age: 50,
@@ -74,23 +74,23 @@
     }
 }
 
-fn past(end: Outcome) -> CompletedDrain {
-    CompletedDrain { id: 1, host: "h0".to_owned(), by: "ops".to_owned(), outcome: end }
+fn completed_drain(result: Outcome) -> CompletedDrain {
+    CompletedDrain { id: 1, host: "h0".to_owned(), by: "ops".to_owned(), outcome: result }
 }
 
-fn board() -> DrainSchedule {
+fn schedule() -> DrainSchedule {
     DrainSchedule {
         last_id: 4,
-        drains: vec![turn(Stage::OutOfService)],
-        completed: VecDeque::from([past(Outcome::Completed)]),
+        drains: vec![drain(Stage::OutOfService)],
+        completed: VecDeque::from([completed_drain(Outcome::Completed)]),
     }
 }
 
-fn told() -> Versioned<DrainSchedule> {
-    Versioned { version: version(), state: board() }
+fn versioned_schedule() -> Versioned<DrainSchedule> {
+    Versioned { version: version(), state: schedule() }
 }
 
-fn word() -> UsageReport {
+fn usage_report() -> UsageReport {
     UsageReport {
         busy: BTreeMap::from([("h1".to_owned(), 2)]),
         load_millicalls: 1_500,
@@ -98,8 +98,8 @@
     }
 }
 
-fn lease_word() -> LeaseWord {
-    LeaseWord {
+fn recovery_status() -> LeaseRecoveryStatus {
+    LeaseRecoveryStatus {
         voter: Some(RecoveryState::Recovering),
         has_complete_state: true,
         has_lease: false,
@@ -109,15 +109,15 @@
 }
 
 #[test]
-#[expect(clippy::too_many_lines, reason = "one case after the other")]
-fn every_message_keeps_its_bytes() {
-    let order = Command::Complete { drain: 3, by: "ops".to_owned() };
+#[expect(clippy::too_many_lines, reason = "a list of cases")]
+fn encoded_messages_do_not_change() {
+    let complete = Command::Complete { drain: 3, by: "ops".to_owned() };
     let promise = Promise {
         ballot: ballot(),
         incarnation: 9,
         recovery: RecoveryState::Recovered,
         roster: roster(),
-        state: told(),
+        state: versioned_schedule(),
     };
     let renewal = Renewal {
         process: process(),
@@ -125,7 +125,7 @@
         has_complete_state: true,
         version: version(),
         highest_ballot: Some(ballot()),
-        report: word(),
+        report: usage_report(),
     };
     let messages: Vec<(&str, Message<Maintenance>)> = vec![
         (
@@ -149,24 +149,27 @@
             Message::Accepted(Acceptance { ballot: ballot(), round: 2, incarnation: 9, roster: version() }),
         ),
         (
-            "Recall",
+            "VoterRecoveryRequest",
             Message::VoterRecoveryRequest { nonce: 11, voter_sets: VoterSetHashes { current: 1, next: 2 } },
         ),
         (
-            "Recalled",
+            "VoterRecoveryResponse",
             Message::VoterRecoveryResponse(Box::new(VoterRecoveryResponse {
                 nonce: 11,
                 recovery: RecoveryState::StateLost,
                 promised: None,
                 lease_left: 6,
                 roster: roster(),
-                state: told(),
+                state: versioned_schedule(),
             })),
         ),
-        ("Tell", Message::StateUpdate { state: told() }),
+        ("StateUpdate", Message::StateUpdate { state: versioned_schedule() }),
         ("Renew", Message::Renew(Box::new(renewal))),
-        ("Show", Message::StateRequest { ballot: ballot() }),
-        ("Shown", Message::StateResponse { ballot: ballot(), state: told(), is_complete: true }),
+        ("StateRequest", Message::StateRequest { ballot: ballot() }),
+        (
+            "StateResponse",
+            Message::StateResponse { ballot: ballot(), state: versioned_schedule(), is_complete: true },
+        ),
         (
             "Granted",
             Message::Granted(Box::new(LeaseGrant {
@@ -178,21 +181,21 @@
             })),
         ),
         (
-            "Inquire",
+            "RecoveryQuery",
             Message::RecoveryQuery(RecoveryQuery { incarnation: 9, sent_at: 1_000, wants_state: true }),
         ),
         (
-            "Informed",
+            "RecoveryReply",
             Message::RecoveryReply(Box::new(RecoveryReply {
                 incarnation: 9,
                 requested_at: 1_000,
-                status: lease_word(),
-                state: Some(told()),
+                status: recovery_status(),
+                state: Some(versioned_schedule()),
             })),
         ),
-        ("NotHolder", Message::NotLeader { leader: Some(name("n1")), highest_ballot: Some(ballot()) }),
-        ("Order", Message::Command { id: 4, command: order }),
-        ("Answer", Message::CommandResponse { id: 4, result: Ok(CommandResponse::Done) }),
+        ("NotLeader", Message::NotLeader { leader: Some(name("n1")), highest_ballot: Some(ballot()) }),
+        ("Command", Message::Command { id: 4, command: complete }),
+        ("CommandResponse", Message::CommandResponse { id: 4, result: Ok(CommandResponse::Done) }),
     ];
     let encoded: Vec<Encoded> = messages.iter().map(|(name, message)| (*name, bytes(message))).collect();
     assert_encoded(&encoded, EXPECTED_MESSAGES);
@@ -203,7 +206,7 @@
 }
 
 #[test]
-fn every_state_of_a_voter_keeps_its_number() {
+fn encoded_recovery_states_do_not_change() {
     let states = [
         RecoveryState::Quarantined,
         RecoveryState::Recovering,
@@ -216,25 +219,25 @@
 }
 
 #[test]
-fn every_operator_command_and_response_keeps_its_bytes() {
+fn encoded_commands_and_responses_do_not_change() {
     let by = || "ops".to_owned();
     let encoded: Vec<Encoded> = vec![
-        ("Ask", bytes(&Command::Request(ask()))),
+        ("Request", bytes(&Command::Request(request()))),
         ("Withdraw", bytes(&Command::Withdraw { drain: 3, by: by() })),
-        ("Done", bytes(&Command::Complete { drain: 3, by: by() })),
-        ("Gone", bytes(&Command::RemoveProcess { name: "n2".to_owned(), by: by() })),
-        ("Known", bytes(&Command::DeclareRecovered { by: by() })),
-        ("Answer::Turn", bytes(&CommandResponse::Drain { id: 3, stage: Stage::Scheduled })),
-        ("Answer::Done", bytes(&CommandResponse::Done)),
-        ("NoHolder", bytes(&Rejection::NoLeader)),
+        ("Complete", bytes(&Command::Complete { drain: 3, by: by() })),
+        ("RemoveProcess", bytes(&Command::RemoveProcess { name: "n2".to_owned(), by: by() })),
+        ("DeclareRecovered", bytes(&Command::DeclareRecovered { by: by() })),
+        ("CommandResponse::Drain", bytes(&CommandResponse::Drain { id: 3, stage: Stage::Scheduled })),
+        ("CommandResponse::Done", bytes(&CommandResponse::Done)),
+        ("NoLeader", bytes(&Rejection::NoLeader)),
         ("TimedOut", bytes(&Rejection::TimedOut)),
         ("UnknownHost", bytes(&Rejection::UnknownHost("h".to_owned()))),
-        ("UnknownTurn", bytes(&Rejection::UnknownDrain(3))),
+        ("UnknownDrain", bytes(&Rejection::UnknownDrain(3))),
         ("UnknownProcess", bytes(&Rejection::UnknownProcess("n".to_owned()))),
-        ("Runs", bytes(&Rejection::ProcessRuns("n".to_owned()))),
-        ("Never", bytes(&Rejection::Impossible("w".to_owned()))),
-        ("BadText", bytes(&Rejection::InvalidText("by".to_owned()))),
-        ("NotYours", bytes(&Rejection::NotOwner { drain: 3, owner: by() })),
+        ("ProcessRuns", bytes(&Rejection::ProcessRuns("n".to_owned()))),
+        ("Impossible", bytes(&Rejection::Impossible("w".to_owned()))),
+        ("InvalidText", bytes(&Rejection::InvalidText("by".to_owned()))),
+        ("NotOwner", bytes(&Rejection::NotOwner { drain: 3, owner: by() })),
         ("WrongStage", bytes(&Rejection::WrongStage { drain: 3, stage: Stage::Draining })),
         ("Ended", bytes(&Rejection::Ended { drain: 3, outcome: Outcome::Completed })),
         ("TooMany", bytes(&Rejection::TooMany(64))),
@@ -243,13 +246,13 @@
 }
 
 #[test]
-#[expect(clippy::too_many_lines, reason = "one case after the other")]
-fn every_operator_command_and_response_keeps_its_json() {
+#[expect(clippy::too_many_lines, reason = "a list of cases")]
+fn json_of_commands_and_responses_does_not_change() {
     let by = || "ops".to_owned();
     let texts = |values: &[serde_json::Value]| values.iter().map(ToString::to_string).collect::<Vec<_>>();
     let json = |value: &dyn erased::Json| value.json();
     let commands: Vec<serde_json::Value> = vec![
-        json(&Command::Request(ask())),
+        json(&Command::Request(request())),
         json(&Command::Withdraw { drain: 3, by: by() }),
         json(&Command::Complete { drain: 3, by: by() }),
         json(&Command::RemoveProcess { name: "n2".to_owned(), by: by() }),
@@ -304,7 +307,7 @@
 }
 
 mod erased {
-    /// A value as a tree of JSON; its keys in alphabetical order.
+    /// Converts a value to a JSON tree, with keys in alphabetical order.
     pub trait Json {
         fn json(&self) -> serde_json::Value;
     }
@@ -317,32 +320,32 @@
 }
 
 #[test]
-fn every_stage_and_end_keeps_its_bytes() {
+fn encoded_stages_and_outcomes_do_not_change() {
     let encoded: Vec<Encoded> = vec![
-        ("Asked", bytes(&turn(Stage::Requested))),
-        ("Settled", bytes(&turn(Stage::Scheduled))),
-        ("Draining", bytes(&turn(Stage::Draining))),
-        ("Out", bytes(&turn(Stage::OutOfService))),
-        ("Back", bytes(&turn(Stage::Recovering))),
-        ("Done", bytes(&past(Outcome::Completed))),
-        ("Withdrawn", bytes(&past(Outcome::Withdrawn { by: "o".to_owned() }))),
-        ("Expired", bytes(&past(Outcome::Expired { reason: "e".to_owned() }))),
-        ("Failed", bytes(&past(Outcome::Failed { reason: "f".to_owned() }))),
+        ("Requested", bytes(&drain(Stage::Requested))),
+        ("Scheduled", bytes(&drain(Stage::Scheduled))),
+        ("Draining", bytes(&drain(Stage::Draining))),
+        ("OutOfService", bytes(&drain(Stage::OutOfService))),
+        ("Recovering", bytes(&drain(Stage::Recovering))),
+        ("Completed", bytes(&completed_drain(Outcome::Completed))),
+        ("Withdrawn", bytes(&completed_drain(Outcome::Withdrawn { by: "o".to_owned() }))),
+        ("Expired", bytes(&completed_drain(Outcome::Expired { reason: "e".to_owned() }))),
+        ("Failed", bytes(&completed_drain(Outcome::Failed { reason: "f".to_owned() }))),
     ];
     assert_encoded(&encoded, EXPECTED_STAGES);
 }
 
 #[test]
-fn the_record_on_disk_keeps_its_bytes() {
-    let memory: PersistentState<Maintenance> = PersistentState {
+fn encoded_persistent_state_does_not_change() {
+    let state: PersistentState<Maintenance> = PersistentState {
         is_recovered: true,
         voter_sets: VoterSetHashes { current: 1, next: 2 },
         promised: Some(ballot()),
         highest_ballot: None,
         roster: roster(),
-        state: told(),
+        state: versioned_schedule(),
     };
-    assert_encoded(&[("Memory", bytes(&memory))], EXPECTED_RECORD);
+    assert_encoded(&[("PersistentState", bytes(&state))], EXPECTED_PERSISTENT_STATE);
 }
 
 const EXPECTED_MESSAGES: &[(&str, &str)] = &[
@@ -354,69 +357,69 @@
     ("Denied", "02ac02026e310701ac02026e310706"),
     ("Propose", "03ac02026e3107020901000201026e3209007f0000028a3e"),
     ("Accepted", "04ac02026e3107020901ac02026e310705"),
-    ("Recall", "050b0102"),
+    ("VoterRecoveryRequest", "050b0102"),
     (
-        "Recalled",
+        "VoterRecoveryResponse",
         "060b020006000201026e3209007f0000028a3e01ac02026e310705040103026831066b65726e656c036f7073c0843d14011e010304320101770101026830036f707300",
     ),
     (
-        "Tell",
+        "StateUpdate",
         "0701ac02026e310705040103026831066b65726e656c036f7073c0843d14011e010304320101770101026830036f707300",
     ),
     ("Renew", "08026e3209007f0000028a3ee8070101ac02026e31070501ac02026e31070102683102dc0b01027a31"),
-    ("Show", "09ac02026e3107"),
+    ("StateRequest", "09ac02026e3107"),
     (
-        "Shown",
+        "StateResponse",
         "0aac02026e310701ac02026e310705040103026831066b65726e656c036f7073c0843d14011e010304320101770101026830036f70730001",
     ),
     ("Granted", "0bac02026e310709e80701"),
-    ("Inquire", "0c09e80701"),
+    ("RecoveryQuery", "0c09e80701"),
     (
-        "Informed",
+        "RecoveryReply",
         "0d09e8070101010001026e3101026e330101ac02026e310705040103026831066b65726e656c036f7073c0843d14011e010304320101770101026830036f707300",
     ),
-    ("NotHolder", "0e01026e3101ac02026e3107"),
-    ("Order", "0f040203036f7073"),
-    ("Answer", "10040001"),
+    ("NotLeader", "0e01026e3101ac02026e3107"),
+    ("Command", "0f040203036f7073"),
+    ("CommandResponse", "10040001"),
 ];
 
 const EXPECTED_COMMANDS: &[(&str, &str)] = &[
-    ("Ask", "00026831066b65726e656c036f7073c0843d14011e01"),
+    ("Request", "00026831066b65726e656c036f7073c0843d14011e01"),
     ("Withdraw", "0103036f7073"),
-    ("Done", "0203036f7073"),
-    ("Gone", "03026e32036f7073"),
-    ("Known", "04036f7073"),
-    ("Answer::Turn", "000301"),
-    ("Answer::Done", "01"),
-    ("NoHolder", "00"),
+    ("Complete", "0203036f7073"),
+    ("RemoveProcess", "03026e32036f7073"),
+    ("DeclareRecovered", "04036f7073"),
+    ("CommandResponse::Drain", "000301"),
+    ("CommandResponse::Done", "01"),
+    ("NoLeader", "00"),
     ("TimedOut", "01"),
     ("UnknownHost", "020168"),
-    ("UnknownTurn", "0303"),
+    ("UnknownDrain", "0303"),
     ("UnknownProcess", "04016e"),
-    ("Runs", "05016e"),
-    ("Never", "060177"),
-    ("BadText", "07026279"),
-    ("NotYours", "0803036f7073"),
+    ("ProcessRuns", "05016e"),
+    ("Impossible", "060177"),
+    ("InvalidText", "07026279"),
+    ("NotOwner", "0803036f7073"),
     ("WrongStage", "090302"),
     ("Ended", "0a0300"),
     ("TooMany", "0b40"),
 ];
 
 const EXPECTED_STAGES: &[(&str, &str)] = &[
-    ("Asked", "03026831066b65726e656c036f7073c0843d14011e01000432010177"),
-    ("Settled", "03026831066b65726e656c036f7073c0843d14011e01010432010177"),
+    ("Requested", "03026831066b65726e656c036f7073c0843d14011e01000432010177"),
+    ("Scheduled", "03026831066b65726e656c036f7073c0843d14011e01010432010177"),
     ("Draining", "03026831066b65726e656c036f7073c0843d14011e01020432010177"),
-    ("Out", "03026831066b65726e656c036f7073c0843d14011e01030432010177"),
-    ("Back", "03026831066b65726e656c036f7073c0843d14011e01040432010177"),
-    ("Done", "01026830036f707300"),
+    ("OutOfService", "03026831066b65726e656c036f7073c0843d14011e01030432010177"),
+    ("Recovering", "03026831066b65726e656c036f7073c0843d14011e01040432010177"),
+    ("Completed", "01026830036f707300"),
     ("Withdrawn", "01026830036f707301016f"),
     ("Expired", "01026830036f7073020165"),
     ("Failed", "01026830036f7073030166"),
 ];
 
-const EXPECTED_RECORD: &[(&str, &str)] = &[
+const EXPECTED_PERSISTENT_STATE: &[(&str, &str)] = &[
     (
-        "Memory",
+        "PersistentState",
         "01010201ac02026e310700000201026e3209007f0000028a3e01ac02026e310705040103026831066b65726e656c036f7073c0843d14011e010304320101770101026830036f707300",
     ),
 ];
