--- a/maintenance/driver/src/participant.rs
+++ b/maintenance/driver/src/participant.rs
@@ -20,7 +20,7 @@
 pub trait Hosts {
     /// Returns the state of all listed hosts, and the zones in which this process reaches none.
     fn facts(&self) -> HostFacts;
-    /// Returns the calls in flight.
+    /// Returns the calls in flight, by host and as a mean over all hosts.
     fn usage(&self) -> HostUsage;
     /// Excludes these hosts from new calls, and no others.
     fn exclude(&self, hosts: Vec<TimedExclusion>);
--- a/maintenance/tests/disks/mod.rs
+++ b/maintenance/tests/disks/mod.rs
@@ -48,22 +48,22 @@
 
     /// Writes the state of a node to its disk, at the beginning of a step.
     pub(crate) fn write_snapshot(&self, world: &mut World, node: usize) -> Vec<Envelope<Maintenance>> {
-        let mut out = Vec::new();
+        let mut effects = Vec::new();
         if self.has_disks {
             world.environment.disks[node] =
                 Some((world.step, world.nodes[node].persistent_state(self.local_time(world, node))));
-            self.confirm_write(world, node, &mut out);
+            self.confirm_write(world, node, &mut effects);
         }
-        self.check_and_send(world, node, out)
+        self.check_and_send(world, node, effects)
     }
 
     /// Tells a node that its state is on the disk.
-    pub(crate) fn confirm_write(&self, world: &mut World, node: usize, out: &mut Vec<Effect>) {
+    pub(crate) fn confirm_write(&self, world: &mut World, node: usize, effects: &mut Vec<Effect>) {
         let (facts, now) = (self.facts(world, node), self.local_time(world, node));
         let mut random = FixedRandom::for_node(node);
         let mut context = Context { now, facts: &facts, random: &mut random };
-        if let Some(mark) = world.nodes[node].persistent_state_version() {
-            world.nodes[node].state_persisted(&mut context, mark, out);
+        if let Some(version) = world.nodes[node].persistent_state_version() {
+            world.nodes[node].state_persisted(&mut context, version, effects);
         }
     }
 
@@ -72,10 +72,10 @@
         &self,
         world: &mut World,
         node: usize,
-        out: Vec<Effect>,
+        effects: Vec<Effect>,
     ) -> Vec<Envelope<Maintenance>> {
         self.check_invariants(world);
-        world.sent_messages(node, out)
+        world.sent_messages(node, effects)
     }
 }
 
--- a/maintenance/tests/fleet/mod.rs
+++ b/maintenance/tests/fleet/mod.rs
@@ -75,11 +75,11 @@
     Recover(usize),
     Request,
     Complete(String),
-    /// Operators resolve a loss of state and repeat their commands.
+    /// Lets operators resolve a loss of state and repeat their commands.
     RunOperators,
-    /// All processes but the last ones, of this number, are killed.
+    /// Kills all processes except the last ones in the list, this many.
     KillAll(usize),
-    /// All killed processes start.
+    /// Starts all killed processes.
     StartAll,
 }
 
@@ -605,8 +605,9 @@
         };
         let all_running =
             self.nodes.iter().all(|node| node.machine.is_some() && !node.is_frozen && !node.is_partitioned);
-        let stateless = (0..self.scenario.voter_count).find(has_lost_state).filter(|_| all_running);
-        if let Some(index) = stateless {
+        let leader_without_state =
+            (0..self.scenario.voter_count).find(has_lost_state).filter(|_| all_running);
+        if let Some(index) = leader_without_state {
             self.metrics.state_losses += 1;
             for host in self.free_hosts.clone() {
                 let command = self.drain_command(&host, true);
@@ -616,13 +617,13 @@
         }
         let Some((leader, _)) = self.leader else { return };
         let Some(schedule) = self.nodes[leader].machine.as_ref().map(|m| m.state().clone()) else { return };
-        let unanswered: Vec<String> = self
+        let lost_requests: Vec<String> = self
             .open_requests
             .iter()
             .filter(|h| !self.free_hosts.contains(*h) && schedule.drain_for_host(h).is_none())
             .cloned()
             .collect();
-        for host in unanswered {
+        for host in lost_requests {
             let index = self.random_running_node();
             let command = self.drain_command(&host, false);
             self.submit_command(index, command);
--- a/maintenance/tests/mass_restart.rs
+++ b/maintenance/tests/mass_restart.rs
@@ -48,7 +48,8 @@
                 "{kind}: {peak} in a tenth of a second, {busiest} in the busiest second"
             );
         }
-        // Three voters send few prepare requests, so a bound on their number replaces the ratio.
+        // Three voters send too few prepare requests for a ratio, so their number per tenth of a second is
+        // bounded.
         assert!(
             metrics.sent_by_kind["prepare requests"].iter().all(|count| *count <= 6),
             "{:?}",
--- a/maintenance/tests/model.rs
+++ b/maintenance/tests/model.rs
@@ -29,13 +29,13 @@
 /// Number of steps after which both drains must be complete.
 const HISTORY_STEPS: u8 = 80;
 
-/// Rule of the protocol that is disabled, to show that the check detects the violation.
+/// Defect in place of a rule of the protocol, to show that the check detects it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Mutation {
     Unmodified,
     /// A restarted voter votes at once: it neither waits nor asks the other voters for their state.
     SkipQuarantine,
-    /// The leader takes every process to have applied its latest schedule.
+    /// The leader assumes that every process has applied the latest schedule.
     AssumeConfirmed,
     /// A process sends to a scheduled host after its lease has expired.
     IgnoreLeaseExpiry,
@@ -91,7 +91,7 @@
     /// Duration of a maintenance, in steps.
     duration_steps: u8,
     fault_kinds: &'static [LastingFault],
-    /// Nodes that faults strike.
+    /// Nodes that crash and that lasting faults affect.
     fault_targets: Vec<usize>,
     /// Node whose messages reach nobody, though the membership lists it as alive.
     mute_node: Option<usize>,
@@ -277,12 +277,12 @@
             violation = Some("a new leader has a lower ballot than an earlier one");
         }
         world.environment.leader_ballots.extend(leading.into_iter().cloned().collect::<Vec<_>>());
-        let out =
+        let hosts_out =
             world.environment.free_since.keys().filter(|host| !world.environment.returned.contains(*host));
-        if out.clone().count() > 1 {
+        if hosts_out.clone().count() > 1 {
             violation = Some("more hosts are out of service than the limit");
         }
-        for host in out {
+        for host in hosts_out {
             for node in (0..world.nodes.len()).filter(|node| !world.is_frozen(*node)) {
                 if self.may_send_to(world, node, host) {
                     violation = Some("a call may be sent to a host that was reported free");
@@ -352,14 +352,14 @@
         else {
             return;
         };
-        let out: Vec<String> = world
+        let hosts_out: Vec<String> = world
             .environment
             .free_since
             .keys()
             .filter(|h| !world.environment.returned.contains(*h))
             .cloned()
             .collect();
-        for host in &out {
+        for host in &hosts_out {
             if world.nodes[node]
                 .state()
                 .drain_for_host(host)
@@ -375,8 +375,8 @@
         self.submit_command(world, node, Command::DeclareRecovered { by: "ops".to_owned() });
     }
 
-    /// Number of steps in which faults may begin. Confirmation before the write harms only after a drain that
-    /// is faster than a write, which comes later.
+    /// Number of steps in which faults may begin. Larger for [`Mutation::ConfirmBeforeWrite`], which shows
+    /// only in a drain that takes no longer than a write to the disk.
     fn fault_window_steps(&self) -> u8 {
         if self.mutation == Mutation::ConfirmBeforeWrite {
             2 * FAULT_WINDOW_STEPS
@@ -464,7 +464,7 @@
         let time = self.local_time(world, node);
         let mut random = FixedRandom::for_node(node);
         let mut context = Context { now: time, facts: &facts, random: &mut random };
-        let mut out = Vec::new();
+        let mut effects = Vec::new();
         let host_usage = |number: usize| {
             let is_busy = world
                 .environment
@@ -478,16 +478,16 @@
             .application_mut()
             .set_usage(HostUsage { in_flight: calls_in_flight, load_millicalls: 0 });
         match message {
-            None => world.nodes[node].tick(&mut context, &mut out),
+            None => world.nodes[node].tick(&mut context, &mut effects),
             Some((from, message)) => {
                 let message = self.mutate_message(world, node, message);
-                world.nodes[node].receive(&mut context, &node_name(from), message, &mut out);
+                world.nodes[node].receive(&mut context, &node_name(from), message, &mut effects);
             }
         }
         if self.mutation == Mutation::ConfirmBeforeWrite {
-            self.confirm_write(world, node, &mut out);
+            self.confirm_write(world, node, &mut effects);
         }
-        self.check_and_send(world, node, out)
+        self.check_and_send(world, node, effects)
     }
 
     fn crash(&self, world: &mut World, node: usize) {
@@ -507,9 +507,9 @@
     }
 
     fn tick(&self, world: &mut World, node: usize) -> Vec<Envelope<Maintenance>> {
-        let mut out = self.write_snapshot(world, node);
-        out.extend(self.handle_event(world, node, None));
-        out
+        let mut envelopes = self.write_snapshot(world, node);
+        envelopes.extend(self.handle_event(world, node, None));
+        envelopes
     }
 
     fn after_ticks(&self, world: &mut World) {
