--- a/lab/tests/work_orders.rs
+++ b/lab/tests/work_orders.rs
@@ -56,7 +56,7 @@
     assert!(code == 3 && text.contains("do not know what is out"), "{code} {text}");
     // Bad input changes nothing.
     for (order, reason) in [
-        ("ask s-9 --kind kernel --for 30m", "unknown host s-9"),
+        ("ask s-9 --kind kernel --for 30m", "unknown host s-9: discovery does not list it"),
         ("ask s-0 --kind kernel --for 99h", "by the limits"),
         ("ask s-0 --kind kernel --for 1h --not-before 2h --not-after 1h", "its time is past"),
         ("done 1", "drain 1 is at stage asked"),
