--- a/maintenance/driver/src/lib.rs
+++ b/maintenance/driver/src/lib.rs
@@ -1,5 +1,5 @@
-//! Host maintenance at one process: reports on its hosts, and excludes those that the schedule names. Timers
-//! and messages are those of [`flaxhead_coordination`].
+//! Driver of host maintenance at one process: reports its calls to the leader, excludes hosts by the
+//! schedule, and submits the commands of operators. [`flaxhead_coordination`] provides timers and messages.
 
 mod participant;
 mod service;
--- a/maintenance/driver/src/participant.rs
+++ b/maintenance/driver/src/participant.rs
@@ -1,4 +1,4 @@
-//! The interface to the hosts of one process.
+//! Link between the maintenance protocol and the hosts that a process sends calls to.
 
 use flaxhead_coordination::{Clock, Participant};
 use flaxhead_lease::{Ballot, Machine};
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// Host that receives no new calls from some time on.
+/// Host that receives no new calls from a given time on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TimedExclusion {
     /// Name of the host.
@@ -16,7 +16,7 @@
     pub from: Instant,
 }
 
-/// Hosts of a process.
+/// Access to the hosts that a process sends calls to, as the driver needs it.
 pub trait Hosts {
     /// Returns the state of all listed hosts, and the zones in which this process reaches none.
     fn facts(&self) -> HostFacts;
@@ -24,11 +24,11 @@
     fn usage(&self) -> HostUsage;
     /// Excludes these hosts from new calls, and no others.
     fn exclude(&self, hosts: Vec<TimedExclusion>);
-    /// Handles a change of a drain. Called at the leader only.
+    /// Records a change of a drain. Called at the leader only.
     fn event(&self, event: &DrainEvent);
 }
 
-/// Participant that excludes the hosts of the schedule, before any message tells other processes that it has.
+/// Excludes hosts by the schedule after each step of the protocol, before the messages of that step are sent.
 pub(crate) struct HostExclusion {
     hosts: Rc<dyn Hosts>,
     excluded: RefCell<Vec<ExcludedHost>>,
@@ -64,14 +64,14 @@
 
     fn leadership_changed(&self, ballot: Option<&Ballot>) {
         match ballot {
-            Some(ballot) => tracing::info!("maintenance: this proxy became the leader with ballot {ballot}"),
-            None => tracing::info!("maintenance: this proxy is no longer the leader"),
+            Some(ballot) => tracing::info!("work: this proxy became the leader with ballot {ballot}"),
+            None => tracing::info!("work: this proxy is no longer the leader"),
         }
     }
 
     fn event(&self, event: DrainEvent) {
         let DrainEvent { drain, host, change, reason } = &event;
-        tracing::info!("maintenance: drain {drain} of host {host}: {change}: {reason}");
+        tracing::info!("work: drain {drain} of host {host}: {change}: {reason}");
         self.hosts.event(&event);
     }
 }
--- a/maintenance/driver/src/service.rs
+++ b/maintenance/driver/src/service.rs
@@ -1,4 +1,4 @@
-//! The maintenance service of one process.
+//! Handle through which a process runs the maintenance protocol and submits commands.
 
 use crate::participant::{HostExclusion, Hosts};
 use flaxhead_coordination::{Coordinator, StateStore};
@@ -11,24 +11,24 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// Configuration of section `[work]`.
+/// Configuration of host maintenance, section `[work]` of the operators' file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Voters of the lease.
+    /// Processes whose majority grants the leader its lease.
     pub voters: Voters,
-    /// Timing of the lease.
+    /// Durations and timeouts of the lease protocol.
     pub config: Config,
-    /// Time limits of drains, and limits on hosts out of service.
+    /// Time limits of drains, and limits on the number of hosts out of service.
     pub scheduler: SchedulerConfig,
 }
 
-/// Maintenance at one process, shared by the tasks of one thread.
+/// Handle to host maintenance at one process, shared by the tasks of one thread.
 #[derive(Clone, Debug)]
 pub struct MaintenanceService(Coordinator<Maintenance>);
 
 impl MaintenanceService {
-    /// Creates the service over these peers. `seed` must differ at each start; `store` persists the state, if
-    /// there is one.
+    /// Creates the service, which exchanges messages with these peers. `seed` must differ at each start of
+    /// the process; without a `store`, the schedule is not persisted.
     pub fn start(
         settings: Settings,
         peers: Peers,
@@ -45,17 +45,19 @@
         MaintenanceService(Coordinator::start(settings, peers, seed, store))
     }
 
-    /// Returns a receiver of whether this process may send to hosts.
+    /// Returns a watch channel that is true once this process may send calls to hosts: it was admitted, or
+    /// serves autonomously after a timeout.
     pub fn may_serve(&self) -> watch::Receiver<bool> {
         self.0.may_serve()
     }
 
-    /// Runs the service with these hosts until the future is dropped. Requires a [`tokio::task::LocalSet`].
+    /// Runs the maintenance protocol with these hosts until the future is dropped. Requires a
+    /// [`tokio::task::LocalSet`].
     pub async fn serve(&self, hosts: Rc<dyn Hosts>) {
         self.0.serve(Rc::new(HostExclusion::new(hosts))).await;
     }
 
-    /// Returns the state of maintenance for operators.
+    /// Returns the drains and the lease as this process knows them.
     pub fn view(&self) -> MaintenanceView {
         self.0.with_machine(view)
     }
--- a/maintenance/src/application.rs
+++ b/maintenance/src/application.rs
@@ -1,4 +1,5 @@
-//! The implementation of the replicated application.
+//! Implementation of the replicated application: reports of the processes, and steps and commands of the
+//! leader.
 
 use crate::application_types::{Maintenance, UsageReport};
 use crate::command::{Command, CommandResponse, Rejection};
@@ -7,7 +8,7 @@
 use crate::scheduler::Scheduler;
 use flaxhead_lease::{Application, LeaderContext, LocalReplica, Micros, Process};
 
-/// Sequence number of the first schedule of a leader.
+/// Sequence number of the first schedule that a new leader replicates.
 const INITIAL_SCHEDULE_SEQ: u64 = 1;
 
 impl Application for Maintenance {
@@ -15,7 +16,8 @@
     type LeaderData = ();
 
     fn report(&mut self, _: Micros, replica: &LocalReplica<Self>, facts: &HostFacts) -> UsageReport {
-        // The leader needs the calls at hosts that are excluded or will be.
+        // The leader waits for calls only at hosts that are excluded or will be, so the report leaves out all
+        // others.
         let is_excluded = |host: &str| excluded_from(replica, host).is_some();
         let busy = self.usage.in_flight.iter().filter(|(host, calls)| **calls > 0 && is_excluded(host));
         UsageReport {
--- a/maintenance/src/application_types.rs
+++ b/maintenance/src/application_types.rs
@@ -1,4 +1,5 @@
-//! The application at one process, and the data that it exchanges.
+//! Host maintenance as an application of [`flaxhead_lease`], and the data that processes report to the
+//! leader.
 
 use crate::command::{Command, CommandResponse, Rejection};
 use crate::config::SchedulerConfig;
@@ -8,19 +9,20 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Calls in flight of this process.
+/// Calls that this process has in flight at hosts.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct HostUsage {
-    /// Calls in flight, by host.
+    /// Number of calls in flight, by host name.
     pub in_flight: BTreeMap<String, u32>,
     /// Mean number of calls in flight to all hosts over the last seconds, in thousandths of a call.
     pub load_millicalls: u32,
 }
 
-/// Report that accompanies each renewal of a process's lease.
+/// Report that a process sends to the leader with each renewal of its lease.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct UsageReport {
-    /// Calls in flight at hosts that are excluded or will be, by host; hosts without any are left out.
+    /// Calls in flight at hosts that the process excludes or will exclude, by host name; hosts without calls
+    /// are left out.
     pub busy: BTreeMap<String, u32>,
     /// Mean number of calls in flight to all hosts over the last seconds, in thousandths of a call.
     pub load_millicalls: u32,
@@ -28,20 +30,20 @@
     pub lost_zones: BTreeSet<String>,
 }
 
-/// Change of a drain, for the audit trail and the log.
+/// Change of a drain, which the leader records in the audit trail and the log.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct DrainEvent {
-    /// Number of the drain; 0: the event concerns no drain.
+    /// Identifier of the drain; 0: the event concerns no drain.
     pub drain: u64,
     /// Host of the drain; empty: the event concerns no drain.
     pub host: String,
-    /// Change, as a single word.
+    /// Kind of the change in one word, such as `settled` or `out`.
     pub change: String,
-    /// Reason, for operators.
+    /// Cause of the change, as a text for operators.
     pub reason: String,
 }
 
-/// The maintenance application at one process.
+/// Application that replicates the [`DrainSchedule`] to all processes and moves drains on at the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Maintenance {
     pub(crate) config: SchedulerConfig,
@@ -49,7 +51,7 @@
 }
 
 impl Maintenance {
-    /// Creates the application, with no calls in flight.
+    /// Creates the application of one process, with no calls in flight.
     pub fn new(config: SchedulerConfig) -> Maintenance {
         Maintenance { config, usage: HostUsage::default() }
     }
@@ -70,9 +72,9 @@
     type Facts = HostFacts;
     type Event = DrainEvent;
 
-    // Holds some hundred open and completed drains with texts of maximum length.
+    // Enough for several hundred open and completed drains with texts of maximum length.
     const MAX_STATE_BYTES: usize = 1 << 18;
-    // Holds the hosts of all open drains and the names of the lost zones.
+    // Enough for the hosts of all open drains and the names of all lost zones.
     const MAX_REPORT_BYTES: usize = 1 << 16;
     const MAX_GRANT_BYTES: usize = 0;
     const MAX_COMMAND_BYTES: usize = 1 << 12;
--- a/maintenance/src/command.rs
+++ b/maintenance/src/command.rs
@@ -1,35 +1,36 @@
-//! Commands of operators and the responses to them. `serde` renames keep the names of the JSON format.
+//! Commands of operators and the responses to them. The `serde` renames keep the names that operators'
+//! scripts use in JSON.
 
 use crate::request::DrainRequest;
 use crate::stage::{Outcome, Stage};
 use flaxhead_lease::{CommandError, Micros};
 use serde::{Deserialize, Serialize};
 
-/// Maximum length of the texts in a request.
+/// Maximum length of each text in a request: host, kind of maintenance, operator.
 const MAX_TEXT_BYTES: usize = 64;
 const MICROS_PER_SECOND: Micros = 1_000_000;
 
-/// Command of an operator.
+/// Command that an operator gives through any process and the leader executes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Command {
     /// Requests a drain of a host.
     #[serde(rename = "Ask")]
     Request(DrainRequest),
-    /// Withdraws a drain that is not yet out of service.
+    /// Withdraws a drain whose host is not yet out of service.
     Withdraw {
-        /// Number of the drain.
+        /// Identifier of the drain.
         #[serde(rename = "turn")]
         drain: u64,
-        /// Name of the operator.
+        /// Operator who gives the command.
         by: String,
     },
-    /// Declares that the maintenance is complete and the host runs.
+    /// Declares that the maintenance of the drain's host is complete and that the host runs.
     #[serde(rename = "Done")]
     Complete {
-        /// Number of the drain.
+        /// Identifier of the drain.
         #[serde(rename = "turn")]
         drain: u64,
-        /// Name of the operator.
+        /// Operator who gives the command.
         by: String,
     },
     /// Removes a process that no longer runs, so that no drain waits for it.
@@ -37,89 +38,89 @@
     RemoveProcess {
         /// Name of the process.
         name: String,
-        /// Name of the operator.
+        /// Operator who gives the command.
         by: String,
     },
     /// Declares, after a loss of the replicated state, that the schedule lists every host that is out of
     /// service.
     #[serde(rename = "Known")]
     DeclareRecovered {
-        /// Name of the operator.
+        /// Operator who gives the command.
         by: String,
     },
 }
 
-/// Response to a command that succeeded.
+/// Response to a command that was executed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum CommandResponse {
-    /// State of the drain that the command concerns.
+    /// Response to commands that open a drain or move it on.
     #[serde(rename = "Turn")]
     Drain {
-        /// Number of the drain.
+        /// Identifier of the drain.
         id: u64,
-        /// Stage of the drain.
+        /// Current stage of the drain.
         stage: Stage,
     },
-    /// The command was executed and concerns no open drain.
+    /// Response to all commands except a request of a drain and the completion of its maintenance.
     Done,
 }
 
 /// Reason why a command failed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, thiserror::Error)]
 pub enum Rejection {
-    /// No leader could be reached.
-    #[error("no maintenance leader is reachable from this proxy; retry later or through another proxy")]
+    /// No leader could be reached, or the leader does not know the hosts yet.
+    #[error("no leader is reachable from this process; retry once a majority of the voters is running")]
     #[serde(rename = "NoHolder")]
     NoLeader,
     /// The command was not committed in time. It may have been executed; repeating it is safe.
-    #[error("the command was not confirmed in time and may have been executed; repeating it is safe")]
+    #[error("the command was not confirmed in time and may have been executed; retry it")]
     TimedOut,
     /// Discovery does not list the host.
     #[error("unknown host {0}: discovery does not list it")]
     UnknownHost(String),
-    /// No drain has this number.
+    /// No open or completed drain has this identifier.
     #[error("there is no drain {0}")]
     #[serde(rename = "UnknownTurn")]
     UnknownDrain(u64),
     /// No process on the roster has this name.
     #[error("no proxy {0} is on the roster")]
     UnknownProcess(String),
-    /// The process to be removed still runs.
+    /// The process to be removed is alive according to the membership, or has reported recently.
     #[error("proxy {0} cannot be removed: it is alive or has reported recently")]
     #[serde(rename = "Runs")]
     ProcessRuns(String),
-    /// The drain could never start.
+    /// The requested drain could never start; the text says why.
     #[error("the drain could never start: {0}")]
     #[serde(rename = "Never")]
     Impossible(String),
-    /// A text is empty, too long or not printable.
+    /// A text of the request is empty, too long or not printable; the value names the field.
     #[error("invalid value of {0}: must have 1 to {MAX_TEXT_BYTES} printable ASCII characters")]
     #[serde(rename = "BadText")]
     InvalidText(String),
-    /// Another operator requested the drain.
+    /// The maintenance was declared complete by another operator than the one who requested the drain.
     #[error("drain {drain} was requested by {owner}, who alone can complete it")]
     #[serde(rename = "NotYours")]
     NotOwner {
-        /// Number of the drain.
+        /// Identifier of the drain.
         #[serde(rename = "turn")]
         drain: u64,
         /// Operator who requested the drain.
         #[serde(rename = "by")]
         owner: String,
     },
-    /// The drain is not at a stage that allows the command.
+    /// The drain is at a stage that does not allow the command.
     #[error("drain {drain} is at stage {stage}, which does not allow the command")]
     WrongStage {
-        /// Number of the drain.
+        /// Identifier of the drain.
         #[serde(rename = "turn")]
         drain: u64,
-        /// Stage of the drain.
+        /// Current stage of the drain.
         stage: Stage,
     },
-    /// The drain has ended.
+    /// The drain was completed before the command, with any outcome.
     #[error("drain {drain} has ended: {outcome}")]
     Ended {
-        /// Number of the drain.
+        /// Identifier of the drain.
         #[serde(rename = "turn")]
         drain: u64,
         /// Outcome of the drain.
@@ -127,7 +128,7 @@
         outcome: Outcome,
     },
     /// The maximum number of open drains or pending commands is reached.
-    #[error("too many open drains or pending commands: the maximum is {0}")]
+    #[error("{0} drains are already open or commands pending; retry after one of them has completed")]
     TooMany(usize),
 }
 
@@ -141,14 +142,14 @@
     }
 }
 
-/// Returns whether a text is safe to print in a table and in the audit trail.
+/// Returns whether a text has a valid length and can be printed in a table and in the audit trail.
 fn is_valid_text(text: &str) -> bool {
     let is_printable = |byte: u8| byte.is_ascii_graphic() || byte == b' ';
     (1..=MAX_TEXT_BYTES).contains(&text.len()) && text.bytes().all(is_printable)
 }
 
 impl DrainRequest {
-    /// Validates the request as far as it does not depend on the state of the fleet.
+    /// Validates the parts of the request that depend neither on the hosts nor on the schedule.
     pub(crate) fn check(&self, max_duration: Micros) -> Result<(), Rejection> {
         for (text, field) in [(&self.host, "host"), (&self.kind, "kind of work"), (&self.by, "by")] {
             if !is_valid_text(text) {
--- a/maintenance/src/config.rs
+++ b/maintenance/src/config.rs
@@ -1,22 +1,22 @@
-//! Limits on hosts out of service, and time limits of drains.
+//! Limits on the number of hosts out of service, and time limits of drains.
 
 use flaxhead_lease::Micros;
 
 /// Limits on the hosts that are out of service at the same time.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Limits {
-    /// Maximum number of hosts in total.
+    /// Maximum number of hosts out of service in total.
     pub max_total: u32,
-    /// Maximum number of hosts in a zone.
+    /// Maximum number of hosts out of service in one zone.
     pub max_per_zone: u32,
-    /// Maximum number of hosts in a pod.
+    /// Maximum number of hosts out of service in one pod.
     pub max_per_pod: u32,
     /// Concurrent calls that a warm host of size 1 can serve, in thousandths of a call; 0: unknown, capacity
     /// is not checked.
     pub millicalls_per_host: u32,
-    /// Capacity that must remain in excess of the load, in thousandths of the load.
+    /// Spare capacity that must remain beyond the load, in thousandths of the load.
     pub load_margin_per_mille: u32,
-    /// Maximum duration that a request may state.
+    /// Maximum duration of maintenance that a request may state.
     pub max_duration: Micros,
 }
 
@@ -42,18 +42,18 @@
     }
 }
 
-/// Configuration of the scheduler, the same at all processes.
+/// Configuration of the scheduler, which must be the same at all processes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct SchedulerConfig {
     /// Time that a host may take to drain before the drain fails.
     pub max_drain_time: Micros,
     /// Time after which a recovering host no longer counts as out of service, even if it has not warmed up.
     pub max_recovery_time: Micros,
-    /// Limits on hosts out of service.
+    /// Limits on the number of hosts out of service.
     pub limits: Limits,
-    /// Maximum number of ended drains that are kept.
+    /// Maximum number of completed drains that the schedule keeps.
     pub max_completed: usize,
-    /// Maximum number of open drains.
+    /// Maximum number of open drains that the schedule holds.
     pub max_open: usize,
 }
 
--- a/maintenance/src/exclusion.rs
+++ b/maintenance/src/exclusion.rs
@@ -1,11 +1,11 @@
-//! Hosts that a process sends no new calls to.
+//! Exclusion of hosts from new calls, by the schedule as this process has it.
 
 use crate::application_types::Maintenance;
 use crate::stage::Stage;
 use flaxhead_lease::{AdmissionStatus, LocalReplica, Machine, Micros};
 use std::collections::BTreeSet;
 
-/// Host that receives no new calls.
+/// Host that this process sends no new calls to, now or from a later time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ExcludedHost {
     /// Name of the host.
@@ -20,8 +20,8 @@
     let stages = drains.iter().filter(|drain| drain.request.host == host).map(|drain| drain.stage);
     match stages.max()? {
         Stage::Requested | Stage::Recovering => None,
-        // The leader waits only for admitted processes to confirm the drain, so others exclude the host at
-        // once.
+        // The leader waits only for admitted processes to confirm the drain, so a process without admission
+        // excludes the host at once.
         Stage::Scheduled => Some(if replica.is_admitted() { replica.lease_expiry() } else { 0 }),
         Stage::Draining | Stage::OutOfService => Some(0),
     }
--- a/maintenance/src/facts.rs
+++ b/maintenance/src/facts.rs
@@ -1,4 +1,4 @@
-//! The state of hosts, from discovery and from the calls of this process.
+//! State of hosts as one process knows it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,13 +9,13 @@
     pub zone: String,
     /// Pod of the host.
     pub pod: u32,
-    /// Discovery lists the host as ready.
+    /// Discovery lists the host as ready to serve calls.
     pub ready: bool,
-    /// Calls to the host fail.
+    /// Calls of this process to the host fail.
     pub failing: bool,
-    /// Progress of the warm-up, in thousandths; 1000: warm.
+    /// Progress of the host's warm-up, in thousandths; 1000: warmed up.
     pub warmth: u32,
-    /// Capacity relative to a host of size 1, in thousandths.
+    /// Capacity of the host relative to a host of size 1, in thousandths.
     pub weight: u32,
 }
 
@@ -27,10 +27,10 @@
     }
 }
 
-/// State of all hosts.
+/// State of all hosts that discovery lists.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct HostFacts {
-    /// Hosts, by name.
+    /// State of each host, by host name.
     pub hosts: BTreeMap<String, HostStatus>,
     /// Zones in which this process reaches no host.
     pub lost_zones: BTreeSet<String>,
--- a/maintenance/src/lib.rs
+++ b/maintenance/src/lib.rs
@@ -1,10 +1,11 @@
-//! Scheduling of host maintenance among the client proxies, as an [`flaxhead_lease::Application`] without I/O
-//! or clock.
+//! Scheduling of host maintenance among the client proxies, which are the processes of [`flaxhead_lease`], as
+//! an [`flaxhead_lease::Application`] without I/O or clock.
 //!
-//! The [`DrainSchedule`] holds all drains and is replicated to every process. The leader ([`Maintenance`])
-//! moves a drain through its stages: requested, scheduled, draining, out of service, recovering. Each process
-//! sends no new calls to the hosts that its schedule excludes ([`excluded_hosts`], [`may_send`]). Operators
-//! are told that a host is free only when no process can still have a call in flight there.
+//! A *drain* takes a host out of service for maintenance. The [`DrainSchedule`] holds all drains and is
+//! replicated to every process. The leader ([`Maintenance`]) moves a drain through its stages: requested,
+//! scheduled, draining, out of service, recovering. Each process sends no new calls to the hosts that its
+//! schedule excludes ([`excluded_hosts`], [`may_send`]). Operators are told that a host is free for
+//! maintenance only when no process can still have a call in flight there.
 
 mod application;
 mod application_types;
@@ -30,13 +31,14 @@
 pub use stage::{Outcome, Stage};
 pub use view::{view, DrainView, MaintenanceView, ProcessView};
 
-/// The protocol state of one process.
+/// State of the protocol at one process: its lease, its copy of the schedule and, at the leader, the
+/// scheduler.
 pub type Machine = flaxhead_lease::Machine<Maintenance>;
-/// A message between two processes.
+/// Message between two processes.
 pub type Message = flaxhead_lease::Message<Maintenance>;
-/// An action for the driver.
+/// Action that the protocol asks of its driver, such as to send a message.
 pub type Effect = flaxhead_lease::Effect<Maintenance>;
-/// Facts that a process has from outside the protocol: hosts and the membership.
+/// Facts from outside the protocol: the state of hosts and of the other processes.
 pub type Facts = flaxhead_lease::Facts<HostFacts>;
-/// The time, facts and randomness that accompany each input.
+/// Time, facts and source of randomness that the driver passes with each input of the protocol.
 pub type Context<'a> = flaxhead_lease::Context<'a, HostFacts>;
--- a/maintenance/src/request.rs
+++ b/maintenance/src/request.rs
@@ -10,15 +10,16 @@
     pub host: String,
     /// Kind of maintenance, as the operator names it.
     pub kind: String,
-    /// Name of the operator.
+    /// Operator who requests the drain.
     pub by: String,
     /// Expected duration of the maintenance.
     #[serde(rename = "lasts")]
     pub duration: Micros,
-    /// Earliest start, from now.
+    /// Time from now until the earliest start of the drain; 0: it may start at once.
     pub not_before: Micros,
-    /// Latest start, from now; `None`: no limit.
+    /// Time from now until the latest start of the drain; `None`: it may start at any time.
     pub not_after: Option<Micros>,
-    /// The host is out of service already, as when the proxies have lost their state.
+    /// The host is out of service already, so nothing needs to be drained: for use after the processes have
+    /// lost the schedule.
     pub already_out: bool,
 }
--- a/maintenance/src/schedule.rs
+++ b/maintenance/src/schedule.rs
@@ -9,26 +9,27 @@
 /// Open drain. Times are relative to now, so that they do not depend on the clock of a process.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Drain {
-    /// Number of the drain; later drains have higher numbers.
+    /// Identifier of the drain; later drains have higher ones.
     pub id: u64,
-    /// Request, with its times counted down.
+    /// Request of the operator; its start times count down as time passes.
     pub request: DrainRequest,
-    /// Current stage.
+    /// Current stage of the drain.
     pub stage: Stage,
-    /// Sequence number of the schedule in which the drain reached its stage, as its leader counts.
+    /// Sequence number, by the count of the current leader, of the schedule in which the drain reached its
+    /// stage.
     pub stage_seq: u64,
     /// Time since the drain reached its stage.
     pub stage_age: Micros,
     /// Maintenance may start: the host is out of service, and a majority of voters has stored that.
     pub is_free: bool,
-    /// Condition that the drain waits for; empty: none.
+    /// Condition that keeps the drain at its stage; empty: none, or the maintenance itself.
     pub waits_for: String,
 }
 
-/// Drain that has ended.
+/// Drain that has ended, with any outcome.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct CompletedDrain {
-    /// Number of the drain.
+    /// Identifier of the drain.
     pub id: u64,
     /// Host, by its name in discovery.
     pub host: String,
@@ -39,19 +40,19 @@
     pub outcome: Outcome,
 }
 
-/// Schedule of all drains.
+/// All open drains and the latest completed ones; replicated to every process.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct DrainSchedule {
-    /// Number of the latest drain.
+    /// Identifier of the latest drain; 0: there has been none.
     pub last_id: u64,
     /// Open drains, the oldest first.
     pub drains: Vec<Drain>,
-    /// Most recently ended drains, the latest last.
+    /// Most recently completed drains, the latest last.
     pub completed: VecDeque<CompletedDrain>,
 }
 
 impl DrainSchedule {
-    /// Returns an open drain, by its number.
+    /// Returns the open drain of this identifier.
     pub fn drain(&self, id: u64) -> Option<&Drain> {
         self.drains.iter().find(|drain| drain.id == id)
     }
@@ -60,17 +61,17 @@
         self.drains.iter_mut().find(|drain| drain.id == id)
     }
 
-    /// Returns the open drain of a host.
+    /// Returns the open drain of the host of this name.
     pub fn drain_for_host(&self, host: &str) -> Option<&Drain> {
         self.drains.iter().find(|drain| drain.request.host == host)
     }
 
-    /// Returns an ended drain, by its number, if it is still kept.
+    /// Returns the completed drain of this identifier, if the schedule still keeps it.
     pub fn completed_drain(&self, id: u64) -> Option<&CompletedDrain> {
         self.completed.iter().rev().find(|drain| drain.id == id)
     }
 
-    /// Opens a drain and returns its number.
+    /// Adds an open drain and returns its identifier.
     pub(crate) fn open(&mut self, request: DrainRequest, stage: Stage) -> u64 {
         self.last_id += 1;
         self.drains.push(Drain {
@@ -85,7 +86,7 @@
         self.last_id
     }
 
-    /// Ends an open drain, and keeps the latest `max_completed` ended drains.
+    /// Moves an open drain to the completed ones, of which the latest `max_completed` are kept.
     pub(crate) fn complete(&mut self, id: u64, outcome: Outcome, max_completed: usize) {
         let Some(index) = self.drains.iter().position(|drain| drain.id == id) else { return };
         let DrainRequest { host, by, .. } = self.drains.remove(index).request;
@@ -127,7 +128,7 @@
         }
     }
 
-    /// Merges the drains of another schedule that have been scheduled; requests are left out.
+    /// Merges the drains of another schedule into this one, except those that are merely requested.
     fn merge(&mut self, other: &DrainSchedule) -> bool {
         let mut is_changed = false;
         for drain in other.drains.iter().filter(|drain| drain.stage >= Stage::Scheduled) {
--- a/maintenance/src/scheduler/commands.rs
+++ b/maintenance/src/scheduler/commands.rs
@@ -1,4 +1,4 @@
-//! Execution of operators' commands.
+//! Execution of operators' commands at the leader.
 
 use super::state::Scheduler;
 use crate::command::{Command, CommandResponse, Rejection};
@@ -7,7 +7,7 @@
 use crate::stage::{Outcome, Stage};
 use flaxhead_lease::{Presence, Process};
 
-/// Drain number in events that concern no drain.
+/// Identifier in events that concern no particular drain.
 const NO_DRAIN: u64 = 0;
 
 impl Scheduler<'_, '_> {
@@ -28,11 +28,11 @@
         }
     }
 
-    /// Finds an open drain.
+    /// Returns the open drain of this identifier.
     ///
     /// # Errors
     ///
-    /// The drain has ended, or there is none of this number.
+    /// The drain was completed, or there has been none of this identifier.
     fn find_open_drain(&self, id: u64) -> Result<&Drain, Rejection> {
         if let Some(drain) = self.schedule().drain(id) {
             return Ok(drain);
@@ -43,7 +43,7 @@
         })
     }
 
-    /// Opens a drain, unless the host has one already that is not recovering.
+    /// Opens a drain of a host, or returns the one that is open and not yet recovering.
     fn request(&mut self, request: DrainRequest) -> Result<CommandResponse, Rejection> {
         request.check(self.config.limits.max_duration)?;
         let existing = self.schedule().drain_for_host(&request.host);
@@ -55,7 +55,8 @@
         }
         let reason = format!("{}, by {}", request.kind, request.by);
         if request.already_out {
-            // The host is out of service whatever the limits allow, and counts towards them.
+            // The limits are not checked, since the host is out of service already; it counts towards the
+            // limits of other drains.
             return Ok(self.open(
                 request,
                 Stage::OutOfService,
@@ -67,7 +68,7 @@
         Ok(self.open(request, Stage::Requested, "asked", reason))
     }
 
-    /// Checks that a drain of the host could start at some time.
+    /// Checks that the limits and the list of hosts allow a drain of the host at some time.
     fn check_feasible(&self, request: &DrainRequest) -> Result<(), Rejection> {
         if let Some(limit) = self.config.limits.zero_limit() {
             return Err(Rejection::Impossible(format!("the limit {limit} is 0")));
@@ -93,7 +94,8 @@
         CommandResponse::Drain { id, stage }
     }
 
-    /// Withdraws a drain. Succeeds again for the same operator, whose first response may have been lost.
+    /// Withdraws a drain. Succeeds again if the same operator repeats it, since the first response may have
+    /// been lost.
     fn withdraw(&mut self, id: u64, by: String) -> Result<CommandResponse, Rejection> {
         let stage = match self.find_open_drain(id) {
             Err(Rejection::Ended { outcome: Outcome::Withdrawn { by: earlier }, .. }) if earlier == by => {
@@ -110,7 +112,7 @@
         Ok(CommandResponse::Done)
     }
 
-    /// Returns the host to service after its maintenance.
+    /// Moves a drain whose maintenance is complete to recovery, so that its host receives calls again.
     fn complete_maintenance(&mut self, id: u64, by: &str) -> Result<CommandResponse, Rejection> {
         let drain = self.find_open_drain(id)?;
         let (stage, owner) = (drain.stage, drain.request.by.clone());
@@ -127,7 +129,8 @@
         Ok(CommandResponse::Drain { id, stage: Stage::Recovering })
     }
 
-    /// Removes the processes of a name, unless the membership lists them as alive or they reported recently.
+    /// Removes from the roster the processes of this name that are neither alive in the membership nor
+    /// reported recently.
     fn remove_process(&mut self, name: &str, by: &str) -> Result<CommandResponse, Rejection> {
         let has_name = |process: &Process| process.name.as_str() == name;
         if !self.leader.processes().any(|(process, _)| has_name(process)) {
@@ -146,7 +149,7 @@
         Ok(CommandResponse::Done)
     }
 
-    /// Returns whether a process runs, according to the membership.
+    /// Returns whether the membership lists this incarnation of a process as alive.
     fn is_running(&self, process: &Process) -> bool {
         let member = self.leader.facts.members.get(&process.name);
         member.is_some_and(|member| {
--- a/maintenance/src/scheduler/mod.rs
+++ b/maintenance/src/scheduler/mod.rs
@@ -1,4 +1,4 @@
-//! The leader's scheduler: moves drains through their stages and executes commands.
+//! Scheduler of the leader, which moves drains through their stages and executes commands.
 
 mod commands;
 mod progress;
--- a/maintenance/src/scheduler/progress.rs
+++ b/maintenance/src/scheduler/progress.rs
@@ -1,4 +1,4 @@
-//! Progress of drains through their stages.
+//! Progress of drains through their stages, as the leader decides it.
 
 use super::state::Scheduler;
 use crate::application_types::Maintenance;
@@ -6,17 +6,18 @@
 use crate::stage::{Outcome, Stage};
 use flaxhead_lease::{Config, PeerState, Process};
 
-/// Next action for a drain.
+/// Action that the stage of a drain and the reports of the processes call for.
 enum Progress {
     /// Moves the drain to the next stage.
     Move { to: Stage, change: &'static str, reason: String },
-    /// Tells operators that maintenance may start.
+    /// Marks the host as free, so that operators may start the maintenance.
     Free,
-    /// Ends the drain.
-    End { outcome: Outcome, change: &'static str, reason: String },
-    /// Waits for a condition; empty: for the operators.
+    /// Completes the drain with an outcome.
+    Complete { outcome: Outcome, change: &'static str, reason: String },
+    /// Leaves the drain at its stage until a condition holds; empty: until operators complete the
+    /// maintenance.
     Wait(String),
-    /// Waits to be selected; the selection sets the condition that the drain waits for.
+    /// Leaves the drain to the selection of the next one, which also sets the condition that it waits for.
     AwaitSelection,
 }
 
@@ -31,7 +32,7 @@
 }
 
 impl Scheduler<'_, '_> {
-    /// Advances all drains as far as possible, and selects the next one.
+    /// Moves each drain on if possible, then selects the next drain to schedule.
     pub(crate) fn step(&mut self) {
         let ids: Vec<u64> = self.schedule().drains.iter().map(|drain| drain.id).collect();
         let mut has_changed = false;
@@ -44,7 +45,7 @@
         }
     }
 
-    /// Advances a drain if possible. Returns whether the schedule must be replicated.
+    /// Moves a drain on if possible. Returns whether the schedule has changed and must be replicated.
     fn step_drain(&mut self, id: u64) -> bool {
         let Some(drain) = self.schedule().drain(id) else { return false };
         match self.progress(drain) {
@@ -60,7 +61,7 @@
                 }
                 true
             }
-            Progress::End { outcome, change, reason } => {
+            Progress::Complete { outcome, change, reason } => {
                 self.record_event(id, change, reason);
                 self.complete(id, outcome);
                 true
@@ -79,7 +80,7 @@
             Stage::Requested | Stage::Scheduled if is_past_latest_start => {
                 let reason = drain.waits_for.clone();
                 let outcome = Outcome::Expired { reason: reason.clone() };
-                Progress::End { outcome, change: "expired", reason }
+                Progress::Complete { outcome, change: "expired", reason }
             }
             Stage::Requested => Progress::AwaitSelection,
             Stage::Scheduled => self.progress_of_scheduled(drain),
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Waits until every process has confirmed the drain, then begins draining.
+    /// Begins draining once every process has confirmed the schedule that has the drain.
     fn progress_of_scheduled(&self, drain: &Drain) -> Progress {
         match self.unconfirmed_process(drain.stage_seq) {
             None => Progress::move_to(Stage::Draining, "draining", "all know that it is next"),
@@ -111,21 +112,21 @@
             }
             Some(reason) if drain.stage_age >= self.config.max_drain_time => {
                 let outcome = Outcome::Failed { reason: reason.clone() };
-                Progress::End { outcome, change: "failed", reason }
+                Progress::Complete { outcome, change: "failed", reason }
             }
             Some(reason) => Progress::Wait(reason),
         }
     }
 
-    /// Returns why a draining host is not yet out of service; `None`: it is drained.
+    /// Returns the condition that keeps a draining host in service; `None`: it is drained.
     fn drain_blocker(&self, drain: &Drain) -> Option<String> {
         let mut processes = self.leader.processes();
         processes.find_map(|(process, peer)| self.drain_blocker_at(drain, process, peer))
     }
 
-    /// Returns why the host is not drained for one process; `None`: it is. A host is drained for a process
-    /// that has confirmed the drain and has no call in flight there, or whose lease expired longer ago than
-    /// any call lasts.
+    /// Returns the condition that a process still has to meet for a host to be drained; `None`: it has met
+    /// all. A host is drained for a process that has confirmed the drain and has no call in flight there, or
+    /// whose lease expired longer ago than any call lasts.
     fn drain_blocker_at(
         &self,
         drain: &Drain,
@@ -167,6 +168,6 @@
         } else {
             return Progress::wait_for("it is not warm yet");
         };
-        Progress::End { outcome: Outcome::Completed, change: "done", reason: reason.to_owned() }
+        Progress::Complete { outcome: Outcome::Succeeded, change: "done", reason: reason.to_owned() }
     }
 }
--- a/maintenance/src/scheduler/scheduling.rs
+++ b/maintenance/src/scheduler/scheduling.rs
@@ -1,4 +1,4 @@
-//! Selection of the next drain by the leader.
+//! Scheduling of the next drain, from the schedule and the reports that the leader has.
 
 use super::state::Scheduler;
 use crate::application_types::UsageReport;
@@ -38,12 +38,12 @@
         self.leader.processes().filter_map(|(_, peer)| peer.report())
     }
 
-    /// Returns the reason that blocks every drain; `None`: the leader may schedule one.
+    /// Returns a reason that blocks every drain, such as a process of unknown state; `None`: there is none.
     fn blocked_by(&self) -> Option<BlockedReason> {
         if self.leader.state_lost_since().is_some() {
             return Some(BlockedReason::StateLost);
         }
-        // The load and the lost zones are known only if every process has reported recently.
+        // The leader knows the load and the lost zones only if every process has reported recently.
         let unsettled = |reason: String| Some(BlockedReason::MembershipUnsettled(reason));
         let members = &self.leader.facts.members;
         let is_suspected = |member: &MemberStatus| member.presence == Presence::Suspected;
--- a/maintenance/src/scheduler/state.rs
+++ b/maintenance/src/scheduler/state.rs
@@ -1,4 +1,4 @@
-//! State that steps and commands of the scheduler operate on.
+//! Access of the scheduler to the schedule, the configuration and the leader.
 
 use crate::application_types::{DrainEvent, Maintenance};
 use crate::config::SchedulerConfig;
@@ -6,7 +6,7 @@
 use crate::stage::{Outcome, Stage};
 use flaxhead_lease::LeaderContext;
 
-/// Scheduler at the leader, for one step or command.
+/// Scheduler for one step or command of the leader.
 pub(crate) struct Scheduler<'a, 'b> {
     pub(super) config: &'a SchedulerConfig,
     pub(super) leader: &'a mut LeaderContext<'b, Maintenance>,
--- a/maintenance/src/selection/blocked.rs
+++ b/maintenance/src/selection/blocked.rs
@@ -1,11 +1,11 @@
-//! Reasons that block a drain.
+//! Reasons that keep a requested drain from being scheduled.
 
 use std::fmt;
 
-/// Reason why a drain is not scheduled now.
+/// Reason why a requested drain is not scheduled now.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum BlockedReason {
-    /// The earliest start is not reached.
+    /// The earliest start that the request allows is not reached.
     TooEarly,
     /// The maximum number of hosts is out of service.
     MaxTotal(u32),
@@ -13,22 +13,22 @@
     MaxPerZone(String),
     /// The maximum number of hosts of the pod is out of service.
     MaxPerPod(u32),
-    /// The remaining hosts could not serve the load with its margin.
+    /// The remaining hosts could not serve the load with the configured margin.
     InsufficientCapacity {
         /// Concurrent calls that the remaining hosts can serve.
         remaining: u64,
-        /// Concurrent calls that they must be able to serve.
+        /// Concurrent calls that the load and its margin require.
         needed: u64,
     },
     /// Some process reaches no host of this zone.
     LostZone(String),
-    /// The state of a member is unknown; the text says which and why.
+    /// A process is suspected, not admitted or silent, so the load is not known; the text names the process.
     MembershipUnsettled(String),
-    /// The replicated state was lost, and with it which hosts are out of service.
+    /// The processes have lost the schedule, so it is not known which hosts are out of service.
     StateLost,
-    /// Discovery does not list the host.
+    /// Discovery does not list the host of the drain.
     NotListed,
-    /// The drain of this number has precedence.
+    /// Another drain, of this identifier, is scheduled first.
     QueuedBehind(u64),
 }
 
--- a/maintenance/src/selection/context.rs
+++ b/maintenance/src/selection/context.rs
@@ -1,4 +1,5 @@
-//! Selection of the next drain, as a deterministic function of the schedule and the leader's knowledge.
+//! Selection of the next drain. The result depends only on the context, so any leader with the same knowledge
+//! decides alike.
 
 use super::blocked::BlockedReason;
 use crate::config::Limits;
@@ -9,50 +10,50 @@
 
 const PER_MILLE: u64 = 1_000;
 
-/// Input of the selection.
+/// Schedule, limits and knowledge of the leader that the selection decides by.
 pub(crate) struct SchedulingContext<'a> {
     pub schedule: &'a DrainSchedule,
     pub facts: &'a HostFacts,
     pub limits: &'a Limits,
-    /// Calls in flight of all proxies, in thousandths of a call.
+    /// Calls in flight of all processes, in thousandths of a call.
     pub load_millicalls: u64,
     /// Zones in which some process reaches no host.
     pub lost_zones: &'a BTreeSet<String>,
-    /// Reason that blocks every drain.
+    /// Reason that blocks every drain; `None`: there is none.
     pub blocked_by: Option<BlockedReason>,
 }
 
-/// Result of the selection.
+/// Drain to schedule next, and the drains that must wait.
 pub(crate) struct Selection {
-    /// Number of the drain that may be scheduled now.
+    /// Identifier of the drain that may be scheduled now; `None`: all are blocked.
     pub next: Option<u64>,
-    /// The other requested drains, with their reasons.
+    /// Requested drains that must wait, each with the reason that blocks it.
     pub blocked: Vec<BlockedDrain>,
 }
 
-/// Requested drain that is not scheduled now.
+/// Requested drain that must wait, and the reason.
 pub(crate) struct BlockedDrain {
     pub id: u64,
     pub reason: BlockedReason,
 }
 
-/// Order of requested drains; the lowest comes first.
+/// Precedence among requested drains; the drain of the lowest rank is selected first.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Rank {
     urgency: Urgency,
-    /// Another host of the pod counts as out of service.
+    /// Another host of the same pod counts as out of service.
     pod_is_affected: bool,
-    /// Another host of the zone counts as out of service.
+    /// Another host of the same zone counts as out of service.
     zone_is_affected: bool,
     id: u64,
 }
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum Urgency {
-    /// The host fails or is not ready, so its drain takes no capacity away.
+    /// The host fails or is not ready, so its drain takes no capacity away and goes first.
     Failing,
     Normal,
-    /// No other warm host is left in the pod for the calls that are sticky to it.
+    /// No other warm host is left in the pod for the calls that are sticky to it, so the drain goes last.
     LastWarmOfPod,
 }
 
@@ -86,8 +87,7 @@
         !fact.ready || self.schedule.drain_for_host(name).is_some_and(|drain| drain.stage >= Stage::Scheduled)
     }
 
-    /// Returns the hosts of all drains that count as out of service; `None`: discovery does not list the
-    /// host.
+    /// Returns the host of each drain from stage `Scheduled` on; `None`: discovery does not list the host.
     fn drained_hosts(&self) -> impl Iterator<Item = Option<&HostStatus>> {
         let active = self.schedule.drains.iter().filter(|drain| drain.stage >= Stage::Scheduled);
         active.map(|drain| self.host(drain))
@@ -127,8 +127,8 @@
         }
     }
 
-    /// Calls that the other hosts can serve at the same time, in thousandths of a call. A cold host counts by
-    /// its warmth.
+    /// Returns the calls that the other hosts can serve at the same time, in thousandths. A host that is not
+    /// warm counts by its warmth.
     fn capacity_without(&self, drain: &Drain) -> u64 {
         let remains = |(name, fact): &(&String, &HostStatus)| {
             **name != drain.request.host && !fact.failing && !self.is_out(name, fact)
@@ -141,8 +141,7 @@
         u64::try_from(calls / u128::from(PER_MILLE * PER_MILLE)).unwrap_or(u64::MAX)
     }
 
-    /// Returns the reason that blocks a drain, other drains in the queue aside; `None`: the drain may be
-    /// scheduled.
+    /// Returns the reason that blocks a drain, apart from drains of lower rank; `None`: it may be scheduled.
     fn blocked_reason(&self, drain: &Drain) -> Option<BlockedReason> {
         if drain.request.not_before > 0 {
             return Some(BlockedReason::TooEarly);
--- a/maintenance/src/selection/mod.rs
+++ b/maintenance/src/selection/mod.rs
@@ -1,4 +1,4 @@
-//! Selection of the next drain, and the reasons that block the others.
+//! Selection of the next drain to schedule, and the reasons that block the others.
 
 mod blocked;
 mod context;
--- a/maintenance/src/stage.rs
+++ b/maintenance/src/stage.rs
@@ -1,22 +1,23 @@
-//! Stages and outcomes of a drain. `serde` renames and `Display` keep the names of JSON and of the command
-//! line.
+//! Stages and outcomes of a drain. The `serde` renames and `Display` keep the names that operators' scripts
+//! use.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Stage of an open drain.
+/// Stage of an open drain, in the order in which a drain passes through them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Stage {
-    /// The drain waits to be scheduled.
+    /// The drain was requested, and limits or other drains may keep it waiting.
     #[serde(rename = "asked")]
     Requested,
-    /// The drain was selected; a proxy sends to the host only while its lease lasts.
+    /// The drain was selected as the next one. A process still sends calls to the host, but stops once its
+    /// own lease expires without renewal.
     #[serde(rename = "settled")]
     Scheduled,
-    /// Proxies send no new calls to the host; calls in flight run to their end.
+    /// Processes send no new calls to the host, and calls in flight there run to their end.
     #[serde(rename = "draining")]
     Draining,
-    /// No call is in flight at the host.
+    /// No process has a call in flight at the host, which may be under maintenance.
     #[serde(rename = "out")]
     OutOfService,
     /// The host receives calls again, and counts as out of service until it has warmed up.
@@ -36,26 +37,26 @@
     }
 }
 
-/// Outcome of a drain.
+/// Outcome of a completed drain.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Outcome {
-    /// Maintenance was completed and the host serves.
+    /// Maintenance was carried out and the host serves calls again.
     #[serde(rename = "done")]
-    Completed,
-    /// An operator withdrew the drain.
+    Succeeded,
+    /// An operator withdrew the drain before its host was out of service.
     #[serde(rename = "withdrawn")]
     Withdrawn {
-        /// Name of the operator.
+        /// Operator who withdrew the drain.
         by: String,
     },
-    /// The drain did not start before its latest start.
+    /// The drain was still waiting at the latest start that its request allows.
     #[serde(rename = "expired")]
     Expired {
         /// Condition that the drain last waited for.
         #[serde(rename = "why")]
         reason: String,
     },
-    /// The host could not be drained in time and serves on.
+    /// The host could not be drained within the time limit, and goes on serving calls.
     #[serde(rename = "failed")]
     Failed {
         /// Condition that the drain last waited for.
@@ -67,7 +68,7 @@
 impl fmt::Display for Outcome {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Outcome::Completed => f.write_str("done"),
+            Outcome::Succeeded => f.write_str("done"),
             Outcome::Withdrawn { by } => write!(f, "withdrawn by {by}"),
             Outcome::Expired { reason } => write!(f, "expired: {reason}"),
             Outcome::Failed { reason } => write!(f, "failed: {reason}"),
--- a/maintenance/src/view.rs
+++ b/maintenance/src/view.rs
@@ -1,4 +1,5 @@
-//! The state of maintenance as the status page shows it. `serde` renames keep the keys of the JSON format.
+//! State of maintenance as the status page and the command line show it. The `serde` renames keep the keys of
+//! the JSON.
 
 use crate::application_types::Maintenance;
 use crate::schedule::{CompletedDrain, Drain};
@@ -12,7 +13,7 @@
 /// Open drain, as operators see it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DrainView {
-    /// Number of the drain.
+    /// Identifier of the drain.
     pub id: u64,
     /// Host, by its name in discovery.
     pub host: String,
@@ -20,7 +21,7 @@
     pub kind: String,
     /// Operator who requested the drain.
     pub by: String,
-    /// Current stage.
+    /// Current stage of the drain.
     pub stage: Stage,
     /// The host is out of service, and maintenance may start.
     #[serde(rename = "free")]
@@ -31,7 +32,7 @@
     /// Requested duration of the maintenance, in milliseconds.
     #[serde(rename = "lasts_ms")]
     pub duration_ms: u64,
-    /// Condition that the drain waits for; empty: none.
+    /// Condition that keeps the drain at its stage; empty: none, or the maintenance itself.
     pub waits_for: String,
 }
 
@@ -56,16 +57,16 @@
 pub struct ProcessView {
     /// Name of the process.
     pub name: String,
-    /// Incarnation, in hexadecimal digits.
+    /// Incarnation of the process, which differs at each start, in hexadecimal digits.
     #[serde(rename = "life")]
     pub incarnation: String,
     /// Version of the schedule that the process has applied.
     #[serde(rename = "confirmed")]
     pub applied: String,
-    /// Time since the last report, in milliseconds; `None`: no report to this leader.
+    /// Time since the process last reported to this leader, in milliseconds; `None`: it never has.
     #[serde(rename = "heard_ms")]
     pub reported_ms: Option<u64>,
-    /// Mean number of calls in flight over the last seconds.
+    /// Mean number of calls that the process had in flight over the last seconds.
     #[serde(rename = "in_hand")]
     pub in_flight: f64,
 }
@@ -83,16 +84,16 @@
     }
 }
 
-/// State of maintenance at one process.
+/// State of maintenance as one process knows it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MaintenanceView {
-    /// Lease of the process, and the leader.
+    /// Lease of this process, and the leader that it knows.
     #[serde(flatten)]
     pub lease: LeaseStatus,
     /// Open drains, the oldest first.
     #[serde(rename = "turns")]
     pub drains: Vec<DrainView>,
-    /// Most recently ended drains, the latest last.
+    /// Most recently completed drains, with any outcome, the latest last.
     #[serde(rename = "past")]
     pub completed: Vec<CompletedDrain>,
     /// Processes on the roster; empty at processes other than the leader.
@@ -105,7 +106,8 @@
     let leader = machine.leader_state(now);
     let mut schedule = machine.local_replica().current_state(now).state;
     if let Some(leader) = leader {
-        // A change of `waits_for` alone is not replicated, so the leader's own values are the latest.
+        // A change of `waits_for` alone is not replicated, so only the leader's own state has the latest
+        // value.
         for drain in &mut schedule.drains {
             let own = leader.state().state.drain(drain.id).map(|own| own.waits_for.clone());
             drain.waits_for = own.unwrap_or_default();
--- a/maintenance/tests/disks/mod.rs
+++ b/maintenance/tests/disks/mod.rs
@@ -5,18 +5,18 @@
 use flaxhead_snapshot::validation::validate;
 use flaxhead_snapshot::{AgeLimits, ClockReading, Header, Identity, Snapshot};
 
-/// Content of the disks when all processes restart.
+/// Content of the disks that processes find when they restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum DiskState {
-    /// All find the state written last.
+    /// All processes find the state that they wrote last.
     Latest,
-    /// The first finds nothing, the others the state written last.
+    /// The first process finds an empty disk, the others the state that they wrote last.
     FirstLost,
     AllLost,
-    /// All find a backup from before the first drain was scheduled.
+    /// All processes find a backup from before the first drain was scheduled.
     Outdated,
-    /// The first finds that backup with a current time stamp, so that it looks fresh; the others find the
-    /// state written last.
+    /// The first process finds a backup from before the first drain, whose time stamp is current, so that its
+    /// age goes undetected. The others find the state that they wrote last.
     FirstUndetectablyOutdated,
 }
 
@@ -31,7 +31,8 @@
 }
 
 impl Fleet {
-    /// Returns the state that a restarted process accepts from its disk: no older than a step.
+    /// Returns the state that a restarted process loads from its disk; `None`: the disk is empty, or the
+    /// state is older than a step.
     pub(crate) fn load_snapshot(
         &self,
         world: &World,
@@ -98,7 +99,8 @@
 /// state.
 fn recovery_after_restart(restart_state: DiskState) -> (u8, bool) {
     let mut fleet = Fleet::new(Mutation::Unmodified, 0, true, true);
-    // Longer than the admission of all takes.
+    // The maintenance outlasts the admission of all processes, so that the host stays out of service
+    // meanwhile.
     fleet.duration_steps = 40;
     let mut world = (0..6).fold(fleet.first.clone(), |world, _| fleet.next(&world, Fault::Nothing));
     // A fault strikes before a message, so the step must have one.
--- a/maintenance/tests/fleet/mod.rs
+++ b/maintenance/tests/fleet/mod.rs
@@ -25,7 +25,7 @@
 const MAX_FACTS_AGE: Micros = 200_000;
 pub const HOUR: Micros = 3_600 * SECOND;
 
-/// Parameters of a run.
+/// Parameters of a simulated run.
 #[derive(Clone, Debug)]
 pub struct Scenario {
     pub process_count: usize,
@@ -35,17 +35,17 @@
     pub lease: Micros,
     /// Mean time between two requests of operators; 0: no requests.
     pub request_interval: Micros,
-    /// Upper bound on the random part of a maintenance, which takes a second more.
+    /// Maximum duration of a maintenance beyond its minimum of one second.
     pub max_maintenance_time: Micros,
     /// Mean time between two faults; 0: no faults.
     pub fault_interval: Micros,
     pub max_hosts_out: u32,
-    /// Ratio of messages that are lost.
+    /// Probability that a message is lost.
     pub loss_ratio: f64,
     pub seed: u64,
 }
 
-/// Results of a run.
+/// Results of a simulated run.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Metrics {
     pub requested: usize,
@@ -77,7 +77,7 @@
     Complete(String),
     /// Lets operators resolve a loss of state and repeat their commands.
     RunOperators,
-    /// Kills all processes except the last ones in the list, this many.
+    /// Kills all processes except this many at the end of the list.
     KillAll(usize),
     /// Starts all killed processes.
     StartAll,
@@ -85,9 +85,9 @@
 
 struct Node {
     machine: Option<Machine>,
-    /// Offset of the local clock.
+    /// Offset of the local clock from the virtual time.
     clock_offset: Micros,
-    /// Drift of the local clock; positive: it runs fast.
+    /// Drift of the local clock, in parts of ten thousand; positive: it runs fast.
     drift_per_10k: i64,
     is_frozen: bool,
     is_partitioned: bool,
@@ -119,12 +119,12 @@
     leader: Option<(usize, u64)>,
     leaderless_since: Option<Micros>,
     last_command_id: u64,
-    /// Present once all killed processes were started.
+    /// Results of the restart; `None`: the killed processes have not been started yet.
     restart_metrics: Option<RestartMetrics>,
     pub metrics: Metrics,
 }
 
-/// Results of a restart of all processes.
+/// Results of a kill and restart of many processes at once.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RestartMetrics {
     pub started_at: Micros,
@@ -411,8 +411,8 @@
         self.schedule_event(delay, EventKind::Deliver { to, message_id });
     }
 
-    /// Kills all processes but `survivors` at a time, starts them together a second later, and runs to the
-    /// end.
+    /// Kills all processes except `survivors` of them at the time `at`, starts them together a second later,
+    /// and runs to the end of the scenario.
     pub fn kill_and_restart(mut self, at: Micros, survivors: usize) -> RestartMetrics {
         self.schedule_event(at - self.now, EventKind::KillAll(survivors));
         self.process_events();
--- a/maintenance/tests/model.rs
+++ b/maintenance/tests/model.rs
@@ -33,35 +33,38 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Mutation {
     Unmodified,
-    /// A restarted voter votes at once: it neither waits nor asks the other voters for their state.
+    /// A restarted voter votes at once: it neither waits for a lease that it may have granted to expire nor
+    /// asks other voters.
     SkipQuarantine,
     /// The leader assumes that every process has applied the latest schedule.
     AssumeConfirmed,
-    /// A process sends to a scheduled host after its lease has expired.
+    /// A process goes on sending to a scheduled host after its lease has expired.
     IgnoreLeaseExpiry,
-    /// A restarted process sends before it is admitted.
+    /// A restarted process sends calls before it is admitted.
     SendBeforeAdmission,
-    /// Processes do not report their calls in flight.
+    /// Processes do not report their calls in flight, so a host counts as drained too early.
     HideCallsInFlight,
-    /// The clock of a frozen process stops.
+    /// A frozen leader measures its lease by a clock that stopped with it, so it leads for longer than the
+    /// lease.
     StopFrozenClock,
-    /// The processes are configured with higher limits than the check allows.
+    /// Processes are configured to allow more hosts out of service than the invariants do.
     RaiseLimits,
-    /// A process applies a state older than its own.
+    /// A process applies a delayed schedule that is older than its own.
     AcceptOldState,
-    /// A snapshot is loaded whatever its age.
+    /// A restarted process loads its state from disk however old that is.
     IgnoreSnapshotAge,
-    /// A state is confirmed before it is written to the disk.
+    /// A process confirms a schedule before it is on its disk, so a crash undoes what it confirmed.
     ConfirmBeforeWrite,
-    /// Recovery replies do not name the peers that have the state.
+    /// Replies to a restarted process do not name the peers that have the complete schedule.
     HidePeers,
-    /// Recovery replies carry an empty state, declared complete.
+    /// Replies to a restarted process carry an empty schedule that is declared complete.
     ForgeEmptyState,
-    /// Recovery replies do not tell that the sender has a lease or the state.
+    /// Replies to a restarted process conceal that the sender has a lease and the schedule, so that it serves
+    /// autonomously too early.
     HideRecoveryStatus,
 }
 
-/// State of the model beside the processes.
+/// Calls, operators and disks around the processes of the model.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct ModelState {
     /// Step at which a call ends, counted from the initial state, by node and host.
@@ -86,7 +89,7 @@
     max_faults: u8,
     /// Faults occur between any two messages, not only between steps.
     faults_between_messages: bool,
-    /// Processes persist their state.
+    /// Processes persist their state to disks.
     has_disks: bool,
     /// Duration of a maintenance, in steps.
     duration_steps: u8,
@@ -161,8 +164,8 @@
             first,
         };
         let mut world = fleet.first.clone();
-        // Runs until there is a leader, operators have declared the empty schedule complete, and all are
-        // admitted.
+        // The history begins once there is a leader, operators have declared the empty schedule complete, and
+        // all processes are admitted.
         for _ in 0..30 {
             world = fleet.next(&world, Fault::Nothing);
             if let Some(leader) =
@@ -206,11 +209,12 @@
         let (facts, time) = (self.facts(world, node), time_at(world.step));
         let mut random = FixedRandom::for_node(node);
         let mut context = Context { now: time, facts: &facts, random: &mut random };
-        // The first transmission is lost; the process sends the command again.
+        // The effects are dropped, so the first transmission is lost and the process must send the command
+        // again.
         world.nodes[node].submit(&mut context, time + node as u64, command, 20 * LEASE, &mut Vec::new());
     }
 
-    /// Returns the time by a node's clock.
+    /// Returns the time by a node's clock, which a mutation stops while the node is frozen.
     fn local_time(&self, world: &World, node: usize) -> Micros {
         match world.active_fault {
             Some(ActiveFault { node: frozen, kind: LastingFault::Frozen, steps_left })
@@ -222,7 +226,7 @@
         }
     }
 
-    /// Alters a message as the mutation demands.
+    /// Returns a message as the mutation alters it.
     fn mutate_message(&self, world: &World, to: usize, mut message: Message) -> Message {
         match (&mut message, self.mutation) {
             (Message::Renew(renewal), Mutation::AssumeConfirmed) => {
@@ -389,7 +393,7 @@
     /// duration.
     fn run_operators(&self, world: &mut World) {
         self.restore_schedule(world);
-        // A request may have been lost, so operators repeat it.
+        // The request may have been lost, so operators repeat it until the host is free.
         for (node, host) in (0..2).map(|n| (n, host_name(n))) {
             let is_not_free =
                 !world.environment.free_since.contains_key(&host) && world.step.is_multiple_of(10);
