--- a/maintenance/driver/src/participant.rs
+++ b/maintenance/driver/src/participant.rs
@@ -10,17 +10,19 @@
 /// Host that receives no new calls from a given time on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TimedExclusion {
-    /// Name of the host.
+    /// Name of the host in discovery.
     pub host: String,
     /// Time from which no new call is sent to the host.
     pub from: Instant,
 }
 
-/// Access to the hosts that a process sends calls to, as the driver needs it.
+/// Hosts that a process sends calls to: their state, the calls in flight there, and their exclusion from new
+/// calls.
 pub trait Hosts {
-    /// Returns the state of all listed hosts, and the zones in which this process reaches none.
+    /// Returns the state of all hosts that discovery lists, and the zones in which this process reaches no
+    /// host.
     fn facts(&self) -> HostFacts;
-    /// Returns the calls in flight, by host and as a mean over all hosts.
+    /// Returns the calls in flight now at each host, and the mean of their total over the last seconds.
     fn usage(&self) -> HostUsage;
     /// Excludes these hosts from new calls, and no others.
     fn exclude(&self, hosts: Vec<TimedExclusion>);
--- a/maintenance/driver/src/service.rs
+++ b/maintenance/driver/src/service.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// Configuration of host maintenance, section `[work]` of the operators' file.
+/// Configuration of host maintenance, which the proxy reads from section `[work]` of its INI file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// Processes whose majority grants the leader its lease.
@@ -45,8 +45,8 @@
         MaintenanceService(Coordinator::start(settings, peers, seed, store))
     }
 
-    /// Returns a watch channel that is true once this process may send calls to hosts: it was admitted, or
-    /// serves autonomously after a timeout.
+    /// Returns a watch channel that turns true when this process is admitted, or gives up waiting for
+    /// admission after a timeout: only then may it send calls to hosts.
     pub fn may_serve(&self) -> watch::Receiver<bool> {
         self.0.may_serve()
     }
--- a/maintenance/src/application_types.rs
+++ b/maintenance/src/application_types.rs
@@ -12,9 +12,10 @@
 /// Calls that this process has in flight at hosts.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct HostUsage {
-    /// Number of calls in flight, by host name.
+    /// Number of calls in flight now, by host name.
     pub in_flight: BTreeMap<String, u32>,
-    /// Mean number of calls in flight to all hosts over the last seconds, in thousandths of a call.
+    /// Total number of calls in flight to all hosts, as a mean over the last seconds, in thousandths of a
+    /// call.
     pub load_millicalls: u32,
 }
 
@@ -24,7 +25,8 @@
     /// Calls in flight at hosts that the process excludes or will exclude, by host name; hosts without calls
     /// are left out.
     pub busy: BTreeMap<String, u32>,
-    /// Mean number of calls in flight to all hosts over the last seconds, in thousandths of a call.
+    /// Total number of calls in flight to all hosts, as a mean over the last seconds, in thousandths of a
+    /// call.
     pub load_millicalls: u32,
     /// Zones in which the process reaches no host.
     pub lost_zones: BTreeSet<String>,
--- a/maintenance/src/command.rs
+++ b/maintenance/src/command.rs
@@ -123,11 +123,11 @@
         /// Identifier of the drain.
         #[serde(rename = "turn")]
         drain: u64,
-        /// Outcome of the drain.
+        /// Outcome: success, or why the drain ended without maintenance.
         #[serde(rename = "end")]
         outcome: Outcome,
     },
-    /// The maximum number of open drains or pending commands is reached.
+    /// The maximum number of open drains or pending commands, which is the value, is reached.
     #[error("{0} drains are already open or commands pending; retry after one of them has completed")]
     TooMany(usize),
 }
--- a/maintenance/src/exclusion.rs
+++ b/maintenance/src/exclusion.rs
@@ -8,7 +8,7 @@
 /// Host that this process sends no new calls to, now or from a later time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ExcludedHost {
-    /// Name of the host.
+    /// Name of the host in discovery.
     pub host: String,
     /// Time from which no new call is sent to the host, by the clock of this process; 0: at once.
     pub from: Micros,
@@ -39,7 +39,8 @@
     hosts.into_iter().filter_map(excluded).collect()
 }
 
-/// Returns whether a new call may be sent to a host now.
+/// Returns whether this process may start a call to the host at time `now`: it no longer waits for admission,
+/// and the schedule does not exclude the host.
 pub fn may_send(machine: &Machine<Maintenance>, now: Micros, host: &str) -> bool {
     machine.admission_status() != AdmissionStatus::Pending
         && excluded_from(machine.local_replica(), host).is_none_or(|from| now < from)
--- a/maintenance/src/lib.rs
+++ b/maintenance/src/lib.rs
@@ -1,11 +1,11 @@
 //! Scheduling of host maintenance among the client proxies, which are the processes of [`flaxhead_lease`], as
 //! an [`flaxhead_lease::Application`] without I/O or clock.
 //!
-//! A *drain* takes a host out of service for maintenance. The [`DrainSchedule`] holds all drains and is
-//! replicated to every process. The leader ([`Maintenance`]) moves a drain through its stages: requested,
-//! scheduled, draining, out of service, recovering. Each process sends no new calls to the hosts that its
-//! schedule excludes ([`excluded_hosts`], [`may_send`]). Operators are told that a host is free for
-//! maintenance only when no process can still have a call in flight there.
+//! A *drain* takes a host out of service for maintenance. The [`DrainSchedule`] holds all drains; it is the
+//! state that [`flaxhead_lease`] replicates to every process. The leader ([`Maintenance`]) moves a drain
+//! through its stages: requested, scheduled, draining, out of service, recovering. Each process sends no new
+//! calls to the hosts that its schedule excludes ([`excluded_hosts`], [`may_send`]). Operators are told that
+//! a host is free for maintenance only when no process can still have a call in flight there.
 
 mod application;
 mod application_types;
--- a/maintenance/src/schedule.rs
+++ b/maintenance/src/schedule.rs
@@ -35,7 +35,7 @@
     pub host: String,
     /// Operator who requested the drain.
     pub by: String,
-    /// Outcome of the drain.
+    /// Outcome: success, or why the drain ended without maintenance.
     #[serde(rename = "end")]
     pub outcome: Outcome,
 }
--- a/maintenance/src/scheduler/scheduling.rs
+++ b/maintenance/src/scheduler/scheduling.rs
@@ -38,12 +38,14 @@
         self.leader.processes().filter_map(|(_, peer)| peer.report())
     }
 
-    /// Returns a reason that blocks every drain, such as a process of unknown state; `None`: there is none.
+    /// Returns a reason that blocks every drain, such as a process that has not reported; `None`: there is
+    /// none.
     fn blocked_by(&self) -> Option<BlockedReason> {
         if self.leader.state_lost_since().is_some() {
             return Some(BlockedReason::StateLost);
         }
-        // The leader knows the load and the lost zones only if every process has reported recently.
+        // The selection needs the total load and the zones that processes cannot reach, and the leader knows
+        // both only if every process has reported recently.
         let unsettled = |reason: String| Some(BlockedReason::MembershipUnsettled(reason));
         let members = &self.leader.facts.members;
         let is_suspected = |member: &MemberStatus| member.presence == Presence::Suspected;
--- a/maintenance/src/selection/blocked.rs
+++ b/maintenance/src/selection/blocked.rs
@@ -24,7 +24,7 @@
     LostZone(String),
     /// A process is suspected, not admitted or silent, so the load is not known; the text names the process.
     MembershipUnsettled(String),
-    /// The processes have lost the schedule, so it is not known which hosts are out of service.
+    /// The processes have lost the replicated schedule, so it is not known which hosts are out of service.
     StateLost,
     /// Discovery does not list the host of the drain.
     NotListed,
--- a/maintenance/src/selection/context.rs
+++ b/maintenance/src/selection/context.rs
@@ -17,7 +17,7 @@
     pub limits: &'a Limits,
     /// Calls in flight of all processes, in thousandths of a call.
     pub load_millicalls: u64,
-    /// Zones in which some process reaches no host.
+    /// Zones in which some process reaches no host, from the reports of all processes.
     pub lost_zones: &'a BTreeSet<String>,
     /// Reason that blocks every drain; `None`: there is none.
     pub blocked_by: Option<BlockedReason>,
@@ -53,7 +53,8 @@
     /// The host fails or is not ready, so its drain takes no capacity away and goes first.
     Failing,
     Normal,
-    /// No other warm host is left in the pod for the calls that are sticky to it, so the drain goes last.
+    /// No other host that has warmed up is left in the pod for the calls that are sticky to the pod, so the
+    /// drain goes last.
     LastWarmOfPod,
 }
 
@@ -127,8 +128,8 @@
         }
     }
 
-    /// Returns the calls that the other hosts can serve at the same time, in thousandths. A host that is not
-    /// warm counts by its warmth.
+    /// Returns the number of concurrent calls that the hosts can serve without the host of this drain, in
+    /// thousandths of a call. A host that is still warming up counts in proportion to its progress.
     fn capacity_without(&self, drain: &Drain) -> u64 {
         let remains = |(name, fact): &(&String, &HostStatus)| {
             **name != drain.request.host && !fact.failing && !self.is_out(name, fact)
--- a/maintenance/src/view.rs
+++ b/maintenance/src/view.rs
@@ -52,7 +52,7 @@
     }
 }
 
-/// Process on the roster, as the leader sees it.
+/// Process on the roster of admitted processes, as the leader sees it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ProcessView {
     /// Name of the process.
@@ -96,7 +96,7 @@
     /// Most recently completed drains, with any outcome, the latest last.
     #[serde(rename = "past")]
     pub completed: Vec<CompletedDrain>,
-    /// Processes on the roster; empty at processes other than the leader.
+    /// Admitted processes; empty at processes other than the leader.
     #[serde(rename = "members")]
     pub processes: Vec<ProcessView>,
 }
--- a/maintenance/tests/disks/mod.rs
+++ b/maintenance/tests/disks/mod.rs
@@ -58,7 +58,7 @@
         self.check_and_send(world, node, effects)
     }
 
-    /// Tells a node that its state is on the disk.
+    /// Tells the process of a node that its state is on the disk.
     pub(crate) fn confirm_write(&self, world: &mut World, node: usize, effects: &mut Vec<Effect>) {
         let (facts, now) = (self.facts(world, node), self.local_time(world, node));
         let mut random = FixedRandom::for_node(node);
@@ -68,7 +68,8 @@
         }
     }
 
-    /// Checks the invariants and returns the messages among a node's effects.
+    /// Checks the invariants, then sends the messages among a node's effects; returns them with their
+    /// recipients.
     pub(crate) fn check_and_send(
         &self,
         world: &mut World,
@@ -95,8 +96,8 @@
     }
 }
 
-/// Returns the steps from a restart of all until all are admitted, and whether any process reported a lost
-/// state.
+/// Returns the number of steps from a restart of all processes until all are admitted, and whether any of
+/// them reported the loss of the schedule.
 fn recovery_after_restart(restart_state: DiskState) -> (u8, bool) {
     let mut fleet = Fleet::new(Mutation::Unmodified, 0, true, true);
     // The maintenance outlasts the admission of all processes, so that the host stays out of service
--- a/maintenance/tests/fleet/mod.rs
+++ b/maintenance/tests/fleet/mod.rs
@@ -56,7 +56,7 @@
     pub messages: u64,
     pub state_bytes: u64,
     pub leader_changes: usize,
-    /// Periods without a leader.
+    /// Length of each period without a leader.
     pub leaderless_times: Vec<Micros>,
     pub peak_hosts_out: usize,
     pub faults: usize,
@@ -264,7 +264,8 @@
         self.schedule_event(after, EventKind::Wake(index, at));
     }
 
-    /// Returns the facts as the membership reports them, with a delay.
+    /// Returns the hosts and the state of the other processes as one process observes them: failures show
+    /// after a delay.
     fn facts(&self, observer: usize) -> Facts {
         let member = |index: usize| {
             let Node { incarnation, changed_at, is_frozen, is_partitioned, .. } = &self.nodes[index];
--- a/maintenance/tests/model.rs
+++ b/maintenance/tests/model.rs
@@ -64,7 +64,7 @@
     HideRecoveryStatus,
 }
 
-/// Calls, operators and disks around the processes of the model.
+/// Calls, operators and disks around the processes of the model, which are its nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct ModelState {
     /// Step at which a call ends, counted from the initial state, by node and host.
@@ -688,7 +688,8 @@
     for voter in 0..VOTER_COUNT {
         fleet.restart(&mut world, voter, DiskState::AllLost);
     }
-    // Spares the only process that still has the schedule.
+    // With a single process besides the voters, only that process still has the schedule, so no fault may
+    // affect it.
     fleet.fault_targets = (0..if nodes == VOTER_COUNT + 1 { VOTER_COUNT } else { nodes }).collect();
     fleet.first = world;
     fleet
