--- a/maintenance/driver/src/lib.rs
+++ b/maintenance/driver/src/lib.rs
@@ -1,5 +1,6 @@
-//! Driver of host maintenance at one process: reports its calls to the leader, excludes hosts by the
-//! schedule, and submits the commands of operators. [`flaxhead_coordination`] provides timers and messages.
+//! Driver of the maintenance protocol at one process: reports the process's calls in flight to the leader,
+//! sends no new calls to hosts that the schedule excludes, and submits the commands of operators.
+//! [`flaxhead_coordination`] provides timers and messages.
 
 mod participant;
 mod service;
--- a/maintenance/driver/src/participant.rs
+++ b/maintenance/driver/src/participant.rs
@@ -7,30 +7,34 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// Host that receives no new calls from a given time on.
+/// Host that this process sends no new calls to, from a given time on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TimedExclusion {
-    /// Name of the host in discovery.
+    /// Name of the host in discovery's list.
     pub host: String,
     /// Time from which no new call is sent to the host.
     pub from: Instant,
 }
 
-/// Hosts that a process sends calls to: their state, the calls in flight there, and their exclusion from new
-/// calls.
+/// Hosts that a process sends calls to. The proxy implements this trait: it reports the hosts' state to the
+/// protocol and keeps new calls away from excluded hosts.
 pub trait Hosts {
     /// Returns the state of all hosts that discovery lists, and the zones in which this process reaches no
     /// host.
     fn facts(&self) -> HostFacts;
-    /// Returns the calls in flight now at each host, and the mean of their total over the last seconds.
+    /// Returns the number of calls in flight at each host now, and the mean of their total over the last
+    /// seconds.
     fn usage(&self) -> HostUsage;
-    /// Excludes these hosts from new calls, and no others.
+    /// Excludes these hosts from new calls, each from its own time on. Replaces all earlier exclusions, so
+    /// any host that is not named receives calls again.
     fn exclude(&self, hosts: Vec<TimedExclusion>);
-    /// Records a change of a drain. Called at the leader only.
+    /// Records an event, such as a change of a drain, in the audit trail. Called only while this process is
+    /// the leader.
     fn event(&self, event: &DrainEvent);
 }
 
-/// Excludes hosts by the schedule after each step of the protocol, before the messages of that step are sent.
+/// Excludes hosts by the schedule after each step of the protocol. This happens before the messages of that
+/// step are sent, so that no process confirms an exclusion that is not in effect.
 pub(crate) struct HostExclusion {
     hosts: Rc<dyn Hosts>,
     excluded: RefCell<Vec<ExcludedHost>>,
--- a/maintenance/driver/src/service.rs
+++ b/maintenance/driver/src/service.rs
@@ -11,24 +11,26 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// Configuration of host maintenance, which the proxy reads from section `[work]` of its INI file.
+/// Configuration of host maintenance. The proxy reads it from section `[work]` of the operators'
+/// configuration file, which switches host maintenance on; the section's name is older than this package's.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Processes whose majority grants the leader its lease.
+    /// Voters, of which a majority grants the leader its lease.
     pub voters: Voters,
     /// Durations and timeouts of the lease protocol.
     pub config: Config,
-    /// Time limits of drains, and limits on the number of hosts out of service.
+    /// Limits on the hosts out of service, and time limits of drains.
     pub scheduler: SchedulerConfig,
 }
 
-/// Handle to host maintenance at one process, shared by the tasks of one thread.
+/// Handle to host maintenance at one process. Clones share one protocol state machine and stay on one thread.
 #[derive(Clone, Debug)]
 pub struct MaintenanceService(Coordinator<Maintenance>);
 
 impl MaintenanceService {
-    /// Creates the service, which exchanges messages with these peers. `seed` must differ at each start of
-    /// the process; without a `store`, the schedule is not persisted.
+    /// Creates the service, which exchanges messages with the other processes through `peers`. `seed` starts
+    /// the random number generator and must differ at each start of the process. Without a `store`, the
+    /// schedule is not persisted.
     pub fn start(
         settings: Settings,
         peers: Peers,
@@ -45,8 +47,9 @@
         MaintenanceService(Coordinator::start(settings, peers, seed, store))
     }
 
-    /// Returns a watch channel that turns true when this process is admitted, or gives up waiting for
-    /// admission after a timeout: only then may it send calls to hosts.
+    /// Returns a watch channel whose value is true once this process may send calls to hosts: it has been
+    /// admitted, or it serves without admission, for example because it waited for longer than the configured
+    /// timeout.
     pub fn may_serve(&self) -> watch::Receiver<bool> {
         self.0.may_serve()
     }
@@ -57,7 +60,8 @@
         self.0.serve(Rc::new(HostExclusion::new(hosts))).await;
     }
 
-    /// Returns the drains and the lease as this process knows them.
+    /// Returns the lease, the drains and, at the leader, the processes on the roster, as this process knows
+    /// them.
     pub fn view(&self) -> MaintenanceView {
         self.0.with_machine(view)
     }
--- a/maintenance/src/application_types.rs
+++ b/maintenance/src/application_types.rs
@@ -1,5 +1,5 @@
-//! Host maintenance as an application of [`flaxhead_lease`], and the data that processes report to the
-//! leader.
+//! [`Maintenance`], the application that [`flaxhead_lease`] runs at each process, and the reports that
+//! processes send to the leader.
 
 use crate::command::{Command, CommandResponse, Rejection};
 use crate::config::SchedulerConfig;
@@ -9,35 +9,36 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Calls that this process has in flight at hosts.
+/// Calls that one process has in flight, as its driver counts them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct HostUsage {
     /// Number of calls in flight now, by host name.
     pub in_flight: BTreeMap<String, u32>,
-    /// Total number of calls in flight to all hosts, as a mean over the last seconds, in thousandths of a
-    /// call.
+    /// Load of this process: calls in flight to all hosts together, averaged over the last seconds, in
+    /// thousandths of a call.
     pub load_millicalls: u32,
 }
 
 /// Report that a process sends to the leader with each renewal of its lease.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct UsageReport {
-    /// Calls in flight at hosts that the process excludes or will exclude, by host name; hosts without calls
-    /// are left out.
+    /// Number of calls in flight at each host that the process excludes, now or from a later time, by host
+    /// name. Hosts without calls are left out.
     pub busy: BTreeMap<String, u32>,
-    /// Total number of calls in flight to all hosts, as a mean over the last seconds, in thousandths of a
-    /// call.
+    /// Load of the process: calls in flight to all hosts together, averaged over the last seconds, in
+    /// thousandths of a call.
     pub load_millicalls: u32,
     /// Zones in which the process reaches no host.
     pub lost_zones: BTreeSet<String>,
 }
 
-/// Change of a drain, which the leader records in the audit trail and the log.
+/// Event that the leader records in the audit trail and the log: a change of a drain, or a command that
+/// concerns no drain.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct DrainEvent {
     /// Identifier of the drain; 0: the event concerns no drain.
     pub drain: u64,
-    /// Host of the drain; empty: the event concerns no drain.
+    /// Name of the drain's host; empty: the event concerns no drain.
     pub host: String,
     /// Kind of the change in one word, such as `settled` or `out`.
     pub change: String,
@@ -45,7 +46,8 @@
     pub reason: String,
 }
 
-/// Application that replicates the [`DrainSchedule`] to all processes and moves drains on at the leader.
+/// Application that replicates the [`DrainSchedule`] to every process and, at the leader, moves each drain
+/// from stage to stage.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Maintenance {
     pub(crate) config: SchedulerConfig,
@@ -53,12 +55,12 @@
 }
 
 impl Maintenance {
-    /// Creates the application of one process, with no calls in flight.
+    /// Creates the application for one process, with no calls in flight.
     pub fn new(config: SchedulerConfig) -> Maintenance {
         Maintenance { config, usage: HostUsage::default() }
     }
 
-    /// Sets the calls in flight that the next report covers.
+    /// Sets the calls in flight that this process states in its next report to the leader.
     pub fn set_usage(&mut self, usage: HostUsage) {
         self.usage = usage;
     }
@@ -74,9 +76,10 @@
     type Facts = HostFacts;
     type Event = DrainEvent;
 
-    // Enough for several hundred open and completed drains with texts of maximum length.
+    // Size limit of the replicated schedule: enough for several hundred drains with texts of maximum length.
     const MAX_STATE_BYTES: usize = 1 << 18;
-    // Enough for the hosts of all open drains and the names of all lost zones.
+    // Size limit of one process's report: enough for the names of all hosts being drained and of all lost
+    // zones.
     const MAX_REPORT_BYTES: usize = 1 << 16;
     const MAX_GRANT_BYTES: usize = 0;
     const MAX_COMMAND_BYTES: usize = 1 << 12;
--- a/maintenance/src/command.rs
+++ b/maintenance/src/command.rs
@@ -10,10 +10,10 @@
 const MAX_TEXT_BYTES: usize = 64;
 const MICROS_PER_SECOND: Micros = 1_000_000;
 
-/// Command that an operator gives through any process and the leader executes.
+/// Command that an operator submits at any process and that the leader executes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Command {
-    /// Requests a drain of a host.
+    /// Requests a drain of a host, which the leader schedules once the limits allow it.
     #[serde(rename = "Ask")]
     Request(DrainRequest),
     /// Withdraws a drain whose host is not yet out of service.
@@ -33,7 +33,7 @@
         /// Operator who gives the command.
         by: String,
     },
-    /// Removes a process that no longer runs, so that no drain waits for it.
+    /// Removes a process that no longer runs from the roster, so that no drain waits for its confirmation.
     #[serde(rename = "Gone")]
     RemoveProcess {
         /// Name of the process.
@@ -41,8 +41,8 @@
         /// Operator who gives the command.
         by: String,
     },
-    /// Declares, after a loss of the replicated state, that the schedule lists every host that is out of
-    /// service.
+    /// Declares that the schedule lists every host that is out of service. Needed after the processes have
+    /// lost the schedule, since no drain is scheduled before.
     #[serde(rename = "Known")]
     DeclareRecovered {
         /// Operator who gives the command.
@@ -53,7 +53,7 @@
 /// Response to a command that was executed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum CommandResponse {
-    /// Response to commands that open a drain or move it on.
+    /// Response to [`Command::Request`] and [`Command::Complete`]: the drain that the command concerns.
     #[serde(rename = "Turn")]
     Drain {
         /// Identifier of the drain.
@@ -61,18 +61,19 @@
         /// Current stage of the drain.
         stage: Stage,
     },
-    /// Response to all commands except a request of a drain and the completion of its maintenance.
+    /// Response to [`Command::Withdraw`], [`Command::RemoveProcess`] and [`Command::DeclareRecovered`], which
+    /// return no data.
     Done,
 }
 
-/// Reason why a command failed.
+/// Reason why a command was rejected or could not be confirmed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, thiserror::Error)]
 pub enum Rejection {
-    /// No leader could be reached, or the leader does not know the hosts yet.
+    /// No leader could be reached, or the leader has no list of hosts from discovery yet.
     #[error("no leader is reachable from this process; retry once a majority of the voters is running")]
     #[serde(rename = "NoHolder")]
     NoLeader,
-    /// The command was not committed in time. It may have been executed; repeating it is safe.
+    /// No confirmation of the command arrived in time. The leader may have executed it; repeating it is safe.
     #[error("the command was not confirmed in time and may have been executed; retry it")]
     TimedOut,
     /// Discovery does not list the host.
@@ -85,7 +86,8 @@
     /// No process on the roster has this name.
     #[error("no proxy {0} is on the roster")]
     UnknownProcess(String),
-    /// The process to be removed is alive according to the membership, or has reported recently.
+    /// The process to be removed is alive according to the membership, or has reported to the leader
+    /// recently.
     #[error("proxy {0} cannot be removed: it is alive or has reported recently")]
     #[serde(rename = "Runs")]
     ProcessRuns(String),
@@ -97,7 +99,7 @@
     #[error("invalid value of {0}: must have 1 to {MAX_TEXT_BYTES} printable ASCII characters")]
     #[serde(rename = "BadText")]
     InvalidText(String),
-    /// The maintenance was declared complete by another operator than the one who requested the drain.
+    /// The operator who declared the maintenance complete is not the one who requested the drain.
     #[error("drain {drain} was requested by {owner}, who alone can complete it")]
     #[serde(rename = "NotYours")]
     NotOwner {
@@ -117,17 +119,18 @@
         /// Current stage of the drain.
         stage: Stage,
     },
-    /// The drain was completed before the command, with any outcome.
+    /// The drain had been completed, with any outcome, before the command was executed.
     #[error("drain {drain} has ended: {outcome}")]
     Ended {
         /// Identifier of the drain.
         #[serde(rename = "turn")]
         drain: u64,
-        /// Outcome: success, or why the drain ended without maintenance.
+        /// Outcome with which the drain was completed.
         #[serde(rename = "end")]
         outcome: Outcome,
     },
-    /// The maximum number of open drains or pending commands, which is the value, is reached.
+    /// The maximum number of open drains, or of commands pending at the process, is reached. The value is
+    /// that maximum.
     #[error("{0} drains are already open or commands pending; retry after one of them has completed")]
     TooMany(usize),
 }
@@ -142,14 +145,15 @@
     }
 }
 
-/// Returns whether a text has a valid length and can be printed in a table and in the audit trail.
+/// Returns whether a text has 1 to [`MAX_TEXT_BYTES`] bytes, all of them printable ASCII characters.
 fn is_valid_text(text: &str) -> bool {
     let is_printable = |byte: u8| byte.is_ascii_graphic() || byte == b' ';
     (1..=MAX_TEXT_BYTES).contains(&text.len()) && text.bytes().all(is_printable)
 }
 
 impl DrainRequest {
-    /// Validates the parts of the request that depend neither on the hosts nor on the schedule.
+    /// Validates the texts, the duration and the start times of the request. `max_duration` is the longest
+    /// maintenance that the limits allow.
     pub(crate) fn check(&self, max_duration: Micros) -> Result<(), Rejection> {
         for (text, field) in [(&self.host, "host"), (&self.kind, "kind of work"), (&self.by, "by")] {
             if !is_valid_text(text) {
--- a/maintenance/src/command/tests.rs
+++ b/maintenance/src/command/tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `command`.
+//! Unit tests of the validation of drain requests.
 
 use super::*;
 
--- a/maintenance/src/config.rs
+++ b/maintenance/src/config.rs
@@ -1,8 +1,10 @@
-//! Limits on the number of hosts out of service, and time limits of drains.
+//! Limits on the hosts out of service, and time limits of drains.
 
 use flaxhead_lease::Micros;
 
-/// Limits on the hosts that are out of service at the same time.
+/// Limits on the number of hosts out of service at the same time, on the capacity that must remain, and on
+/// the duration of maintenance. A host counts as out of service from the time at which its drain is scheduled
+/// until the drain is completed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Limits {
     /// Maximum number of hosts out of service in total.
@@ -11,10 +13,11 @@
     pub max_per_zone: u32,
     /// Maximum number of hosts out of service in one pod.
     pub max_per_pod: u32,
-    /// Concurrent calls that a warm host of size 1 can serve, in thousandths of a call; 0: unknown, capacity
-    /// is not checked.
+    /// Number of concurrent calls that a host of weight 1 can serve once it has warmed up, in thousandths of
+    /// a call; 0: unknown, so capacity is not checked.
     pub millicalls_per_host: u32,
-    /// Spare capacity that must remain beyond the load, in thousandths of the load.
+    /// Capacity that the remaining hosts must have beyond the load of all processes, in thousandths of that
+    /// load.
     pub load_margin_per_mille: u32,
     /// Maximum duration of maintenance that a request may state.
     pub max_duration: Micros,
@@ -34,8 +37,8 @@
 }
 
 impl Limits {
-    /// Returns the name of a limit of 0, which forbids every drain, as rejections state it; `None`: drains
-    /// are possible.
+    /// Returns the name, for error messages, of a limit that is 0 and so forbids every drain; `None`: no
+    /// limit is 0.
     pub(crate) fn zero_limit(&self) -> Option<&'static str> {
         let limits = [(self.max_total, "all"), (self.max_per_zone, "zone"), (self.max_per_pod, "pod")];
         limits.into_iter().find(|(limit, _)| *limit == 0).map(|(_, name)| name)
@@ -45,11 +48,12 @@
 /// Configuration of the scheduler, which must be the same at all processes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct SchedulerConfig {
-    /// Time that a host may take to drain before the drain fails.
+    /// Maximum time for which a host drains; after that, the drain fails and the host stays in service.
     pub max_drain_time: Micros,
-    /// Time after which a recovering host no longer counts as out of service, even if it has not warmed up.
+    /// Time after the end of maintenance from which a host no longer counts as out of service, even if it has
+    /// not warmed up.
     pub max_recovery_time: Micros,
-    /// Limits on the number of hosts out of service.
+    /// Limits that every scheduled drain must respect.
     pub limits: Limits,
     /// Maximum number of completed drains that the schedule keeps.
     pub max_completed: usize,
--- a/maintenance/src/facts.rs
+++ b/maintenance/src/facts.rs
@@ -1,4 +1,4 @@
-//! State of hosts as one process knows it.
+//! Hosts as one process knows them from discovery and from its own calls.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,11 +11,13 @@
     pub pod: u32,
     /// Discovery lists the host as ready to serve calls.
     pub ready: bool,
-    /// Calls of this process to the host fail.
+    /// Of the recent calls of this process to the host, so many failed that the process considers it faulty.
     pub failing: bool,
-    /// Progress of the host's warm-up, in thousandths; 1000: warmed up.
+    /// Share of its full capacity that the host has reached, in thousandths; 1000: all of it. A host is
+    /// *warming up* in the time after a start in which it has not reached its full capacity.
     pub warmth: u32,
-    /// Capacity of the host relative to a host of size 1, in thousandths.
+    /// Weight of the host: its full capacity relative to other hosts, in thousandths. A host of weight 2 can
+    /// serve twice as many concurrent calls as a host of weight 1.
     pub weight: u32,
 }
 
@@ -27,7 +29,7 @@
     }
 }
 
-/// State of all hosts that discovery lists.
+/// All hosts that discovery lists, and the zones that this process cannot reach.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct HostFacts {
     /// State of each host, by host name.
--- a/maintenance/src/request.rs
+++ b/maintenance/src/request.rs
@@ -1,4 +1,4 @@
-//! Requests of operators.
+//! Operators' requests to drain a host.
 
 use flaxhead_lease::Micros;
 use serde::{Deserialize, Serialize};
@@ -6,7 +6,7 @@
 /// Request to drain a host for maintenance.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct DrainRequest {
-    /// Host, by its name in discovery.
+    /// Name of the host in discovery's list.
     pub host: String,
     /// Kind of maintenance, as the operator names it.
     pub kind: String,
@@ -15,11 +15,11 @@
     /// Expected duration of the maintenance.
     #[serde(rename = "lasts")]
     pub duration: Micros,
-    /// Time from now until the earliest start of the drain; 0: it may start at once.
+    /// Time that must pass before the drain may be scheduled; 0: it may be scheduled at once.
     pub not_before: Micros,
-    /// Time from now until the latest start of the drain; `None`: it may start at any time.
+    /// Time after which the drain expires unless draining has begun; `None`: it never expires.
     pub not_after: Option<Micros>,
-    /// The host is out of service already, so nothing needs to be drained: for use after the processes have
-    /// lost the schedule.
+    /// The host is out of service already and needs no draining. Operators set this to enter such a host
+    /// again after the processes have lost the schedule.
     pub already_out: bool,
 }
--- a/maintenance/src/schedule.rs
+++ b/maintenance/src/schedule.rs
@@ -6,44 +6,47 @@
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// Open drain. Times are relative to now, so that they do not depend on the clock of a process.
+/// Drain that has not been completed. Times count from or to the present, so that they do not depend on the
+/// clock of any process.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Drain {
-    /// Identifier of the drain; later drains have higher ones.
+    /// Identifier of the drain; a later drain has a higher identifier.
     pub id: u64,
-    /// Request of the operator; its start times count down as time passes.
+    /// Request of the operator. Its times until the earliest and the latest start count down.
     pub request: DrainRequest,
     /// Current stage of the drain.
     pub stage: Stage,
-    /// Sequence number, by the count of the current leader, of the schedule in which the drain reached its
-    /// stage.
+    /// Sequence number of the version of the schedule in which the drain reached its stage, as the current
+    /// leader counts versions.
     pub stage_seq: u64,
     /// Time since the drain reached its stage.
     pub stage_age: Micros,
-    /// Maintenance may start: the host is out of service, and a majority of voters has stored that.
+    /// Operators may start the maintenance: the host is out of service, and a majority of voters has applied
+    /// the schedule that says so.
     pub is_free: bool,
-    /// Condition that keeps the drain at its stage; empty: none, or the maintenance itself.
+    /// Condition that the drain waits for before its next stage, as a text for operators; empty: none, or the
+    /// end of the maintenance.
     pub waits_for: String,
 }
 
-/// Drain that has ended, with any outcome.
+/// Drain that has ended, whether maintenance was carried out or not.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct CompletedDrain {
     /// Identifier of the drain.
     pub id: u64,
-    /// Host, by its name in discovery.
+    /// Name of the host in discovery's list.
     pub host: String,
     /// Operator who requested the drain.
     pub by: String,
-    /// Outcome: success, or why the drain ended without maintenance.
+    /// Whether maintenance was carried out and, if not, why the drain ended.
     #[serde(rename = "end")]
     pub outcome: Outcome,
 }
 
-/// All open drains and the latest completed ones; replicated to every process.
+/// All open drains and the latest completed ones, replicated from the leader to every process.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct DrainSchedule {
-    /// Identifier of the latest drain; 0: there has been none.
+    /// Identifier of the drain that was opened last; 0: none has been opened.
     pub last_id: u64,
     /// Open drains, the oldest first.
     pub drains: Vec<Drain>,
@@ -71,7 +74,7 @@
         self.completed.iter().rev().find(|drain| drain.id == id)
     }
 
-    /// Adds an open drain and returns its identifier.
+    /// Adds a new drain that is at the given stage, and returns its identifier.
     pub(crate) fn open(&mut self, request: DrainRequest, stage: Stage) -> u64 {
         self.last_id += 1;
         self.drains.push(Drain {
@@ -86,7 +89,8 @@
         self.last_id
     }
 
-    /// Moves an open drain to the completed ones, of which the latest `max_completed` are kept.
+    /// Removes an open drain and records it, with its outcome, among the completed drains. Keeps only the
+    /// latest `max_completed` of those.
     pub(crate) fn complete(&mut self, id: u64, outcome: Outcome, max_completed: usize) {
         let Some(index) = self.drains.iter().position(|drain| drain.id == id) else { return };
         let DrainRequest { host, by, .. } = self.drains.remove(index).request;
@@ -96,8 +100,8 @@
         }
     }
 
-    /// Merges a drain of another schedule into this one; the later stage wins. Returns whether this schedule
-    /// changed.
+    /// Merges an open drain from the schedule of a different process. If this schedule has a drain of the
+    /// same host, that drain takes the later of the two stages. Returns whether this schedule changed.
     fn merge_drain(&mut self, other: &Drain) -> bool {
         match self.drains.iter_mut().find(|own| own.request.host == other.request.host) {
             Some(own) if own.stage >= other.stage => false,
@@ -128,7 +132,8 @@
         }
     }
 
-    /// Merges the drains of another schedule into this one, except those that are merely requested.
+    /// Merges the open drains of a different process's schedule, except those at stage `Requested`: they take
+    /// no host out of service, and operators can request them again.
     fn merge(&mut self, other: &DrainSchedule) -> bool {
         let mut is_changed = false;
         for drain in other.drains.iter().filter(|drain| drain.stage >= Stage::Scheduled) {
--- a/maintenance/src/scheduler/commands.rs
+++ b/maintenance/src/scheduler/commands.rs
@@ -11,7 +11,8 @@
 const NO_DRAIN: u64 = 0;
 
 impl Scheduler<'_, '_> {
-    /// Executes a command. The response is valid once the changed schedule is committed.
+    /// Executes an operator's command. The response holds only once a majority of voters has applied the
+    /// changed schedule.
     pub(crate) fn execute(&mut self, command: Command) -> Result<CommandResponse, Rejection> {
         match command {
             Command::Request(request) => self.request(request),
@@ -32,7 +33,7 @@
     ///
     /// # Errors
     ///
-    /// The drain was completed, or there has been none of this identifier.
+    /// The drain is completed, or the schedule has no drain of this identifier.
     fn find_open_drain(&self, id: u64) -> Result<&Drain, Rejection> {
         if let Some(drain) = self.schedule().drain(id) {
             return Ok(drain);
@@ -43,7 +44,8 @@
         })
     }
 
-    /// Opens a drain of a host, or returns the one that is open and not yet recovering.
+    /// Opens the requested drain. If the host already has an open drain that is not yet recovering, returns
+    /// that drain.
     fn request(&mut self, request: DrainRequest) -> Result<CommandResponse, Rejection> {
         request.check(self.config.limits.max_duration)?;
         let existing = self.schedule().drain_for_host(&request.host);
@@ -68,12 +70,12 @@
         Ok(self.open(request, Stage::Requested, "asked", reason))
     }
 
-    /// Checks that the limits and the list of hosts allow a drain of the host at some time.
+    /// Rejects a drain that could never start, because a limit is 0 or discovery does not list the host.
     fn check_feasible(&self, request: &DrainRequest) -> Result<(), Rejection> {
         if let Some(limit) = self.config.limits.zero_limit() {
             return Err(Rejection::Impossible(format!("the limit {limit} is 0")));
         }
-        // Without a host list of its own, the leader cannot tell whether the host exists.
+        // Without a list of hosts from discovery, the leader cannot tell whether the host exists.
         let hosts = &self.leader.facts.application.hosts;
         if hosts.is_empty() {
             return Err(Rejection::NoLeader);
@@ -94,8 +96,8 @@
         CommandResponse::Drain { id, stage }
     }
 
-    /// Withdraws a drain. Succeeds again if the same operator repeats it, since the first response may have
-    /// been lost.
+    /// Withdraws a drain. Succeeds again if the same operator repeats the command, since the first response
+    /// may have been lost.
     fn withdraw(&mut self, id: u64, by: String) -> Result<CommandResponse, Rejection> {
         let stage = match self.find_open_drain(id) {
             Err(Rejection::Ended { outcome: Outcome::Withdrawn { by: earlier }, .. }) if earlier == by => {
@@ -129,8 +131,8 @@
         Ok(CommandResponse::Drain { id, stage: Stage::Recovering })
     }
 
-    /// Removes from the roster the processes of this name that are neither alive in the membership nor
-    /// reported recently.
+    /// Removes from the roster each process of this name that is not alive according to the membership and
+    /// has not reported to the leader recently.
     fn remove_process(&mut self, name: &str, by: &str) -> Result<CommandResponse, Rejection> {
         let has_name = |process: &Process| process.name.as_str() == name;
         if !self.leader.processes().any(|(process, _)| has_name(process)) {
@@ -149,7 +151,7 @@
         Ok(CommandResponse::Done)
     }
 
-    /// Returns whether the membership lists this incarnation of a process as alive.
+    /// Returns whether the membership lists this process, by its name and its incarnation, as alive.
     fn is_running(&self, process: &Process) -> bool {
         let member = self.leader.facts.members.get(&process.name);
         member.is_some_and(|member| {
--- a/maintenance/src/scheduler/progress.rs
+++ b/maintenance/src/scheduler/progress.rs
@@ -1,4 +1,4 @@
-//! Progress of drains through their stages, as the leader decides it.
+//! Progress of drains from stage to stage, as the leader decides it.
 
 use super::state::Scheduler;
 use crate::application_types::Maintenance;
@@ -6,7 +6,7 @@
 use crate::stage::{Outcome, Stage};
 use flaxhead_lease::{Config, PeerState, Process};
 
-/// Action that the stage of a drain and the reports of the processes call for.
+/// Decision of the leader about one open drain in one step.
 enum Progress {
     /// Moves the drain to the next stage.
     Move { to: Stage, change: &'static str, reason: String },
@@ -14,10 +14,11 @@
     Free,
     /// Completes the drain with an outcome.
     Complete { outcome: Outcome, change: &'static str, reason: String },
-    /// Leaves the drain at its stage until a condition holds; empty: until operators complete the
-    /// maintenance.
+    /// Leaves the drain at its stage. The text tells operators which condition the drain waits for; empty:
+    /// the end of the maintenance.
     Wait(String),
-    /// Leaves the drain to the selection of the next one, which also sets the condition that it waits for.
+    /// Leaves a requested drain to `schedule_next`, which either schedules it or sets the condition that it
+    /// waits for.
     AwaitSelection,
 }
 
@@ -32,7 +33,7 @@
 }
 
 impl Scheduler<'_, '_> {
-    /// Moves each drain on if possible, then selects the next drain to schedule.
+    /// Moves each drain to its next stage if possible, then schedules at most one requested drain.
     pub(crate) fn step(&mut self) {
         let ids: Vec<u64> = self.schedule().drains.iter().map(|drain| drain.id).collect();
         let mut has_changed = false;
@@ -45,7 +46,8 @@
         }
     }
 
-    /// Moves a drain on if possible. Returns whether the schedule has changed and must be replicated.
+    /// Moves a drain to its next stage if possible. Returns whether the schedule has changed and must be
+    /// replicated.
     fn step_drain(&mut self, id: u64) -> bool {
         let Some(drain) = self.schedule().drain(id) else { return false };
         match self.progress(drain) {
@@ -90,7 +92,8 @@
         }
     }
 
-    /// Begins draining once every process has confirmed the schedule that has the drain.
+    /// Moves a scheduled drain to draining once every process on the roster has confirmed that it is
+    /// scheduled.
     fn progress_of_scheduled(&self, drain: &Drain) -> Progress {
         match self.unconfirmed_process(drain.stage_seq) {
             None => Progress::move_to(Stage::Draining, "draining", "all know that it is next"),
@@ -98,7 +101,8 @@
         }
     }
 
-    /// Returns a process that has not applied the schedule of this sequence number; `None`: all have.
+    /// Returns a process on the roster that has not confirmed the schedule of this sequence number or a later
+    /// one; `None`: all have.
     fn unconfirmed_process(&self, seq: u64) -> Option<&Process> {
         let mut processes = self.leader.processes();
         let process = processes.find(|(_, peer)| !self.leader.has_applied(peer, seq));
@@ -118,15 +122,16 @@
         }
     }
 
-    /// Returns the condition that keeps a draining host in service; `None`: it is drained.
+    /// Returns the condition that keeps a host from being drained, as a text for operators; `None`: it is
+    /// drained.
     fn drain_blocker(&self, drain: &Drain) -> Option<String> {
         let mut processes = self.leader.processes();
         processes.find_map(|(process, peer)| self.drain_blocker_at(drain, process, peer))
     }
 
-    /// Returns the condition that a process still has to meet for a host to be drained; `None`: it has met
-    /// all. A host is drained for a process that has confirmed the drain and has no call in flight there, or
-    /// whose lease expired longer ago than any call lasts.
+    /// Returns the condition at one process that keeps a host from being drained; `None`: there is none. The
+    /// process must have confirmed the drain and have no call in flight at the host, or its lease must have
+    /// expired longer ago than the maximum duration of a call.
     fn drain_blocker_at(
         &self,
         drain: &Drain,
--- a/maintenance/src/scheduler/scheduling.rs
+++ b/maintenance/src/scheduler/scheduling.rs
@@ -8,7 +8,8 @@
 use std::collections::BTreeSet;
 
 impl Scheduler<'_, '_> {
-    /// Schedules the next drain if the limits allow one. Returns whether a drain was scheduled.
+    /// Schedules one requested drain if the limits allow it, and states for each requested drain that is
+    /// blocked what it waits for. Returns whether a drain was scheduled.
     pub(super) fn schedule_next(&mut self) -> bool {
         let Selection { next, blocked } = self.select();
         for drain in blocked {
@@ -38,14 +39,14 @@
         self.leader.processes().filter_map(|(_, peer)| peer.report())
     }
 
-    /// Returns a reason that blocks every drain, such as a process that has not reported; `None`: there is
-    /// none.
+    /// Returns a reason that blocks all requested drains: the schedule is lost, or the leader does not know
+    /// the calls in flight of some process; `None`: there is none.
     fn blocked_by(&self) -> Option<BlockedReason> {
         if self.leader.state_lost_since().is_some() {
             return Some(BlockedReason::StateLost);
         }
-        // The selection needs the total load and the zones that processes cannot reach, and the leader knows
-        // both only if every process has reported recently.
+        // A process that has not reported recently may have calls in flight that the leader does not know of,
+        // or may reach no host of a zone. No drain is scheduled until every process has reported.
         let unsettled = |reason: String| Some(BlockedReason::MembershipUnsettled(reason));
         let members = &self.leader.facts.members;
         let is_suspected = |member: &MemberStatus| member.presence == Presence::Suspected;
@@ -59,7 +60,7 @@
         silent.and_then(|(process, _)| unsettled(format!("{} is not heard and may still send", process.name)))
     }
 
-    /// Returns whether a member is alive but not on the roster.
+    /// Returns whether the membership lists a process as alive that is not on the roster.
     fn is_unenrolled(&self, name: &Name, member: &MemberStatus) -> bool {
         let is_enrolled = self
             .leader
--- a/maintenance/src/scheduler/state.rs
+++ b/maintenance/src/scheduler/state.rs
@@ -6,7 +6,7 @@
 use crate::stage::{Outcome, Stage};
 use flaxhead_lease::LeaderContext;
 
-/// Scheduler for one step or command of the leader.
+/// Scheduler that the leader creates for one step or for one command.
 pub(crate) struct Scheduler<'a, 'b> {
     pub(super) config: &'a SchedulerConfig,
     pub(super) leader: &'a mut LeaderContext<'b, Maintenance>,
@@ -31,7 +31,7 @@
         self.leader.record_event(DrainEvent { drain, host, change: change.to_owned(), reason });
     }
 
-    /// Moves a drain to a stage, as part of the schedule that is replicated next.
+    /// Moves a drain to a stage in the next version of the schedule. The caller replicates that version.
     pub(super) fn move_to_stage(&mut self, id: u64, stage: Stage) {
         let stage_seq = self.leader.state_seq() + 1;
         if let Some(drain) = self.schedule_mut().drain_mut(id) {
@@ -48,8 +48,8 @@
         self.schedule_mut().complete(id, outcome, max_completed);
     }
 
-    /// Sets the condition that a drain waits for. Does not cause a replication: it goes along with the next
-    /// change.
+    /// Sets the condition that a drain waits for, as a text for operators. The text alone causes no
+    /// replication: it is replicated with the next change of the schedule.
     pub(super) fn set_waits_for(&mut self, id: u64, reason: String) {
         if let Some(drain) = self.schedule_mut().drain_mut(id) {
             drain.waits_for = reason;
--- a/maintenance/src/selection/blocked.rs
+++ b/maintenance/src/selection/blocked.rs
@@ -2,33 +2,36 @@
 
 use std::fmt;
 
-/// Reason why a requested drain is not scheduled now.
+/// Reason why a requested drain cannot be scheduled now.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum BlockedReason {
-    /// The earliest start that the request allows is not reached.
+    /// The earliest start that the request allows has not been reached.
     TooEarly,
-    /// The maximum number of hosts is out of service.
+    /// The maximum number of hosts is out of service in total; the value is that maximum.
     MaxTotal(u32),
-    /// The maximum number of hosts of the zone is out of service.
+    /// The maximum number of hosts is out of service in the zone of this name.
     MaxPerZone(String),
-    /// The maximum number of hosts of the pod is out of service.
+    /// The maximum number of hosts is out of service in the pod of this number.
     MaxPerPod(u32),
     /// The remaining hosts could not serve the load with the configured margin.
     InsufficientCapacity {
         /// Concurrent calls that the remaining hosts can serve.
         remaining: u64,
-        /// Concurrent calls that the load and its margin require.
+        /// Concurrent calls that the load of all processes and the margin require.
         needed: u64,
     },
-    /// Some process reaches no host of this zone.
+    /// Some process reaches no host of the zone of this name.
     LostZone(String),
-    /// A process is suspected, not admitted or silent, so the load is not known; the text names the process.
+    /// Some process is suspected to have failed, is not admitted, or has not reported recently, so the load
+    /// of all processes is not known. The text names the process.
     MembershipUnsettled(String),
-    /// The processes have lost the replicated schedule, so it is not known which hosts are out of service.
+    /// No process has a complete schedule, for example after all have restarted without stored state. Until
+    /// operators declare the schedule complete or a timeout passes, hosts that are out of service may be
+    /// missing from it.
     StateLost,
     /// Discovery does not list the host of the drain.
     NotListed,
-    /// Another drain, of this identifier, is scheduled first.
+    /// The drain of this identifier is scheduled first.
     QueuedBehind(u64),
 }
 
--- a/maintenance/src/selection/context.rs
+++ b/maintenance/src/selection/context.rs
@@ -1,5 +1,5 @@
-//! Selection of the next drain. The result depends only on the context, so any leader with the same knowledge
-//! decides alike.
+//! Selection of the next drain. The result depends only on the context, so two leaders that know the same
+//! select the same drain.
 
 use super::blocked::BlockedReason;
 use crate::config::Limits;
@@ -10,56 +10,59 @@
 
 const PER_MILLE: u64 = 1_000;
 
-/// Schedule, limits and knowledge of the leader that the selection decides by.
+/// Schedule, limits and knowledge of the leader from which it selects the next drain.
 pub(crate) struct SchedulingContext<'a> {
     pub schedule: &'a DrainSchedule,
     pub facts: &'a HostFacts,
     pub limits: &'a Limits,
-    /// Calls in flight of all processes, in thousandths of a call.
+    /// Load: sum of the mean calls in flight of all processes, in thousandths of a call.
     pub load_millicalls: u64,
-    /// Zones in which some process reaches no host, from the reports of all processes.
+    /// Zones in which some process reaches no host, according to its report.
     pub lost_zones: &'a BTreeSet<String>,
-    /// Reason that blocks every drain; `None`: there is none.
+    /// Reason that blocks all requested drains, such as a lost schedule; `None`: there is none.
     pub blocked_by: Option<BlockedReason>,
 }
 
-/// Drain to schedule next, and the drains that must wait.
+/// Drain to schedule next, and the requested drains that must wait.
 pub(crate) struct Selection {
-    /// Identifier of the drain that may be scheduled now; `None`: all are blocked.
+    /// Identifier of the drain that may be scheduled now; `None`: there is none.
     pub next: Option<u64>,
     /// Requested drains that must wait, each with the reason that blocks it.
     pub blocked: Vec<BlockedDrain>,
 }
 
-/// Requested drain that must wait, and the reason.
+/// Requested drain that must wait, and the reason that blocks it.
 pub(crate) struct BlockedDrain {
     pub id: u64,
     pub reason: BlockedReason,
 }
 
-/// Precedence among requested drains; the drain of the lowest rank is selected first.
+/// Precedence among requested drains: the drain of the lowest rank is selected first. Ranks are compared
+/// field by field, from the first to the last.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Rank {
     urgency: Urgency,
-    /// Another host of the same pod counts as out of service.
+    /// Some host of the same pod counts as out of service, so hosts of unaffected pods go first.
     pod_is_affected: bool,
-    /// Another host of the same zone counts as out of service.
+    /// Some host of the same zone counts as out of service, so hosts of unaffected zones go first.
     zone_is_affected: bool,
     id: u64,
 }
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum Urgency {
-    /// The host fails or is not ready, so its drain takes no capacity away and goes first.
+    /// Calls to the host fail or discovery lists it as not ready, so the drain takes no capacity away and
+    /// goes first.
     Failing,
     Normal,
-    /// No other host that has warmed up is left in the pod for the calls that are sticky to the pod, so the
-    /// drain goes last.
+    /// The host is the last one in its pod that is in service and has warmed up, and calls that are sticky to
+    /// the pod need it, so its drain goes last.
     LastWarmOfPod,
 }
 
 impl SchedulingContext<'_> {
-    /// Selects the drain that may be scheduled now, and the reason that blocks each of the others.
+    /// Selects the requested drain to schedule now, and states the reason that blocks each of the remaining
+    /// requested drains.
     pub(crate) fn select(&self) -> Selection {
         let drains = self.schedule.drains.iter();
         let mut requested: Vec<&Drain> = drains.filter(|drain| drain.stage == Stage::Requested).collect();
@@ -82,13 +85,14 @@
         self.facts.hosts.get(&drain.request.host)
     }
 
-    /// Returns whether a host is out of service or will be: by its drain, or because discovery does not list
-    /// it as ready.
+    /// Returns whether a host is not in service or will soon not be: discovery lists it as not ready, or its
+    /// drain is scheduled or at a later stage.
     fn is_out(&self, name: &str, fact: &HostStatus) -> bool {
         !fact.ready || self.schedule.drain_for_host(name).is_some_and(|drain| drain.stage >= Stage::Scheduled)
     }
 
-    /// Returns the host of each drain from stage `Scheduled` on; `None`: discovery does not list the host.
+    /// Returns the host of each drain that is scheduled or at a later stage; `None`: discovery does not list
+    /// that host.
     fn drained_hosts(&self) -> impl Iterator<Item = Option<&HostStatus>> {
         let active = self.schedule.drains.iter().filter(|drain| drain.stage >= Stage::Scheduled);
         active.map(|drain| self.host(drain))
@@ -128,8 +132,9 @@
         }
     }
 
-    /// Returns the number of concurrent calls that the hosts can serve without the host of this drain, in
-    /// thousandths of a call. A host that is still warming up counts in proportion to its progress.
+    /// Returns the number of concurrent calls that the hosts in service could serve without the host of this
+    /// drain, in thousandths of a call. A host that is warming up counts by the share of its full capacity
+    /// that it has reached.
     fn capacity_without(&self, drain: &Drain) -> u64 {
         let remains = |(name, fact): &(&String, &HostStatus)| {
             **name != drain.request.host && !fact.failing && !self.is_out(name, fact)
@@ -142,7 +147,8 @@
         u64::try_from(calls / u128::from(PER_MILLE * PER_MILLE)).unwrap_or(u64::MAX)
     }
 
-    /// Returns the reason that blocks a drain, apart from drains of lower rank; `None`: it may be scheduled.
+    /// Returns the reason that keeps a requested drain from being scheduled, not counting drains that are
+    /// selected before it; `None`: there is none.
     fn blocked_reason(&self, drain: &Drain) -> Option<BlockedReason> {
         if drain.request.not_before > 0 {
             return Some(BlockedReason::TooEarly);
@@ -168,7 +174,7 @@
     }
 
     fn insufficient_capacity(&self, drain: &Drain, fact: &HostStatus) -> Option<BlockedReason> {
-        // The drain of a host that does not serve takes no capacity away.
+        // A host that serves no calls adds no capacity, so its drain needs no check of what remains.
         let serves = fact.ready && !fact.failing;
         if self.limits.millicalls_per_host == 0 || !serves {
             return None;
--- a/maintenance/src/stage.rs
+++ b/maintenance/src/stage.rs
@@ -7,20 +7,21 @@
 /// Stage of an open drain, in the order in which a drain passes through them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Stage {
-    /// The drain was requested, and limits or other drains may keep it waiting.
+    /// The drain waits to be selected, because of limits or of drains that are selected first.
     #[serde(rename = "asked")]
     Requested,
-    /// The drain was selected as the next one. A process still sends calls to the host, but stops once its
-    /// own lease expires without renewal.
+    /// The drain was selected, and the leader waits until every process has confirmed that. Processes still
+    /// send calls to the host, but a process whose own lease expires stops doing so.
     #[serde(rename = "settled")]
     Scheduled,
     /// Processes send no new calls to the host, and calls in flight there run to their end.
     #[serde(rename = "draining")]
     Draining,
-    /// No process has a call in flight at the host, which may be under maintenance.
+    /// No process has a call in flight at the host, and maintenance may be under way.
     #[serde(rename = "out")]
     OutOfService,
-    /// The host receives calls again, and counts as out of service until it has warmed up.
+    /// Maintenance is complete and the host receives calls again. It counts as out of service until it has
+    /// warmed up or the configured recovery time has passed.
     #[serde(rename = "back")]
     Recovering,
 }
@@ -37,7 +38,7 @@
     }
 }
 
-/// Outcome of a completed drain.
+/// Way in which a drain ended.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Outcome {
     /// Maintenance was carried out and the host serves calls again.
@@ -49,14 +50,14 @@
         /// Operator who withdrew the drain.
         by: String,
     },
-    /// The drain was still waiting at the latest start that its request allows.
+    /// Draining had not begun at the latest start that the request allows.
     #[serde(rename = "expired")]
     Expired {
         /// Condition that the drain last waited for.
         #[serde(rename = "why")]
         reason: String,
     },
-    /// The host could not be drained within the time limit, and goes on serving calls.
+    /// Draining took longer than the configured maximum; the host goes on serving calls.
     #[serde(rename = "failed")]
     Failed {
         /// Condition that the drain last waited for.
--- a/maintenance/src/view.rs
+++ b/maintenance/src/view.rs
@@ -10,12 +10,12 @@
 const MICROS_PER_MILLI: Micros = 1_000;
 const MILLICALLS_PER_CALL: f64 = 1_000.0;
 
-/// Open drain, as operators see it.
+/// Open drain, as the status page shows it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DrainView {
     /// Identifier of the drain.
     pub id: u64,
-    /// Host, by its name in discovery.
+    /// Name of the host in discovery's list.
     pub host: String,
     /// Kind of maintenance, as the operator named it.
     pub kind: String,
@@ -23,7 +23,8 @@
     pub by: String,
     /// Current stage of the drain.
     pub stage: Stage,
-    /// The host is out of service, and maintenance may start.
+    /// Operators may start the maintenance: the host is out of service, and a majority of voters has applied
+    /// the schedule that says so.
     #[serde(rename = "free")]
     pub is_free: bool,
     /// Time since the drain reached its stage, in milliseconds.
@@ -32,7 +33,7 @@
     /// Requested duration of the maintenance, in milliseconds.
     #[serde(rename = "lasts_ms")]
     pub duration_ms: u64,
-    /// Condition that keeps the drain at its stage; empty: none, or the maintenance itself.
+    /// Condition that the drain waits for before its next stage; empty: none, or the end of the maintenance.
     pub waits_for: String,
 }
 
@@ -60,13 +61,14 @@
     /// Incarnation of the process, which differs at each start, in hexadecimal digits.
     #[serde(rename = "life")]
     pub incarnation: String,
-    /// Version of the schedule that the process has applied.
+    /// Latest version of the schedule that the process has confirmed to the leader.
     #[serde(rename = "confirmed")]
     pub applied: String,
-    /// Time since the process last reported to this leader, in milliseconds; `None`: it never has.
+    /// Time since the process last reported to the current leader, in milliseconds; `None`: it has not
+    /// reported to this leader.
     #[serde(rename = "heard_ms")]
     pub reported_ms: Option<u64>,
-    /// Mean number of calls that the process had in flight over the last seconds.
+    /// Number of calls that the process has in flight, averaged over the last seconds.
     #[serde(rename = "in_hand")]
     pub in_flight: f64,
 }
@@ -84,7 +86,7 @@
     }
 }
 
-/// State of maintenance as one process knows it.
+/// Lease, drains and processes as one process knows them, for the status page.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MaintenanceView {
     /// Lease of this process, and the leader that it knows.
@@ -101,13 +103,13 @@
     pub processes: Vec<ProcessView>,
 }
 
-/// Returns the state of maintenance as this process knows it.
+/// Returns the lease, the drains and, at the leader, the processes on the roster, as this process knows them.
 pub fn view(machine: &Machine<Maintenance>, now: Micros) -> MaintenanceView {
     let leader = machine.leader_state(now);
     let mut schedule = machine.local_replica().current_state(now).state;
     if let Some(leader) = leader {
-        // A change of `waits_for` alone is not replicated, so only the leader's own state has the latest
-        // value.
+        // A change of `waits_for` alone is not replicated, so its latest text is only in the leader's own
+        // schedule.
         for drain in &mut schedule.drains {
             let own = leader.state().state.drain(drain.id).map(|own| own.waits_for.clone());
             drain.waits_for = own.unwrap_or_default();
--- a/maintenance/src/view/tests.rs
+++ b/maintenance/src/view/tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `view`.
+//! Unit tests of the JSON form of [`MaintenanceView`].
 
 use super::*;
 
