--- a/maintenance/benches/week.rs
+++ b/maintenance/benches/week.rs
@@ -1,5 +1,6 @@
 //! Simulations of drains at fleets of several sizes in virtual time, and of a week at 300 processes and 200
-//! hosts with faults: time until a host is free, time without a leader, and messages.
+//! hosts with faults. Reports the times from a request until its host is free, the times without a leader,
+//! and the number of messages.
 #![expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
--- a/maintenance/tests/disks/mod.rs
+++ b/maintenance/tests/disks/mod.rs
@@ -1,11 +1,11 @@
-//! Model check of processes that persist their state to disks, where all restart at once and find the latest
-//! state, no state, or a restored backup.
+//! Model check of processes that persist their state to disks. All restart at once and find the latest state,
+//! no state, or a restored backup.
 
 use super::*;
 use flaxhead_snapshot::validation::validate;
 use flaxhead_snapshot::{AgeLimits, ClockReading, Header, Identity, Snapshot};
 
-/// Content of the disks that processes find when they restart.
+/// Content of the disks that the processes find when all restart at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum DiskState {
     /// All processes find the state that they wrote last.
@@ -15,8 +15,9 @@
     AllLost,
     /// All processes find a backup from before the first drain was scheduled.
     Outdated,
-    /// The first process finds a backup from before the first drain, whose time stamp is current, so that its
-    /// age goes undetected. The others find the state that they wrote last.
+    /// The first process finds a backup from before the first drain was scheduled, with a time stamp forged
+    /// to look current, so that its age goes undetected. All other processes find the state that they wrote
+    /// last.
     FirstUndetectablyOutdated,
 }
 
@@ -31,8 +32,8 @@
 }
 
 impl Fleet {
-    /// Returns the state that a restarted process loads from its disk; `None`: the disk is empty, or the
-    /// state is older than a step.
+    /// Returns the state that a restarted process loads from its disk; `None`: the disk is empty, or its
+    /// state was written more than a step ago and is rejected as outdated.
     pub(crate) fn load_snapshot(
         &self,
         world: &World,
@@ -47,7 +48,8 @@
         validate(Snapshot { header, parts }, &identity, clock_at(world.step), limits).ok().map(|_| state)
     }
 
-    /// Writes the state of a node to its disk, at the beginning of a step.
+    /// Writes a process's state to its disk, which happens at the beginning of each step. Returns the
+    /// messages that the process then sends.
     pub(crate) fn write_snapshot(&self, world: &mut World, node: usize) -> Vec<Envelope<Maintenance>> {
         let mut effects = Vec::new();
         if self.has_disks {
@@ -58,7 +60,8 @@
         self.check_and_send(world, node, effects)
     }
 
-    /// Tells the process of a node that its state is on the disk.
+    /// Tells a process that its state has been written to disk, so that it may confirm that state to the
+    /// leader.
     pub(crate) fn confirm_write(&self, world: &mut World, node: usize, effects: &mut Vec<Effect>) {
         let (facts, now) = (self.facts(world, node), self.local_time(world, node));
         let mut random = FixedRandom::for_node(node);
@@ -68,8 +71,7 @@
         }
     }
 
-    /// Checks the invariants, then sends the messages among a node's effects; returns them with their
-    /// recipients.
+    /// Checks the invariants, then returns the messages that a process's effects send.
     pub(crate) fn check_and_send(
         &self,
         world: &mut World,
@@ -97,14 +99,14 @@
 }
 
 /// Returns the number of steps from a restart of all processes until all are admitted, and whether any of
-/// them reported the loss of the schedule.
+/// them reported that the schedule was lost.
 fn recovery_after_restart(restart_state: DiskState) -> (u8, bool) {
     let mut fleet = Fleet::new(Mutation::Unmodified, 0, true, true);
-    // The maintenance outlasts the admission of all processes, so that the host stays out of service
-    // meanwhile.
+    // The maintenance lasts longer than the admission of all processes, so that the host is out of service
+    // throughout.
     fleet.duration_steps = 40;
     let mut world = (0..6).fold(fleet.first.clone(), |world, _| fleet.next(&world, Fault::Nothing));
-    // A fault strikes before a message, so the step must have one.
+    // The restart takes place before the first message of a step, so the step must have a message.
     while fleet.run_step(&world, Fault::Nothing).messages == 0 {
         world = fleet.next(&world, Fault::Nothing);
     }
@@ -138,7 +140,8 @@
 
 #[test]
 fn a_restart_of_all_processes_with_intact_disks_keeps_hosts_excluded() {
-    // The quarantine of a voter lasts for a lease; an election follows.
+    // A restarted voter does not vote for about the six steps of a lease; an election and the admissions
+    // follow.
     let (steps, state_lost) = recovery_after_restart(DiskState::Latest);
     assert!(!state_lost && steps <= 12, "{steps}");
     assert!(recovery_after_restart(DiskState::AllLost).1 && recovery_after_restart(DiskState::Outdated).1);
--- a/maintenance/tests/fleet/mod.rs
+++ b/maintenance/tests/fleet/mod.rs
@@ -1,6 +1,5 @@
 //! Simulation of a fleet in virtual time: messages are delayed and lost, processes crash without persisted
-//! state, freeze and are partitioned, clocks drift, and operators request drains. A run is determined by its
-//! seed.
+//! state, freeze and are partitioned, clocks drift, and operators request drains. The seed determines a run.
 #![allow(dead_code, reason = "each test and the bench use a part of the module")]
 #![expect(
     clippy::cast_possible_truncation,
@@ -21,7 +20,7 @@
 use std::net::SocketAddr;
 
 pub const SECOND: Micros = 1_000_000;
-/// Maximum age of the facts that a process decides by.
+/// Age, in microseconds of virtual time, up to which a process decides by the facts that it read last.
 const MAX_FACTS_AGE: Micros = 200_000;
 pub const HOUR: Micros = 3_600 * SECOND;
 
@@ -35,7 +34,7 @@
     pub lease: Micros,
     /// Mean time between two requests of operators; 0: no requests.
     pub request_interval: Micros,
-    /// Maximum duration of a maintenance beyond its minimum of one second.
+    /// Upper bound of the random part of a maintenance's duration, which is added to one second.
     pub max_maintenance_time: Micros,
     /// Mean time between two faults; 0: no faults.
     pub fault_interval: Micros,
@@ -51,16 +50,16 @@
     pub requested: usize,
     pub freed: usize,
     pub completed: usize,
-    /// Times from a request until its host was free, in microseconds.
+    /// Times from each request of a drain until its host was reported free, in microseconds.
     pub times_to_free: Vec<Micros>,
     pub messages: u64,
     pub state_bytes: u64,
     pub leader_changes: usize,
-    /// Length of each period without a leader.
+    /// Length of each period without a leader, in microseconds.
     pub leaderless_times: Vec<Micros>,
     pub peak_hosts_out: usize,
     pub faults: usize,
-    /// Losses of the replicated state, each of which operators had to resolve.
+    /// Number of times that operators restored a schedule that the processes had lost.
     pub state_losses: usize,
 }
 
@@ -75,11 +74,11 @@
     Recover(usize),
     Request,
     Complete(String),
-    /// Lets operators resolve a loss of state and repeat their commands.
+    /// Lets operators restore a lost schedule and repeat commands that were lost.
     RunOperators,
-    /// Kills all processes except this many at the end of the list.
+    /// Kills all processes except the last ones by index; the value is the number that survive.
     KillAll(usize),
-    /// Starts all killed processes.
+    /// Starts all processes that are stopped.
     StartAll,
 }
 
@@ -94,9 +93,9 @@
     changed_at: Micros,
     next_wake_at: Micros,
     incarnation: u64,
-    /// Hosts of the calls in flight, with the times at which they end.
+    /// Host of each call in flight, and the virtual time at which the call ends.
     calls: Vec<(String, Micros)>,
-    /// Cached facts, with the time at which they were read.
+    /// Facts that the process read last, and the virtual time at which it read them.
     facts: Option<(Micros, Facts)>,
 }
 
@@ -110,7 +109,7 @@
     indices: BTreeMap<Name, usize>,
     random: Pcg64,
     hosts: BTreeMap<String, HostStatus>,
-    /// Hosts that operators were told are free.
+    /// Hosts that were reported free to operators and whose maintenance is not yet complete.
     free_hosts: BTreeSet<String>,
     requested_at: BTreeMap<String, Micros>,
     open_requests: BTreeSet<String>,
@@ -119,7 +118,7 @@
     leader: Option<(usize, u64)>,
     leaderless_since: Option<Micros>,
     last_command_id: u64,
-    /// Results of the restart; `None`: the killed processes have not been started yet.
+    /// Results of the restart of killed processes; `None`: they have not been started yet.
     restart_metrics: Option<RestartMetrics>,
     pub metrics: Metrics,
 }
@@ -128,14 +127,14 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RestartMetrics {
     pub started_at: Micros,
-    /// Counts of sent messages per tenth of a second, by kind.
+    /// Number of messages sent in each tenth of a second since the restart, by kind of message.
     pub sent_by_kind: BTreeMap<&'static str, Vec<u32>>,
-    /// Times from the start until a process served, in ascending order.
+    /// Times from the restart until each process could send calls, in ascending order.
     pub times_to_serve: Vec<Micros>,
     served: BTreeSet<usize>,
 }
 
-/// Returns the kind under which a message is counted; `None`: it is not.
+/// Returns the kind under which a message is counted; `None`: messages of its kind are not counted.
 fn message_kind(message: &Message) -> Option<&'static str> {
     match message {
         Message::Prepare { .. } => Some("prepare requests"),
@@ -168,7 +167,8 @@
             .map(|_| Node {
                 machine: None,
                 clock_offset: u64::from(random.next_u32()),
-                // The protocol tolerates a drift of one part in 64 between two clocks.
+                // At most 0.7 % each way, since the protocol tolerates that two clocks drift apart by one
+                // part in 64.
                 drift_per_10k: i64::from(random.next_u32() % 140) - 70,
                 is_frozen: false,
                 is_partitioned: false,
@@ -264,8 +264,7 @@
         self.schedule_event(after, EventKind::Wake(index, at));
     }
 
-    /// Returns the hosts and the state of the other processes as one process observes them: failures show
-    /// after a delay.
+    /// Returns the hosts, and the other processes as one process observes them: failures show after a delay.
     fn facts(&self, observer: usize) -> Facts {
         let member = |index: usize| {
             let Node { incarnation, changed_at, is_frozen, is_partitioned, .. } = &self.nodes[index];
@@ -294,7 +293,7 @@
         index: usize,
         act: impl FnOnce(&mut Machine, &mut Context<'_>, &mut Vec<Effect>),
     ) {
-        // Only voters read facts, and building them is costly.
+        // Only voters read facts. Building them is slow, so all other processes get empty ones.
         let old = self.nodes[index].facts.take().filter(|(at, _)| self.now < at + MAX_FACTS_AGE);
         let (read_at, facts) = match old {
             Some(cached) => cached,
@@ -412,15 +411,15 @@
         self.schedule_event(delay, EventKind::Deliver { to, message_id });
     }
 
-    /// Kills all processes except `survivors` of them at the time `at`, starts them together a second later,
-    /// and runs to the end of the scenario.
+    /// Kills all processes except `survivors` of them at the virtual time `at`, starts the killed processes
+    /// together a second later, and runs to the end of the scenario. Returns the results of the restart.
     pub fn kill_and_restart(mut self, at: Micros, survivors: usize) -> RestartMetrics {
         self.schedule_event(at - self.now, EventKind::KillAll(survivors));
         self.process_events();
         self.restart_metrics.unwrap_or_default()
     }
 
-    /// Runs to the end of the scenario.
+    /// Runs to the end of the scenario and returns the results.
     pub fn run(mut self) -> Metrics {
         self.process_events();
         self.metrics
@@ -465,7 +464,8 @@
                 if is_stopped {
                     self.start_node(index);
                 } else if is_frozen {
-                    // A resumed process may send a call before it reads its clock.
+                    // A resumed process may send a call before it reads its clock, so the invariants must
+                    // hold already.
                     self.check_invariants(index);
                     self.start_call(index);
                     self.schedule_wake(index);
@@ -596,8 +596,8 @@
         }
     }
 
-    /// Acts for the operators: after a loss of state, requests the drains of hosts that are out and declares
-    /// the schedule complete; repeats requests and completions that were lost.
+    /// Acts for the operators: after a loss of the schedule, requests drains of the hosts that are out of
+    /// service and declares the schedule complete; repeats requests and completions that were lost.
     fn run_operators(&mut self) {
         let has_lost_state = |index: &usize| {
             let node = &self.nodes[*index];
@@ -629,7 +629,8 @@
             let command = self.drain_command(&host, false);
             self.submit_command(index, command);
         }
-        // The completion was lost if the host has returned and its drain is still out of service.
+        // If a host has returned but its drain is still at stage `OutOfService`, the command to complete it
+        // was lost.
         let is_returned =
             |row: &&Drain| row.stage == Stage::OutOfService && !self.free_hosts.contains(&row.request.host);
         let returned: Vec<(u64, bool)> = schedule
--- a/maintenance/tests/mass_restart.rs
+++ b/maintenance/tests/mass_restart.rs
@@ -1,5 +1,5 @@
-//! Simulation of 300 processes that are killed and restarted together: all serve again soon, without a burst
-//! of requests.
+//! Simulation of 300 processes that are killed and restarted together: all may send calls again soon, and the
+//! messages of their restart are spread over time.
 
 mod fleet;
 
@@ -48,8 +48,8 @@
                 "{kind}: {peak} in a tenth of a second, {busiest} in the busiest second"
             );
         }
-        // Three voters send too few prepare requests for a ratio, so their number per tenth of a second is
-        // bounded.
+        // The three voters send too few prepare requests to compare their peak with the busiest second, so
+        // their number in each tenth of a second is bounded instead.
         assert!(
             metrics.sent_by_kind["prepare requests"].iter().all(|count| *count <= 6),
             "{:?}",
--- a/maintenance/tests/model.rs
+++ b/maintenance/tests/model.rs
@@ -2,6 +2,9 @@
 //! loss and duplication of messages, crashes with loss of state, pauses longer than a lease, and partitions
 //! in one or both directions. A step lasts a sixth of a lease, and messages arrive within the step unless a
 //! fault prevents that.
+//!
+//! A *node* is a process of the model, identified by its index. A *history* is one sequence of steps and
+//! faults that the check explores.
 
 mod disks;
 
@@ -24,12 +27,12 @@
 const STEP: Micros = 100;
 /// Duration of a lasting fault: longer than a lease and than the quarantine of a restarted voter.
 const FAULT_STEPS: u8 = 9;
-/// Number of steps in which faults may begin.
+/// Number of steps, from the start of a history, in which faults may begin.
 const FAULT_WINDOW_STEPS: u8 = 14;
-/// Number of steps after which both drains must be complete.
+/// Number of steps, from the start of a history, after which both drains must be complete.
 const HISTORY_STEPS: u8 = 80;
 
-/// Defect in place of a rule of the protocol, to show that the check detects it.
+/// Defect that replaces a rule of the protocol, to show that the check detects it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Mutation {
     Unmodified,
@@ -38,7 +41,7 @@
     SkipQuarantine,
     /// The leader assumes that every process has applied the latest schedule.
     AssumeConfirmed,
-    /// A process goes on sending to a scheduled host after its lease has expired.
+    /// A process goes on sending calls to a scheduled host after its own lease has expired.
     IgnoreLeaseExpiry,
     /// A restarted process sends calls before it is admitted.
     SendBeforeAdmission,
@@ -51,30 +54,32 @@
     RaiseLimits,
     /// A process applies a delayed schedule that is older than its own.
     AcceptOldState,
-    /// A restarted process loads its state from disk however old that is.
+    /// A restarted process loads the state from its disk, however old that state is.
     IgnoreSnapshotAge,
-    /// A process confirms a schedule before it is on its disk, so a crash undoes what it confirmed.
+    /// A process confirms a schedule that it has not yet written to its disk, so that a crash loses a
+    /// schedule that the leader counts as confirmed.
     ConfirmBeforeWrite,
-    /// Replies to a restarted process do not name the peers that have the complete schedule.
+    /// Replies to a restarted process do not name the processes that have the complete schedule.
     HidePeers,
     /// Replies to a restarted process carry an empty schedule that is declared complete.
     ForgeEmptyState,
-    /// Replies to a restarted process conceal that the sender has a lease and the schedule, so that it serves
-    /// autonomously too early.
+    /// Replies to a restarted process conceal that their sender has a lease and the schedule, so that the
+    /// restarted process serves without admission too early.
     HideRecoveryStatus,
 }
 
-/// Calls, operators and disks around the processes of the model, which are its nodes.
+/// Calls, operators and disks around the nodes of the model.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct ModelState {
-    /// Step at which a call ends, counted from the initial state, by node and host.
+    /// Step at which the call of a node to a host ends, counted from the start of the history; by node and
+    /// host.
     in_flight: BTreeMap<(usize, String), u8>,
-    /// Step at which operators were told that a host is free, by host.
+    /// Step at which a host was first reported free to operators, by host.
     free_since: BTreeMap<String, u8>,
     returned: BTreeSet<String>,
     leader_ballots: BTreeSet<Ballot>,
-    /// Content of each disk and the step at which it was written; a process writes at the beginning of each
-    /// step.
+    /// Content of each node's disk and the step at which it was written. A node writes at the beginning of
+    /// each step.
     disks: Vec<Option<(u8, PersistentState<Maintenance>)>>,
     autonomy_delay: Micros,
     declaration_wait: Micros,
@@ -87,16 +92,16 @@
     mutation: Mutation,
     /// Maximum number of faults in one history.
     max_faults: u8,
-    /// Faults occur between any two messages, not only between steps.
+    /// Faults may occur between any two messages; otherwise, only between steps.
     faults_between_messages: bool,
     /// Processes persist their state to disks.
     has_disks: bool,
     /// Duration of a maintenance, in steps.
     duration_steps: u8,
     fault_kinds: &'static [LastingFault],
-    /// Nodes that crash and that lasting faults affect.
+    /// Nodes that may crash and that lasting faults may affect.
     fault_targets: Vec<usize>,
-    /// Node whose messages reach nobody, though the membership lists it as alive.
+    /// Node whose messages reach no other node, though the membership lists it as alive.
     mute_node: Option<usize>,
     first: World,
 }
@@ -141,8 +146,8 @@
             leader_ballots: BTreeSet::new(),
             disks: vec![None; nodes],
             autonomy_delay: Micros::MAX,
-            // A fault may erase all disks at once, after which operators must declare the hosts out of
-            // service.
+            // A fault may erase all disks at once. Restarted processes then wait, without a time limit, until
+            // operators have declared which hosts are out of service.
             declaration_wait: if has_disks { Micros::MAX } else { 0 },
         });
         for node in 0..nodes {
@@ -164,7 +169,7 @@
             first,
         };
         let mut world = fleet.first.clone();
-        // The history begins once there is a leader, operators have declared the empty schedule complete, and
+        // A history starts once there is a leader, operators have declared the empty schedule complete, and
         // all processes are admitted.
         for _ in 0..30 {
             world = fleet.next(&world, Fault::Nothing);
@@ -209,12 +214,13 @@
         let (facts, time) = (self.facts(world, node), time_at(world.step));
         let mut random = FixedRandom::for_node(node);
         let mut context = Context { now: time, facts: &facts, random: &mut random };
-        // The effects are dropped, so the first transmission is lost and the process must send the command
-        // again.
+        // The effects of the submission are dropped, so that its first message is lost and the process must
+        // send the command again.
         world.nodes[node].submit(&mut context, time + node as u64, command, 20 * LEASE, &mut Vec::new());
     }
 
-    /// Returns the time by a node's clock, which a mutation stops while the node is frozen.
+    /// Returns the time by a node's own clock. [`Mutation::StopFrozenClock`] stops that clock while the node
+    /// is frozen.
     fn local_time(&self, world: &World, node: usize) -> Micros {
         match world.active_fault {
             Some(ActiveFault { node: frozen, kind: LastingFault::Frozen, steps_left })
@@ -226,7 +232,7 @@
         }
     }
 
-    /// Returns a message as the mutation alters it.
+    /// Returns a message as its recipient gets it, altered if the mutation concerns messages of this kind.
     fn mutate_message(&self, world: &World, to: usize, mut message: Message) -> Message {
         match (&mut message, self.mutation) {
             (Message::Renew(renewal), Mutation::AssumeConfirmed) => {
@@ -343,12 +349,12 @@
                 self.handle_event(world, node, Some((other, forged)));
             }
         }
-        // The calls of the crashed process end with it.
+        // Calls of the crashed process end when it crashes.
         world.environment.in_flight.retain(|(who, _), _| *who != node);
     }
 
-    /// Where the processes have lost their state and no fault is active, operators request the drains of the
-    /// hosts that are out, and declare the schedule complete.
+    /// Acts for the operators after a loss of the schedule: requests drains of the hosts that are out of
+    /// service, then declares the schedule complete. Does nothing while a lasting fault is active.
     fn restore_schedule(&self, world: &mut World) {
         let time = time_at(world.step);
         let state_lost = |node: &usize| view(&world.nodes[*node], time).lease.is_state_lost;
@@ -379,8 +385,8 @@
         self.submit_command(world, node, Command::DeclareRecovered { by: "ops".to_owned() });
     }
 
-    /// Number of steps in which faults may begin. Larger for [`Mutation::ConfirmBeforeWrite`], which shows
-    /// only in a drain that takes no longer than a write to the disk.
+    /// Returns the number of steps in which faults may begin. Larger for [`Mutation::ConfirmBeforeWrite`],
+    /// whose violation shows only in a drain that takes no longer than a write to the disk.
     fn fault_window_steps(&self) -> u8 {
         if self.mutation == Mutation::ConfirmBeforeWrite {
             2 * FAULT_WINDOW_STEPS
@@ -389,8 +395,8 @@
         }
     }
 
-    /// Acts for the operators: repeats requests, and completes the maintenance of free hosts after its
-    /// duration.
+    /// Acts for the operators: restores a lost schedule, repeats requests, and completes the maintenance of
+    /// free hosts after its duration.
     fn run_operators(&self, world: &mut World) {
         self.restore_schedule(world);
         // The request may have been lost, so operators repeat it until the host is free.
@@ -411,7 +417,8 @@
             .map(|(h, _)| h.clone())
             .collect();
         for host in finished_hosts {
-            // The host serves from now on, even before the processes learn of it.
+            // The host takes calls from now on, even before any process learns that its maintenance is
+            // complete.
             world.environment.returned.insert(host);
         }
         for host in world.environment.returned.clone() {
@@ -501,7 +508,7 @@
     fn restart_all(&self, world: &mut World, restart_state: DiskState) {
         (0..world.nodes.len()).for_each(|node| self.restart(world, node, restart_state));
         if matches!(restart_state, DiskState::AllLost | DiskState::Outdated) {
-            // No process remembers any ballot, so numbering may start again.
+            // No process remembers a ballot, so a new leader may have a lower ballot than an earlier one.
             world.environment.leader_ballots.clear();
         }
     }
@@ -647,8 +654,8 @@
     assert_eq!(undetected, []);
 }
 
-/// Checks one more fault after one voter received nothing for longer than its lease and another crashed
-/// meanwhile.
+/// Checks histories that start after two faults: one voter has received nothing for longer than a lease, and
+/// a second voter has crashed meanwhile. One more fault may follow.
 fn check_after_two_faults(mutation: Mutation, has_disks: bool) -> (u64, Vec<&'static str>) {
     let mut fleet = Fleet::new(mutation, 3, true, has_disks);
     let leader = (0..VOTER_COUNT)
@@ -666,7 +673,7 @@
 
 #[test]
 fn a_restarted_voter_abstains_until_its_lost_promise_has_expired() {
-    // The promise is lost even with a disk, from which the voter restores the rest of its state.
+    // With a disk, the voter restores its earlier state, but not a promise made after the last write.
     for disks in [false, true] {
         let (states, violated) = check_after_two_faults(Mutation::Unmodified, disks);
         println!("{states} states");
@@ -676,7 +683,8 @@
     }
 }
 
-/// Creates a fleet in which all voters have lost their state in one step while a host is out of service.
+/// Creates a fleet in which all voters have restarted without their state in one step, while a host is out of
+/// service.
 fn fleet_without_voter_state(nodes: usize, mutation: Mutation, max_faults: u8) -> Fleet {
     let mut fleet = Fleet::with_nodes(nodes, mutation, max_faults, true, false);
     fleet.duration_steps = 30;
@@ -688,7 +696,7 @@
     for voter in 0..VOTER_COUNT {
         fleet.restart(&mut world, voter, DiskState::AllLost);
     }
-    // With a single process besides the voters, only that process still has the schedule, so no fault may
+    // If there is one process besides the voters, only that process still has the schedule, so no fault may
     // affect it.
     fleet.fault_targets = (0..if nodes == VOTER_COUNT + 1 { VOTER_COUNT } else { nodes }).collect();
     fleet.first = world;
@@ -708,7 +716,8 @@
     }
 }
 
-/// Creates a fleet in which a frozen leader delays an admission beyond the autonomy timeout.
+/// Creates a fleet with a host out of service, in which a restarted process may wait for its admission by a
+/// frozen leader for longer than its autonomy timeout.
 fn fleet_with_delayed_admission(mutation: Mutation) -> Fleet {
     let mut fleet = Fleet::with_nodes(VOTER_COUNT, mutation, 2, false, false);
     fleet.duration_steps = 30;
--- a/maintenance/tests/simulated_faults.rs
+++ b/maintenance/tests/simulated_faults.rs
@@ -29,7 +29,7 @@
         metrics.requested, metrics.freed, metrics.faults, metrics.leader_changes, metrics.state_losses
     );
     assert!(metrics.faults > 60 && metrics.leader_changes > 5, "{metrics:?}");
-    // The latest requests may still be open at the end of the run.
+    // Requests made shortly before the end of the run may still be open.
     assert!(
         metrics.freed + 10 >= metrics.requested
             && metrics.completed + 10 >= metrics.freed
