--- a/maintenance/src/config.rs
+++ b/maintenance/src/config.rs
@@ -48,7 +48,7 @@
 /// Configuration of the scheduler, which must be the same at all processes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct SchedulerConfig {
-    /// Maximum time for which a host drains; after that, the drain fails and the host stays in service.
+    /// Maximum duration of stage `Draining`; a drain that takes longer fails, and its host stays in service.
     pub max_drain_time: Micros,
     /// Time after the end of maintenance from which a host no longer counts as out of service, even if it has
     /// not warmed up.
--- a/maintenance/src/exclusion.rs
+++ b/maintenance/src/exclusion.rs
@@ -8,7 +8,7 @@
 /// Host that this process sends no new calls to, from a given time on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ExcludedHost {
-    /// Name of the host in discovery.
+    /// Name of the host in discovery's list.
     pub host: String,
     /// Time from which no new call is sent to the host, by the clock of this process; 0: at once.
     pub from: Micros,
--- a/maintenance/src/schedule.rs
+++ b/maintenance/src/schedule.rs
@@ -111,6 +111,7 @@
                 true
             }
             None => {
+                // A drain of a different host may have the identifier; the merged drain then gets a new one.
                 let is_id_taken = self.drains.iter().any(|own| own.id == other.id);
                 self.last_id = self.last_id.max(other.id) + u64::from(is_id_taken);
                 let id = if is_id_taken { self.last_id } else { other.id };
--- a/maintenance/src/view.rs
+++ b/maintenance/src/view.rs
@@ -1,5 +1,5 @@
-//! State of maintenance as the status page and the command line show it. The `serde` renames keep the keys of
-//! the JSON.
+//! Lease, drains and processes as the status page and the command line show them. The `serde` renames keep the
+//! keys of the JSON.
 
 use crate::application_types::Maintenance;
 use crate::schedule::{CompletedDrain, Drain};
--- a/maintenance/tests/disks/mod.rs
+++ b/maintenance/tests/disks/mod.rs
@@ -10,7 +10,7 @@
 pub(crate) enum DiskState {
     /// All processes find the state that they wrote last.
     Latest,
-    /// The first process finds an empty disk, the others the state that they wrote last.
+    /// The first process finds an empty disk; all other processes find the state that they wrote last.
     FirstLost,
     AllLost,
     /// All processes find a backup from before the first drain was scheduled.
--- a/maintenance/tests/model.rs
+++ b/maintenance/tests/model.rs
@@ -25,7 +25,8 @@
 const VOTER_COUNT: usize = 3;
 const LEASE: Micros = 600;
 const STEP: Micros = 100;
-/// Duration of a lasting fault: longer than a lease and than the quarantine of a restarted voter.
+/// Duration of a lasting fault: longer than a lease, and than the quarantine in which a restarted voter does
+/// not vote.
 const FAULT_STEPS: u8 = 9;
 /// Number of steps, from the start of a history, in which faults may begin.
 const FAULT_WINDOW_STEPS: u8 = 14;
