--- a/maintenance/driver/src/service.rs
+++ b/maintenance/driver/src/service.rs
@@ -29,8 +29,8 @@
 
 impl MaintenanceService {
     /// Creates the service, which exchanges messages with the other processes through `peers`. `seed` starts
-    /// the random number generator and must differ at each start of the process. Without a `store`, the
-    /// schedule is not persisted.
+    /// the random number generator and must differ at each start of the process and from the seeds of other
+    /// [`flaxhead_coordination`] services. Without a `store`, the schedule is not persisted.
     pub fn start(
         settings: Settings,
         peers: Peers,
--- a/maintenance/src/facts.rs
+++ b/maintenance/src/facts.rs
@@ -9,7 +9,7 @@
     pub zone: String,
     /// Pod of the host.
     pub pod: u32,
-    /// Discovery lists the host as ready to serve calls.
+    /// Whether discovery lists the host as ready to serve calls.
     pub ready: bool,
     /// Of the recent calls of this process to the host, so many failed that the process considers it faulty.
     pub failing: bool,
--- a/maintenance/src/selection/mod.rs
+++ b/maintenance/src/selection/mod.rs
@@ -1,4 +1,4 @@
-//! Selection of the next drain to schedule, and the reasons that block the others.
+//! Selection of the next drain to schedule, and the reasons that block requested drains.
 
 mod blocked;
 mod context;
