--- a/maintenance/tests/disks/mod.rs
+++ b/maintenance/tests/disks/mod.rs
@@ -1,5 +1,5 @@
-//! Model check of processes that persist their state to disks. All restart at once and find the latest state,
-//! no state, or a restored backup.
+//! Model check of processes that persist their state to disks. All processes restart at once, and find on
+//! their disks the state that they wrote last, no state, or a restored backup.
 
 use super::*;
 use flaxhead_snapshot::validation::validate;
@@ -12,6 +12,7 @@
     Latest,
     /// The first process finds an empty disk; all other processes find the state that they wrote last.
     FirstLost,
+    /// All processes find an empty disk.
     AllLost,
     /// All processes find a backup from before the first drain was scheduled.
     Outdated,
@@ -48,8 +49,8 @@
         validate(Snapshot { header, parts }, &identity, clock_at(world.step), limits).ok().map(|_| state)
     }
 
-    /// Writes a process's state to its disk, which happens at the beginning of each step. Returns the
-    /// messages that the process then sends.
+    /// Writes a process's state to its disk, tells the process so, and returns the messages that it sends in
+    /// response. The model calls this at the beginning of each step.
     pub(crate) fn write_snapshot(&self, world: &mut World, node: usize) -> Vec<Envelope<Maintenance>> {
         let mut effects = Vec::new();
         if self.has_disks {
@@ -102,11 +103,11 @@
 /// them reported that the schedule was lost.
 fn recovery_after_restart(restart_state: DiskState) -> (u8, bool) {
     let mut fleet = Fleet::new(Mutation::Unmodified, 0, true, true);
-    // The maintenance lasts longer than the admission of all processes, so that the host is out of service
-    // throughout.
+    // Keeps the host out of service until after all restarted processes have been admitted.
     fleet.duration_steps = 40;
     let mut world = (0..6).fold(fleet.first.clone(), |world, _| fleet.next(&world, Fault::Nothing));
-    // The restart takes place before the first message of a step, so the step must have a message.
+    // `place: 0` below restarts the processes before the first message of a step, so that step must have a
+    // message.
     while fleet.run_step(&world, Fault::Nothing).messages == 0 {
         world = fleet.next(&world, Fault::Nothing);
     }
@@ -140,8 +141,8 @@
 
 #[test]
 fn a_restart_of_all_processes_with_intact_disks_keeps_hosts_excluded() {
-    // A restarted voter does not vote for about the six steps of a lease; an election and the admissions
-    // follow.
+    // Recovery takes about six steps, the duration of a lease, in which no restarted voter votes; then the
+    // voters elect a leader, and the leader admits all processes.
     let (steps, state_lost) = recovery_after_restart(DiskState::Latest);
     assert!(!state_lost && steps <= 12, "{steps}");
     assert!(recovery_after_restart(DiskState::AllLost).1 && recovery_after_restart(DiskState::Outdated).1);
--- a/maintenance/tests/fleet/mod.rs
+++ b/maintenance/tests/fleet/mod.rs
@@ -20,7 +20,8 @@
 use std::net::SocketAddr;
 
 pub const SECOND: Micros = 1_000_000;
-/// Age, in microseconds of virtual time, up to which a process decides by the facts that it read last.
+/// Maximum age of the facts, in microseconds of virtual time, at which a process still uses them and does not
+/// read new ones.
 const MAX_FACTS_AGE: Micros = 200_000;
 pub const HOUR: Micros = 3_600 * SECOND;
 
@@ -34,7 +35,7 @@
     pub lease: Micros,
     /// Mean time between two requests of operators; 0: no requests.
     pub request_interval: Micros,
-    /// Upper bound of the random part of a maintenance's duration, which is added to one second.
+    /// Maximum duration of the maintenance of one host, beyond a minimum of one second.
     pub max_maintenance_time: Micros,
     /// Mean time between two faults; 0: no faults.
     pub fault_interval: Micros,
@@ -65,18 +66,22 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum EventKind {
+    /// Runs the timers of the process of this index. The second value is the virtual time of the event; the
+    /// event is ignored if the process has since scheduled a wake at a different time.
     Wake(usize, u64),
     Deliver {
         to: usize,
         message_id: u64,
     },
     Fault,
+    /// Ends the fault of the process of this index.
     Recover(usize),
     Request,
+    /// Ends the maintenance of the host of this name.
     Complete(String),
-    /// Lets operators restore a lost schedule and repeat commands that were lost.
+    /// Lets operators restore a lost schedule, and repeat lost commands that request or complete a drain.
     RunOperators,
-    /// Kills all processes except the last ones by index; the value is the number that survive.
+    /// Kills all processes except those of the highest indices; the value is the number that survive.
     KillAll(usize),
     /// Starts all processes that are stopped.
     StartAll,
@@ -90,6 +95,7 @@
     drift_per_10k: i64,
     is_frozen: bool,
     is_partitioned: bool,
+    /// Virtual time at which the process was last started, was last hit by a fault or last recovered.
     changed_at: Micros,
     next_wake_at: Micros,
     incarnation: u64,
@@ -118,7 +124,7 @@
     leader: Option<(usize, u64)>,
     leaderless_since: Option<Micros>,
     last_command_id: u64,
-    /// Results of the restart of killed processes; `None`: they have not been started yet.
+    /// Results of the restart after [`EventKind::KillAll`]; `None`: no process has been restarted after one.
     restart_metrics: Option<RestartMetrics>,
     pub metrics: Metrics,
 }
@@ -126,11 +132,13 @@
 /// Results of a kill and restart of many processes at once.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RestartMetrics {
+    /// Virtual time at which the killed processes were started again.
     pub started_at: Micros,
     /// Number of messages sent in each tenth of a second since the restart, by kind of message.
     pub sent_by_kind: BTreeMap<&'static str, Vec<u32>>,
     /// Times from the restart until each process could send calls, in ascending order.
     pub times_to_serve: Vec<Micros>,
+    /// Indices of the processes that `times_to_serve` counts already.
     served: BTreeSet<usize>,
 }
 
@@ -167,8 +175,8 @@
             .map(|_| Node {
                 machine: None,
                 clock_offset: u64::from(random.next_u32()),
-                // At most 0.7 % each way, since the protocol tolerates that two clocks drift apart by one
-                // part in 64.
+                // Up to 0.7 % fast or slow, so two clocks drift apart by at most 1.4 %; the protocol tolerates
+                // one part in 64.
                 drift_per_10k: i64::from(random.next_u32() % 140) - 70,
                 is_frozen: false,
                 is_partitioned: false,
@@ -264,7 +272,8 @@
         self.schedule_event(after, EventKind::Wake(index, at));
     }
 
-    /// Returns the hosts, and the other processes as one process observes them: failures show after a delay.
+    /// Returns the facts that one process reads: all hosts, and all processes but itself as its membership
+    /// lists them, which shows a failure only after some seconds.
     fn facts(&self, observer: usize) -> Facts {
         let member = |index: usize| {
             let Node { incarnation, changed_at, is_frozen, is_partitioned, .. } = &self.nodes[index];
@@ -293,7 +302,7 @@
         index: usize,
         act: impl FnOnce(&mut Machine, &mut Context<'_>, &mut Vec<Effect>),
     ) {
-        // Only voters read facts. Building them is slow, so all other processes get empty ones.
+        // Only voters use facts. Building facts is slow, so processes that are not voters get empty ones.
         let old = self.nodes[index].facts.take().filter(|(at, _)| self.now < at + MAX_FACTS_AGE);
         let (read_at, facts) = match old {
             Some(cached) => cached,
@@ -448,7 +457,8 @@
             EventKind::Deliver { to, message_id } => {
                 let Some((from, message)) = self.messages.remove(&message_id) else { return };
                 if self.nodes[to].is_frozen {
-                    // The message waits in the socket until the process runs again.
+                    // The message waits in the socket of the frozen process: delivery is tried again after a
+                    // second.
                     self.messages.insert(message_id, (from, message));
                     return self.schedule_event(SECOND, EventKind::Deliver { to, message_id });
                 }
@@ -464,8 +474,8 @@
                 if is_stopped {
                     self.start_node(index);
                 } else if is_frozen {
-                    // A resumed process may send a call before it reads its clock, so the invariants must
-                    // hold already.
+                    // A resumed process may send a call before its timers run, so the invariants must hold
+                    // before that.
                     self.check_invariants(index);
                     self.start_call(index);
                     self.schedule_wake(index);
@@ -597,7 +607,7 @@
     }
 
     /// Acts for the operators: after a loss of the schedule, requests drains of the hosts that are out of
-    /// service and declares the schedule complete; repeats requests and completions that were lost.
+    /// service and declares the schedule complete; repeats lost commands that request or complete a drain.
     fn run_operators(&mut self) {
         let has_lost_state = |index: &usize| {
             let node = &self.nodes[*index];
@@ -629,8 +639,8 @@
             let command = self.drain_command(&host, false);
             self.submit_command(index, command);
         }
-        // If a host has returned but its drain is still at stage `OutOfService`, the command to complete it
-        // was lost.
+        // If the maintenance of a host has ended but its drain is still at stage `OutOfService`, the command
+        // to complete the drain was lost.
         let is_returned =
             |row: &&Drain| row.stage == Stage::OutOfService && !self.free_hosts.contains(&row.request.host);
         let returned: Vec<(u64, bool)> = schedule
--- a/maintenance/tests/mass_restart.rs
+++ b/maintenance/tests/mass_restart.rs
@@ -1,5 +1,5 @@
-//! Simulation of 300 processes that are killed and restarted together: all may send calls again soon, and the
-//! messages of their restart are spread over time.
+//! Simulation of 300 processes that are killed and restarted together: all may send calls again within three
+//! seconds, and the messages that they send after the restart are spread over time.
 
 mod fleet;
 
@@ -39,6 +39,8 @@
             "{} {last}",
             metrics.times_to_serve.len()
         );
+        // No tenth of a second may have more than 30 % of the messages of one kind in the busiest second, which
+        // is three times the mean of that second.
         for kind in ["lease renewals", "recovery queries"] {
             let counts = &metrics.sent_by_kind[kind];
             let busiest: u32 = counts.windows(10).map(|second| second.iter().sum()).max().unwrap_or(0);
@@ -48,8 +50,9 @@
                 "{kind}: {peak} in a tenth of a second, {busiest} in the busiest second"
             );
         }
-        // The three voters send too few prepare requests to compare their peak with the busiest second, so
-        // their number in each tenth of a second is bounded instead.
+        // Only the three voters send prepare requests. These are too few to be spread over a second, so the
+        // number in a tenth of a second has a fixed bound of 6: one request from each voter to each of the
+        // two other voters.
         assert!(
             metrics.sent_by_kind["prepare requests"].iter().all(|count| *count <= 6),
             "{:?}",
--- a/maintenance/tests/model.rs
+++ b/maintenance/tests/model.rs
@@ -1,7 +1,7 @@
-//! Exhaustive model check of three voters and two hosts, of which one may be out of service at a time, under
-//! loss and duplication of messages, crashes with loss of state, pauses longer than a lease, and partitions
-//! in one or both directions. A step lasts a sixth of a lease, and messages arrive within the step unless a
-//! fault prevents that.
+//! Exhaustive model check of three voters and two hosts, of which at most one host may be out of service at a
+//! time, under loss and duplication of messages, crashes with loss of state, pauses longer than a lease, and
+//! partitions in one or both directions. A step lasts a sixth of a lease. A message arrives in the step in
+//! which it was sent unless a fault prevents that.
 //!
 //! A *node* is a process of the model, identified by its index. A *history* is one sequence of steps and
 //! faults that the check explores.
@@ -25,8 +25,8 @@
 const VOTER_COUNT: usize = 3;
 const LEASE: Micros = 600;
 const STEP: Micros = 100;
-/// Duration of a lasting fault: longer than a lease, and than the quarantine in which a restarted voter does
-/// not vote.
+/// Duration of a lasting fault, in steps: longer than a lease, and longer than the quarantine in which a
+/// restarted voter does not vote.
 const FAULT_STEPS: u8 = 9;
 /// Number of steps, from the start of a history, in which faults may begin.
 const FAULT_WINDOW_STEPS: u8 = 14;
@@ -37,8 +37,8 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Mutation {
     Unmodified,
-    /// A restarted voter votes at once: it neither waits for a lease that it may have granted to expire nor
-    /// asks other voters.
+    /// A restarted voter votes at once: it neither waits until a lease that it may have granted before the
+    /// restart has expired, nor asks the other voters for the state that it lost.
     SkipQuarantine,
     /// The leader assumes that every process has applied the latest schedule.
     AssumeConfirmed,
@@ -46,12 +46,12 @@
     IgnoreLeaseExpiry,
     /// A restarted process sends calls before it is admitted.
     SendBeforeAdmission,
-    /// Processes do not report their calls in flight, so a host counts as drained too early.
+    /// Processes do not report their calls in flight, so a host counts as drained while it still has calls.
     HideCallsInFlight,
-    /// A frozen leader measures its lease by a clock that stopped with it, so it leads for longer than the
-    /// lease.
+    /// The clock of a frozen leader stops while the leader is frozen, so the leader goes on leading after its
+    /// lease has expired.
     StopFrozenClock,
-    /// Processes are configured to allow more hosts out of service than the invariants do.
+    /// Processes are configured to allow two hosts out of service at a time; the invariants allow one.
     RaiseLimits,
     /// A process applies a delayed schedule that is older than its own.
     AcceptOldState,
@@ -69,7 +69,7 @@
     HideRecoveryStatus,
 }
 
-/// Calls, operators and disks around the nodes of the model.
+/// State of the model outside its nodes: calls, hosts, disks, and the timeouts of nodes that start.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct ModelState {
     /// Step at which the call of a node to a host ends, counted from the start of the history; by node and
@@ -77,7 +77,9 @@
     in_flight: BTreeMap<(usize, String), u8>,
     /// Step at which a host was first reported free to operators, by host.
     free_since: BTreeMap<String, u8>,
+    /// Hosts whose maintenance has ended, whether or not any node knows.
     returned: BTreeSet<String>,
+    /// Ballots under which a node has led.
     leader_ballots: BTreeSet<Ballot>,
     /// Content of each node's disk and the step at which it was written. A node writes at the beginning of
     /// each step.
@@ -93,7 +95,7 @@
     mutation: Mutation,
     /// Maximum number of faults in one history.
     max_faults: u8,
-    /// Faults may occur between any two messages; otherwise, only between steps.
+    /// Faults may occur between any two messages; if false, only between steps.
     faults_between_messages: bool,
     /// Processes persist their state to disks.
     has_disks: bool,
@@ -104,6 +106,7 @@
     fault_targets: Vec<usize>,
     /// Node whose messages reach no other node, though the membership lists it as alive.
     mute_node: Option<usize>,
+    /// State in which every history starts.
     first: World,
 }
 
@@ -170,8 +173,8 @@
             first,
         };
         let mut world = fleet.first.clone();
-        // A history starts once there is a leader, operators have declared the empty schedule complete, and
-        // all processes are admitted.
+        // Every history starts after these 30 steps, in which the voters elect a leader, operators declare the
+        // empty schedule complete, and the leader admits all processes.
         for _ in 0..30 {
             world = fleet.next(&world, Fault::Nothing);
             if let Some(leader) =
@@ -215,7 +218,7 @@
         let (facts, time) = (self.facts(world, node), time_at(world.step));
         let mut random = FixedRandom::for_node(node);
         let mut context = Context { now: time, facts: &facts, random: &mut random };
-        // The effects of the submission are dropped, so that its first message is lost and the process must
+        // Dropping the effects loses the message that carries the command to the leader, so the process must
         // send the command again.
         world.nodes[node].submit(&mut context, time + node as u64, command, 20 * LEASE, &mut Vec::new());
     }
@@ -386,8 +389,10 @@
         self.submit_command(world, node, Command::DeclareRecovered { by: "ops".to_owned() });
     }
 
-    /// Returns the number of steps in which faults may begin. Larger for [`Mutation::ConfirmBeforeWrite`],
-    /// whose violation shows only in a drain that takes no longer than a write to the disk.
+    /// Returns the number of steps in which faults may begin. [`Mutation::ConfirmBeforeWrite`] violates an
+    /// invariant only if the processes restart after a host became free and before they have written its
+    /// drain to their disks. The first drain is written in time, because its host has calls in flight that
+    /// last some steps; the second drain begins only after [`FAULT_WINDOW_STEPS`].
     fn fault_window_steps(&self) -> u8 {
         if self.mutation == Mutation::ConfirmBeforeWrite {
             2 * FAULT_WINDOW_STEPS
@@ -396,11 +401,12 @@
         }
     }
 
-    /// Acts for the operators: restores a lost schedule, repeats requests, and completes the maintenance of
-    /// free hosts after its duration.
+    /// Acts for the operators: restores a lost schedule, repeats drain requests that may have been lost, and
+    /// ends the maintenance of each free host after its duration.
     fn run_operators(&self, world: &mut World) {
         self.restore_schedule(world);
-        // The request may have been lost, so operators repeat it until the host is free.
+        // A drain request may have been lost, so operators repeat it every ten steps until its host has been
+        // reported free for maintenance.
         for (node, host) in (0..2).map(|n| (n, host_name(n))) {
             let is_not_free =
                 !world.environment.free_since.contains_key(&host) && world.step.is_multiple_of(10);
@@ -418,8 +424,8 @@
             .map(|(h, _)| h.clone())
             .collect();
         for host in finished_hosts {
-            // The host takes calls from now on, even before any process learns that its maintenance is
-            // complete.
+            // From now on the invariants allow calls to the host, even before any process learns that its
+            // maintenance has ended.
             world.environment.returned.insert(host);
         }
         for host in world.environment.returned.clone() {
@@ -509,7 +515,8 @@
     fn restart_all(&self, world: &mut World, restart_state: DiskState) {
         (0..world.nodes.len()).for_each(|node| self.restart(world, node, restart_state));
         if matches!(restart_state, DiskState::AllLost | DiskState::Outdated) {
-            // No process remembers a ballot, so a new leader may have a lower ballot than an earlier one.
+            // No process remembers the ballots of earlier leaders, so a new leader may have a lower ballot
+            // than they had.
             world.environment.leader_ballots.clear();
         }
     }
@@ -674,7 +681,8 @@
 
 #[test]
 fn a_restarted_voter_abstains_until_its_lost_promise_has_expired() {
-    // With a disk, the voter restores its earlier state, but not a promise made after the last write.
+    // With a disk, the restarted voter restores the state that it wrote last, but no promise that it made
+    // after that write.
     for disks in [false, true] {
         let (states, violated) = check_after_two_faults(Mutation::Unmodified, disks);
         println!("{states} states");
@@ -717,8 +725,8 @@
     }
 }
 
-/// Creates a fleet with a host out of service, in which a restarted process may wait for its admission by a
-/// frozen leader for longer than its autonomy timeout.
+/// Creates a fleet with a host out of service and an autonomy timeout shorter than a lasting fault, so that a
+/// restarted process may reach its autonomy timeout while it waits for a frozen leader to admit it.
 fn fleet_with_delayed_admission(mutation: Mutation) -> Fleet {
     let mut fleet = Fleet::with_nodes(VOTER_COUNT, mutation, 2, false, false);
     fleet.duration_steps = 30;
--- a/maintenance/tests/simulated_faults.rs
+++ b/maintenance/tests/simulated_faults.rs
@@ -29,7 +29,8 @@
         metrics.requested, metrics.freed, metrics.faults, metrics.leader_changes, metrics.state_losses
     );
     assert!(metrics.faults > 60 && metrics.leader_changes > 5, "{metrics:?}");
-    // Requests made shortly before the end of the run may still be open.
+    // When the run ends, up to 10 drains may still wait for their host to become free, and up to 10 free hosts
+    // may still be under maintenance.
     assert!(
         metrics.freed + 10 >= metrics.requested
             && metrics.completed + 10 >= metrics.freed
