--- a/maintenance/driver/src/service.rs
+++ b/maintenance/driver/src/service.rs
@@ -12,7 +12,7 @@
 use tokio::sync::watch;
 
 /// Configuration of host maintenance. The proxy reads it from section `[work]` of the operators'
-/// configuration file, which switches host maintenance on; the section's name is older than this package's.
+/// configuration file; the presence of that section switches host maintenance on.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// Voters, of which a majority grants the leader its lease.
--- a/maintenance/src/command.rs
+++ b/maintenance/src/command.rs
@@ -116,7 +116,7 @@
         /// Identifier of the drain.
         #[serde(rename = "turn")]
         drain: u64,
-        /// Current stage of the drain.
+        /// Stage at which the drain was when the leader executed the command.
         stage: Stage,
     },
     /// The drain had been completed, with any outcome, before the command was executed.
@@ -125,7 +125,7 @@
         /// Identifier of the drain.
         #[serde(rename = "turn")]
         drain: u64,
-        /// Outcome with which the drain was completed.
+        /// Whether maintenance was carried out and, if not, why the drain ended.
         #[serde(rename = "end")]
         outcome: Outcome,
     },
