--- a/maintenance/tests/simulated_faults.rs
+++ b/maintenance/tests/simulated_faults.rs
@@ -29,8 +29,8 @@
         metrics.requested, metrics.freed, metrics.faults, metrics.leader_changes, metrics.state_losses
     );
     assert!(metrics.faults > 60 && metrics.leader_changes > 5, "{metrics:?}");
-    // When the run ends, up to 10 drains may still wait for their host to become free, and up to 10 free hosts
-    // may still be under maintenance.
+    // When the run ends, some drains may still wait for their host to become free, and some free hosts may
+    // still be under maintenance; the margins of 10 allow for both.
     assert!(
         metrics.freed + 10 >= metrics.requested
             && metrics.completed + 10 >= metrics.freed
