--- a/maintenance/tests/fleet/mod.rs
+++ b/maintenance/tests/fleet/mod.rs
@@ -302,7 +302,8 @@
         index: usize,
         act: impl FnOnce(&mut Machine, &mut Context<'_>, &mut Vec<Effect>),
     ) {
-        // Only voters use facts. Building facts is slow, so processes that are not voters get empty ones.
+        // Of its facts, a process that is not a voter uses only the lost zones, and the simulation has none.
+        // Building facts is slow, so such a process gets empty ones.
         let old = self.nodes[index].facts.take().filter(|(at, _)| self.now < at + MAX_FACTS_AGE);
         let (read_at, facts) = match old {
             Some(cached) => cached,
