--- a/maintenance/driver/src/participant.rs
+++ b/maintenance/driver/src/participant.rs
@@ -1,4 +1,5 @@
-//! Link between the maintenance protocol and the hosts that a process sends calls to.
+//! Trait [`Hosts`], by which the maintenance protocol reads the state of the hosts and excludes hosts from
+//! new calls, and the [`Participant`] that calls it at each step of the protocol.
 
 use flaxhead_coordination::{Clock, Participant};
 use flaxhead_lease::{Ballot, Machine};
--- a/maintenance/driver/src/service.rs
+++ b/maintenance/driver/src/service.rs
@@ -60,8 +60,8 @@
         self.0.serve(Rc::new(HostExclusion::new(hosts))).await;
     }
 
-    /// Returns the lease, the drains and, at the leader, the processes on the roster, as this process knows
-    /// them.
+    /// Returns the lease, the drains and, at the leader, the admitted processes (the roster), as this process
+    /// knows them.
     pub fn view(&self) -> MaintenanceView {
         self.0.with_machine(view)
     }
--- a/maintenance/src/command.rs
+++ b/maintenance/src/command.rs
@@ -113,7 +113,7 @@
     /// The drain is at a stage that does not allow the command.
     #[error("drain {drain} is at stage {stage}, which does not allow the command")]
     WrongStage {
-        /// Identifier of the drain.
+        /// Identifier of the drain that the command names.
         #[serde(rename = "turn")]
         drain: u64,
         /// Stage at which the drain was when the leader executed the command.
--- a/maintenance/src/lib.rs
+++ b/maintenance/src/lib.rs
@@ -44,7 +44,7 @@
 /// Protocol state machine of one process: its lease, its copy of the schedule and, at the leader, the
 /// scheduler.
 pub type Machine = flaxhead_lease::Machine<Maintenance>;
-/// Message of the maintenance protocol that one process sends to another.
+/// Message between processes: election of the leader, renewal of leases, or replication of the schedule.
 pub type Message = flaxhead_lease::Message<Maintenance>;
 /// Action that the protocol asks of its driver, such as to send a message.
 pub type Effect = flaxhead_lease::Effect<Maintenance>;
--- a/maintenance/src/view.rs
+++ b/maintenance/src/view.rs
@@ -13,7 +13,7 @@
 /// Open drain, as the status page shows it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DrainView {
-    /// Identifier of the drain.
+    /// Unique number of the drain, by which operators' commands refer to it.
     pub id: u64,
     /// Name of the host in discovery's list.
     pub host: String,
--- a/maintenance/tests/model.rs
+++ b/maintenance/tests/model.rs
@@ -389,10 +389,8 @@
         self.submit_command(world, node, Command::DeclareRecovered { by: "ops".to_owned() });
     }
 
-    /// Returns the number of steps in which faults may begin. [`Mutation::ConfirmBeforeWrite`] violates an
-    /// invariant only if the processes restart after a host became free and before they have written its
-    /// drain to their disks. The first drain is written in time, because its host has calls in flight that
-    /// last some steps; the second drain begins only after [`FAULT_WINDOW_STEPS`].
+    /// Returns the number of steps in which faults may begin. It is longer for
+    /// [`Mutation::ConfirmBeforeWrite`], so that the processes can also restart during the second drain.
     fn fault_window_steps(&self) -> u8 {
         if self.mutation == Mutation::ConfirmBeforeWrite {
             2 * FAULT_WINDOW_STEPS
--- a/maintenance/tests/simulated_faults.rs
+++ b/maintenance/tests/simulated_faults.rs
@@ -30,7 +30,7 @@
     );
     assert!(metrics.faults > 60 && metrics.leader_changes > 5, "{metrics:?}");
     // When the run ends, some drains may still wait for their host to become free, and some free hosts may
-    // still be under maintenance; the margins of 10 allow for both.
+    // still be under maintenance.
     assert!(
         metrics.freed + 10 >= metrics.requested
             && metrics.completed + 10 >= metrics.freed
