--- a/proxy/src/features/quota/mod.rs
+++ b/proxy/src/features/quota/mod.rs
@@ -15,7 +15,7 @@
 use crate::http::Engine;
 use flaxhead_coordination::{Coordinator, StateStore};
 use flaxhead_peers::{Channel, Peers};
-use flaxhead_quota::admission::{AdmissionConfig, Class};
+use flaxhead_quota::admission::{AdmissionConfig, ClassTiming};
 use flaxhead_quota::{LocalQuota, QuotaApplication, QuotaTiming, TenantRegistry};
 use participant::QuotaParticipant;
 use std::rc::Rc;
@@ -52,7 +52,7 @@
         };
         let admission = AdmissionConfig {
             classes,
-            tenants: registry.tenants.len(),
+            tenant_count: registry.tenants.len(),
             // A client has one request open on a connection: more than that never wait.
             max_queue: config.connections_each_way(),
             max_retry_after: config.settings.limits.max_retry_after,
@@ -92,8 +92,10 @@
     }
 }
 
-fn classes(config: &Config) -> Vec<Class> {
-    let class =
-        |class: &flaxhead_policy::Class| Class { latency_objective: class.aim, deadline: class.deadline };
+fn classes(config: &Config) -> Vec<ClassTiming> {
+    let class = |class: &flaxhead_policy::Class| ClassTiming {
+        latency_objective: class.aim,
+        deadline: class.deadline,
+    };
     config.settings.classes.iter().map(class).collect()
 }
--- a/proxy/src/features/quota/queues.rs
+++ b/proxy/src/features/quota/queues.rs
@@ -274,7 +274,7 @@
 impl Drop for QueuePlace {
     fn drop(&mut self) {
         let mut state = self.queues.0.state.borrow_mut();
-        state.controller.abandon(self.call);
+        state.controller.cancel(self.call);
         let sender = state.waiting.remove(&self.call);
         drop(state);
         // It may have a permit that was on its way.
--- a/proxy/src/features/quota/queues/tests.rs
+++ b/proxy/src/features/quota/queues/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use flaxhead_policy::ClassId;
-use flaxhead_quota::admission::Class;
+use flaxhead_quota::admission::ClassTiming;
 use flaxhead_quota::TenantAllowance;
 use std::future::Future;
 use tokio::task::{spawn_local, yield_now, LocalSet};
@@ -22,8 +22,8 @@
 fn run<F: Future<Output = ()>>(test: impl FnOnce(AdmissionQueues) -> F) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
     LocalSet::new().block_on(&runtime.expect("a runtime"), async {
-        let classes = vec![Class { latency_objective: 1_000_000, deadline: 4_000_000 }];
-        let config = AdmissionConfig { classes, tenants: 1, max_queue: 9, max_retry_after: 0 };
+        let classes = vec![ClassTiming { latency_objective: 1_000_000, deadline: 4_000_000 }];
+        let config = AdmissionConfig { classes, tenant_count: 1, max_queue: 9, max_retry_after: 0 };
         let tenants = vec![TenantAllowance { cap: Some(1), guaranteed: Some(1), fair_share: 0 }];
         let queues =
             AdmissionQueues::new(config, Allowance { tenants, total: None, expires_at: None }, false);
--- a/proxy/src/features/quota/settings.rs
+++ b/proxy/src/features/quota/settings.rs
@@ -5,7 +5,7 @@
 use super::super::sections::{Problem, Section};
 use crate::config::Config;
 use flaxhead_lease::{Micros, Voters};
-use flaxhead_quota::{QuotaConfig, QuotaConfigError, TenantRegistry, OTHERS};
+use flaxhead_quota::{QuotaConfig, QuotaConfigError, TenantRegistry, DEFAULT_TENANT};
 use std::collections::BTreeSet;
 use std::path::PathBuf;
 
@@ -82,7 +82,8 @@
 /// Checks all but which tenants there are: that the platform's settings say, later.
 fn check_caps(quota: &QuotaConfig) -> Result<(), QuotaConfigError> {
     let name = |cap: &String| Some(cap.trim().rsplit_once(char::is_whitespace)?.0.trim().to_owned());
-    let named: BTreeSet<String> = quota.caps.iter().filter_map(name).filter(|name| name != OTHERS).collect();
+    let named: BTreeSet<String> =
+        quota.caps.iter().filter_map(name).filter(|name| name != DEFAULT_TENANT).collect();
     TenantRegistry::new(quota, named.iter().map(|name| (name.as_str(), 0.0))).map(drop)
 }
 
--- a/quota/benches/admission.rs
+++ b/quota/benches/admission.rs
@@ -7,8 +7,8 @@
 
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
 use flaxhead_quota::admission::{
-    AdmissionConfig, AdmissionController, AdmissionDecision, AdmissionRequest, Class, QueuedVerdict, Verdict,
-    Verdicts,
+    AdmissionConfig, AdmissionController, AdmissionDecision, AdmissionRequest, ClassTiming, QueuedVerdict,
+    Verdict, Verdicts,
 };
 use flaxhead_quota::{Allowance, TenantAllowance};
 use std::hint::black_box;
@@ -18,26 +18,29 @@
     gate: AdmissionController,
     now: u64,
     out: std::collections::VecDeque<usize>,
-    tenants: usize,
+    tenant_count: usize,
     verdicts: Verdicts,
 }
 
 impl Bench {
-    fn new(tenants: usize, all: Option<u32>, waiting: usize) -> Bench {
-        let classes = vec![Class { latency_objective: 100_000, deadline: 1 << 40 }];
-        let rules = AdmissionConfig { classes, tenants, max_queue: 1_024, max_retry_after: 1_000_000 };
+    fn new(tenant_count: usize, all: Option<u32>, waiting: usize) -> Bench {
+        let classes = vec![ClassTiming { latency_objective: 100_000, deadline: 1 << 40 }];
+        let rules = AdmissionConfig { classes, tenant_count, max_queue: 1_024, max_retry_after: 1_000_000 };
         let units =
             |n: usize| TenantAllowance { cap: Some(1_000), guaranteed: Some(1), fair_share: 4 + n as u32 };
-        let allowance =
-            Allowance { tenants: (0..tenants).map(units).collect(), total: all, expires_at: Some(1 << 50) };
+        let allowance = Allowance {
+            tenants: (0..tenant_count).map(units).collect(),
+            total: all,
+            expires_at: Some(1 << 50),
+        };
         let gate = AdmissionController::new(0, rules, allowance, false);
-        let mut bench = Bench { gate, now: 1, out: Default::default(), tenants, verdicts: Vec::new() };
+        let mut bench = Bench { gate, now: 1, out: Default::default(), tenant_count, verdicts: Vec::new() };
         (0..64 + waiting).for_each(|n| bench.ask(n));
         bench
     }
 
     fn ask(&mut self, n: usize) {
-        let tenant = n % self.tenants;
+        let tenant = n % self.tenant_count;
         let asked = AdmissionRequest { tenant: Some(tenant), class: 0, deadline: self.now + (1 << 40) };
         if self.gate.request(self.now, asked) == AdmissionDecision::Decided(Verdict::Admitted) {
             self.out.push_back(tenant);
@@ -61,11 +64,11 @@
 
 fn bench(c: &mut Criterion) {
     let mut group = c.benchmark_group("gate");
-    for tenants in [1, 8, 32] {
+    for tenant_count in [1, 8, 32] {
         for (name, all, waiting) in [("free", None, 0), ("waiting", Some(64), 256)] {
-            let mut bench = Bench::new(tenants, all, waiting);
+            let mut bench = Bench::new(tenant_count, all, waiting);
             let mut n = 0;
-            group.bench_function(BenchmarkId::new(name, tenants), |b| {
+            group.bench_function(BenchmarkId::new(name, tenant_count), |b| {
                 b.iter(|| {
                     n += 1;
                     bench.call(black_box(n));
--- a/quota/benches/shares.rs
+++ b/quota/benches/shares.rs
@@ -10,7 +10,7 @@
 #[path = "../tests/fleet/mod.rs"]
 mod fleet;
 
-use flaxhead_quota::max_min::{fill, Demand};
+use flaxhead_quota::max_min::{allocate_max_min, Demand};
 use flaxhead_quota::{Micros, QuotaTiming};
 use fleet::{site, Fleet, Mode, Plan, SECOND};
 use std::time::Instant;
@@ -48,7 +48,7 @@
         let demand = fleet.wanted(at).min(tenant.cap.unwrap_or(u32::MAX));
         Demand { weight: tenant.weight, minimum: demand.min(1), wanted: demand }
     });
-    fill(carried, &wants.collect::<Vec<_>>())
+    allocate_max_min(carried, &wants.collect::<Vec<_>>())
 }
 
 /// Worst and mean deviation of what is in hand, over tenants that should have any, in percent.
--- a/quota/src/admission/mod.rs
+++ b/quota/src/admission/mod.rs
@@ -16,14 +16,14 @@
 
 /// The times of a class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Class {
+pub struct ClassTiming {
     /// An answer within this time earns the full priority weight.
     pub latency_objective: Micros,
     /// How long a client waits in all.
     pub deadline: Micros,
 }
 
-impl Class {
+impl ClassTiming {
     /// What is reserved of a client's time for the call itself: its latency objective, half of its time at the most. A call
     /// that is admitted later than that has no answer in time to hope for.
     fn reserved(&self) -> Micros {
@@ -35,9 +35,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AdmissionConfig {
     /// The classes, in the order of the settings.
-    pub classes: Vec<Class>,
+    pub classes: Vec<ClassTiming>,
     /// The number of tenants, that for calls of no or an unknown tenant among them: it is the last.
-    pub tenants: usize,
+    pub tenant_count: usize,
     /// Maximum number of calls in the queue of a tenant.
     pub max_queue: usize,
     /// The longest Retry-After that a client heeds; 0: it is given none.
@@ -140,7 +140,7 @@
         expects_more: bool,
     ) -> AdmissionController {
         let rate_span = config.classes.iter().map(|class| class.deadline).max().unwrap_or(0).max(1);
-        let tenants = config.tenants.max(1);
+        let tenants = config.tenant_count.max(1);
         let mut controller = AdmissionController {
             config,
             rate_span,
@@ -188,7 +188,7 @@
             self.admit(now, tenant);
             return AdmissionDecision::Decided(Verdict::Admitted);
         }
-        let reserved = self.config.classes.get(request.class).map_or(0, Class::reserved);
+        let reserved = self.config.classes.get(request.class).map_or(0, ClassTiming::reserved);
         let give_up_at = request.deadline.saturating_sub(reserved);
         let is_full = self.queues[tenant].len() >= self.config.max_queue;
         let is_hopeless = || now.saturating_add(self.expected_wait(now, tenant)) >= give_up_at;
@@ -203,7 +203,7 @@
     }
 
     /// The client of a queued call has gone.
-    pub fn abandon(&mut self, call: QueuedCall) {
+    pub fn cancel(&mut self, call: QueuedCall) {
         if let Some(at) = self.queues[call.tenant].remove(call.number) {
             self.give_ups.remove(&GiveUp { at, call });
         }
--- a/quota/src/application.rs
+++ b/quota/src/application.rs
@@ -123,7 +123,7 @@
     }
 
     fn granted(&mut self, granted: &ReceivedGrant<Self>) {
-        self.local.take_grant(&granted.ballot, granted.expires_at, granted.grant.clone());
+        self.local.apply_grant(&granted.ballot, granted.expires_at, granted.grant.clone());
     }
 
     fn fenced(&mut self, fence: &Ballot) {
--- a/quota/src/capacity.rs
+++ b/quota/src/capacity.rs
@@ -54,7 +54,7 @@
     }
 
     /// The part that hosts carry of what the facts say, in thousandths.
-    pub fn part(&self) -> u32 {
+    pub fn ratio_per_mille(&self) -> u32 {
         self.part
     }
 
--- a/quota/src/capacity/tests.rs
+++ b/quota/src/capacity/tests.rs
@@ -33,12 +33,12 @@
     for second in 1..40 {
         learned.record(second * WINDOW, 100, 50);
     }
-    assert_eq!(learned.part(), MIN_PART);
+    assert_eq!(learned.ratio_per_mille(), MIN_PART);
     for second in 40..200 {
         learned.record(second * WINDOW, 100, 0);
     }
-    assert_eq!(learned.part(), WHOLE);
+    assert_eq!(learned.ratio_per_mille(), WHOLE);
     // Too few to say anything.
     learned.record(300 * WINDOW, MIN_ATTEMPTS as u32 - 1, MIN_ATTEMPTS as u32 - 1);
-    assert_eq!(learned.part(), WHOLE);
+    assert_eq!(learned.ratio_per_mille(), WHOLE);
 }
--- a/quota/src/ledger/mod.rs
+++ b/quota/src/ledger/mod.rs
@@ -133,7 +133,7 @@
 
     /// Sets what is known of the hosts.
     pub fn set_hosts<'a>(&mut self, hosts: impl IntoIterator<Item = &'a HostCapacity>) {
-        let capacity = fleet_capacity(&self.registry, hosts, self.learned.part());
+        let capacity = fleet_capacity(&self.registry, hosts, self.learned.ratio_per_mille());
         if self.capacity != capacity {
             self.capacity = capacity;
             self.targets.is_stale = true;
--- a/quota/src/ledger/slots.rs
+++ b/quota/src/ledger/slots.rs
@@ -43,7 +43,7 @@
     }
 
     /// The processes without a slot, for the log and the status page.
-    pub fn without_slot(&self) -> Vec<&Name> {
+    pub fn processes_without_slot(&self) -> Vec<&Name> {
         let is_without = |entry: &ProcessEntry| entry.last_report_at.is_some() && !entry.has_slot;
         let without = self.entries.iter().filter(|(_, entry)| is_without(entry));
         without.map(|(process, _)| &process.name).collect()
--- a/quota/src/ledger/targets.rs
+++ b/quota/src/ledger/targets.rs
@@ -2,7 +2,7 @@
 
 use super::process_entry::ProcessEntry;
 use super::QuotaLedger;
-use crate::max_min::{settle, settle_tenants, Demand};
+use crate::max_min::{reallocate, reallocate_tenants, Demand};
 use flaxhead_lease::{Micros, Process};
 use std::collections::BTreeMap;
 
@@ -72,7 +72,7 @@
             demands.push(Demand { weight: 1, minimum, wanted: entry.demand(tenant) });
             previous.push(minimum + entry.target[tenant]);
         }
-        let permits = settle(total, &demands, &previous);
+        let permits = reallocate(total, &demands, &previous);
         let targets = permits.iter().zip(&demands).map(|(permits, d)| permits.saturating_sub(d.minimum));
         for (process, target) in active.iter().zip(targets) {
             if let Some(entry) = self.entries.get_mut(process) {
@@ -92,7 +92,7 @@
             Demand { weight: tenant.weight, minimum: wanted.min(1), wanted }
         });
         let tenant_demands: Vec<Demand> = tenant_demands.collect();
-        let fair_shares = settle_tenants(capacity, &tenant_demands, &self.targets.fair_shares);
+        let fair_shares = reallocate_tenants(capacity, &tenant_demands, &self.targets.fair_shares);
         let mut parts_by_tenant = Vec::new();
         for (tenant, total) in fair_shares.iter().enumerate() {
             let demand = |entry: &&ProcessEntry| {
@@ -101,7 +101,7 @@
             };
             let demands: Vec<Demand> = entries.values().map(demand).collect();
             let previous: Vec<u32> = entries.values().map(|entry| entry.fair_shares[tenant]).collect();
-            parts_by_tenant.push(settle(*total, &demands, &previous));
+            parts_by_tenant.push(reallocate(*total, &demands, &previous));
         }
         self.targets.fair_shares = fair_shares;
         for (place, process) in active.iter().enumerate() {
--- a/quota/src/lib.rs
+++ b/quota/src/lib.rs
@@ -26,7 +26,7 @@
 pub use capacity::{fleet_capacity, HostCapacity, LearnedCapacity};
 pub use ledger::QuotaLedger;
 pub use local_quota::LocalQuota;
-pub use registry::{QuotaConfig, QuotaConfigError, Tenant, TenantRegistry, OTHERS};
+pub use registry::{QuotaConfig, QuotaConfigError, Tenant, TenantRegistry, DEFAULT_TENANT};
 pub use report::{
     GrantVersion, LoweredMinimum, QuotaGrant, QuotaReport, ReportedConfig, Slot, TenantUsage, Usage,
 };
--- a/quota/src/local_quota.rs
+++ b/quota/src/local_quota.rs
@@ -100,7 +100,7 @@
     }
 
     /// Takes a grant that was requested so that it expires then. Returns whether it was taken.
-    pub fn take_grant(&mut self, ballot: &Ballot, expires_at: Micros, grant: QuotaGrant) -> bool {
+    pub fn apply_grant(&mut self, ballot: &Ballot, expires_at: Micros, grant: QuotaGrant) -> bool {
         let version = GrantVersion { ballot: ballot.clone(), seq: grant.seq };
         if self.grant_version.as_ref().is_some_and(|newest| version < *newest) {
             return false;
--- a/quota/src/max_min/mod.rs
+++ b/quota/src/max_min/mod.rs
@@ -1,7 +1,7 @@
 //! Weighted max-min fair division of permits.
 
-mod fill;
-mod settle;
+mod progressive_filling;
+mod reallocation;
 
-pub use fill::{fill, spread, Demand};
-pub use settle::{settle, settle_tenants};
+pub use progressive_filling::{allocate_by_weight, allocate_max_min, Demand};
+pub use reallocation::{reallocate, reallocate_tenants};
--- a/quota/src/max_min/fill.rs
+++ b/quota/src/max_min/progressive_filling.rs
@@ -35,7 +35,7 @@
 /// How many of `total` permits each gets: none gets more than it wants, and none gets more, by weight, while another that
 /// wants more has less, but for the minimums and a part of a permit. The sum is at most `total`, and less only where all
 /// have what they want.
-pub fn fill(total: u32, demands: &[Demand]) -> Vec<u32> {
+pub fn allocate_max_min(total: u32, demands: &[Demand]) -> Vec<u32> {
     let minimums: u64 = demands.iter().map(|demand| u64::from(demand.minimum)).sum();
     if minimums < u64::from(total) {
         return fill_above_minimums(total, demands);
@@ -113,8 +113,8 @@
 }
 
 /// Divides `total` by weight alone, in whole permits: what is lent where all have what they want.
-pub fn spread(total: u32, weights: &[u64]) -> Vec<u32> {
+pub fn allocate_by_weight(total: u32, weights: &[u64]) -> Vec<u32> {
     let demand = |weight: &u64| Demand { weight: *weight, minimum: 0, wanted: u32::MAX };
     let demands: Vec<Demand> = weights.iter().map(demand).collect();
-    fill(total, &demands)
+    allocate_max_min(total, &demands)
 }
--- a/quota/src/max_min/settle.rs
+++ b/quota/src/max_min/reallocation.rs
@@ -1,19 +1,19 @@
 //! The division that is used: the previous one for as long as it is still good.
 
-use super::fill::{fill, spread, Demand};
+use super::progressive_filling::{allocate_by_weight, allocate_max_min, Demand};
 
-/// Divides all `total` permits: by [`fill`], and what nobody wants by weight, so that whoever wants more next has some at
+/// Divides all `total` permits: by [`allocate_max_min`], and what nobody wants by weight, so that whoever wants more next has some at
 /// hand. One that has the right number within a permit, by the `previous` division, keeps it; and so does one that has what
 /// it wants and half of what it would be lent. So steady demand moves nothing, and a change moves only what it must.
-pub fn settle(total: u32, demands: &[Demand], previous: &[u32]) -> Vec<u32> {
-    Division::new(total, demands, fill(total, demands)).keep(previous)
+pub fn reallocate(total: u32, demands: &[Demand], previous: &[u32]) -> Vec<u32> {
+    Division::new(total, demands, allocate_max_min(total, demands)).keep(previous)
 }
 
 /// The same among tenants. Where all want more than they get by two permits or more, no demand that changes by one moves a
 /// permit: then the exact division is used, so that what was lent goes back. Not among processes: what each of them wants
 /// changes by more than one, and permits that are on their way are of use to none of them.
-pub fn settle_tenants(total: u32, demands: &[Demand], previous: &[u32]) -> Vec<u32> {
-    let exact = fill(total, demands);
+pub fn reallocate_tenants(total: u32, demands: &[Demand], previous: &[u32]) -> Vec<u32> {
+    let exact = allocate_max_min(total, demands);
     let had_any = |place: usize| previous.get(place).copied().unwrap_or(0) > 0;
     // Short by more than the one by which a demand changes; or without any demand for good.
     let is_short = |place: usize| match demands[place].max() {
@@ -48,7 +48,7 @@
     /// Keeps of the previous division what is still good.
     fn keep(self, previous: &[u32]) -> Vec<u32> {
         let weights: Vec<u64> = self.demands.iter().map(|demand| demand.weight).collect();
-        let lent = spread(self.spare, &weights);
+        let lent = allocate_by_weight(self.spare, &weights);
         let targets: Vec<u32> = self.exact.iter().zip(&lent).map(|(exact, lent)| exact + lent).collect();
         let kept_or_target = |(place, target): (usize, &u32)| {
             let kept = previous.get(place).copied().filter(|previous| self.is_good(place, *previous));
@@ -97,7 +97,7 @@
     let remaining = u32::try_from(remaining).unwrap_or(u32::MAX);
     let demand = |distance: &u32| Demand { weight: 1, minimum: 0, wanted: *distance };
     let demands: Vec<Demand> = distances.iter().map(demand).collect();
-    let remaining = fill(remaining, &demands);
+    let remaining = allocate_max_min(remaining, &demands);
     for (place, (distance, remaining)) in distances.into_iter().zip(remaining).enumerate() {
         let moved = distance - remaining;
         permits[place] = if is_above { permits[place] - moved } else { permits[place] + moved };
--- a/quota/src/registry.rs
+++ b/quota/src/registry.rs
@@ -5,7 +5,7 @@
 use std::hash::{Hash, Hasher};
 
 /// The name that the file has for calls of no tenant, or of an unknown one.
-pub const OTHERS: &str = "others";
+pub const DEFAULT_TENANT: &str = "others";
 /// Maximum number of tenants: what a report can hold.
 const MAX_TENANTS: usize = 256;
 /// Maximum length of a tenant's name, in bytes.
@@ -53,12 +53,12 @@
     GuaranteedPercent(u32),
     /// No capacity would be left.
     #[error("margin_percent is {0}; give 0 to 99")]
-    Margin(u32),
+    MarginPercent(u32),
     /// Not a name and a number.
-    #[error("caps has {0:?}; give a tenant's name and a number of calls, as in \"{OTHERS} 10\"")]
-    NotACap(String),
+    #[error("caps has {0:?}; give a tenant's name and a number of calls, as in \"{DEFAULT_TENANT} 10\"")]
+    InvalidCap(String),
     /// The settings have no such tenant.
-    #[error("caps names {tenant:?}, which the settings do not have; they have {known}, and \"{OTHERS}\" is the rest")]
+    #[error("caps names {tenant:?}, which the settings do not have; they have {known}, and \"{DEFAULT_TENANT}\" is the rest")]
     UnknownTenant {
         /// The name.
         tenant: String,
@@ -157,7 +157,7 @@
     fn set_cap(&mut self, line: &str, guaranteed_percent: u32) -> Result<(), QuotaConfigError> {
         let parsed = line.trim().rsplit_once(char::is_whitespace);
         let parsed = parsed.and_then(|(name, cap)| Some((name.trim(), cap.parse::<u32>().ok()?)));
-        let (name, cap) = parsed.ok_or_else(|| QuotaConfigError::NotACap(line.to_owned()))?;
+        let (name, cap) = parsed.ok_or_else(|| QuotaConfigError::InvalidCap(line.to_owned()))?;
         let proxies = self.max_proxies;
         let Some(tenant) = self.tenants.iter_mut().find(|tenant| tenant.name == name) else {
             let known: Vec<&str> = self.tenants.iter().map(|tenant| tenant.name.as_str()).collect();
@@ -197,7 +197,7 @@
         return Err(QuotaConfigError::GuaranteedPercent(config.guaranteed_percent));
     }
     if config.margin_percent >= 100 {
-        return Err(QuotaConfigError::Margin(config.margin_percent));
+        return Err(QuotaConfigError::MarginPercent(config.margin_percent));
     }
     Ok(())
 }
@@ -209,7 +209,7 @@
     let mut named: Vec<Tenant> = Vec::new();
     let mut total = 0.0;
     for (name, portion) in tenants {
-        if name == OTHERS || named.iter().any(|tenant| tenant.name == name) {
+        if name == DEFAULT_TENANT || named.iter().any(|tenant| tenant.name == name) {
             return Err(QuotaConfigError::AmbiguousTenant(name.to_owned()));
         }
         if named.len() + 1 >= MAX_TENANTS || name.len() > MAX_NAME_BYTES {
@@ -221,7 +221,7 @@
     }
     // The rest weighs what the portions leave, and no less than the lightest tenant.
     let lightest = named.iter().map(|tenant| tenant.weight).min().unwrap_or(1);
-    named.push(Tenant::uncapped(OTHERS, weight(1.0 - total).max(lightest)));
+    named.push(Tenant::uncapped(DEFAULT_TENANT, weight(1.0 - total).max(lightest)));
     Ok(named)
 }
 
--- a/quota/src/registry/tests.rs
+++ b/quota/src/registry/tests.rs
@@ -29,8 +29,8 @@
     );
     assert!(matches!(error(&["cassa 20"]), QuotaConfigError::UnknownTenant { .. }));
     assert!(matches!(error(&["cassa-iblea 7"]), QuotaConfigError::CapTooLow { cap: 7, proxies: 8, .. }));
-    assert!(matches!(error(&["cassa-iblea"]), QuotaConfigError::NotACap(_)));
-    assert!(matches!(error(&["cassa-iblea -3"]), QuotaConfigError::NotACap(_)));
+    assert!(matches!(error(&["cassa-iblea"]), QuotaConfigError::InvalidCap(_)));
+    assert!(matches!(error(&["cassa-iblea -3"]), QuotaConfigError::InvalidCap(_)));
     let twice = TenantRegistry::new(&with(&[]), [("others", 1.0)]).unwrap_err();
     assert_eq!(twice, QuotaConfigError::AmbiguousTenant("others".into()));
     for (guaranteed_percent, margin_percent, max_proxies) in
--- a/quota/src/view.rs
+++ b/quota/src/view.rs
@@ -104,7 +104,7 @@
             }
         };
         add("not heard:", self.silent(now));
-        add("no seat:", self.without_slot().into_iter().map(ToString::to_string).collect());
+        add("no seat:", self.processes_without_slot().into_iter().map(ToString::to_string).collect());
         add("caps differ at", self.with_other_config());
         reasons
     }
--- a/quota/tests/admission.rs
+++ b/quota/tests/admission.rs
@@ -2,7 +2,7 @@
 #![expect(clippy::cast_possible_truncation, reason = "the counts of a test are small")]
 
 use flaxhead_quota::admission::{
-    AdmissionConfig, AdmissionController, AdmissionDecision, AdmissionRequest, Class, QueuedCall,
+    AdmissionConfig, AdmissionController, AdmissionDecision, AdmissionRequest, ClassTiming, QueuedCall,
     QueuedVerdict, Verdict, Verdicts,
 };
 use flaxhead_quota::{Allowance, TenantAllowance};
@@ -48,10 +48,10 @@
 
 fn rules() -> AdmissionConfig {
     let classes = vec![
-        Class { latency_objective: 100, deadline: 1_000 },
-        Class { latency_objective: 900, deadline: 1_000 },
+        ClassTiming { latency_objective: 100, deadline: 1_000 },
+        ClassTiming { latency_objective: 900, deadline: 1_000 },
     ];
-    AdmissionConfig { classes, tenants: TENANTS, max_queue: 12, max_retry_after: 400 }
+    AdmissionConfig { classes, tenant_count: TENANTS, max_queue: 12, max_retry_after: 400 }
 }
 
 /// A gate, and what its events come to.
@@ -211,7 +211,7 @@
             Event::Leave(which) if !self.waiting.is_empty() => {
                 let key = *self.waiting.keys().nth(which % self.waiting.len()).expect("one");
                 self.waiting.remove(&key);
-                self.gate.abandon(key);
+                self.gate.cancel(key);
                 self.answered += 1;
             }
             Event::Allow(allowance, to_come) => {
@@ -274,7 +274,7 @@
         total: None,
         expires_at: None,
     };
-    AdmissionController::new(0, AdmissionConfig { tenants: 1, ..rules() }, allowance, false)
+    AdmissionController::new(0, AdmissionConfig { tenant_count: 1, ..rules() }, allowance, false)
 }
 
 fn ask(gate: &mut AdmissionController, now: u64) -> AdmissionDecision {
@@ -323,7 +323,8 @@
 fn once_the_allowance_is_over_the_own_part_alone_counts() {
     let units = |cap, own| TenantAllowance { cap: Some(cap), guaranteed: Some(own), fair_share: 1 };
     let allowance = Allowance { tenants: vec![units(3, 1)], total: Some(2), expires_at: Some(100) };
-    let mut gate = AdmissionController::new(0, AdmissionConfig { tenants: 1, ..rules() }, allowance, false);
+    let mut gate =
+        AdmissionController::new(0, AdmissionConfig { tenant_count: 1, ..rules() }, allowance, false);
     let answers = [ask(&mut gate, 0), ask(&mut gate, 0), ask(&mut gate, 0)];
     assert_eq!(answers[..2], [AdmissionDecision::Decided(Verdict::Admitted); 2]);
     assert!(matches!(answers[2], AdmissionDecision::Queued(_)) && gate.next_due() == Some(100));
--- a/quota/tests/fleet/mod.rs
+++ b/quota/tests/fleet/mod.rs
@@ -10,7 +10,7 @@
     reason = "the counts and times of a simulation are small, and its parts are read in one piece"
 )]
 
-mod play;
+mod simulation;
 mod sites;
 
 pub use sites::{site, Site};
--- a/quota/tests/ledger.rs
+++ b/quota/tests/ledger.rs
@@ -70,7 +70,7 @@
         let asked = self.now;
         self.now += SECOND / 10;
         let leave = self.ledger.grant(self.now, &process(of as u8 + 1));
-        self.held[of].take_grant(&ballot(1), asked + pace().lease, leave.clone());
+        self.held[of].apply_grant(&ballot(1), asked + pace().lease, leave.clone());
         leave
     }
 
@@ -150,10 +150,10 @@
     fleet.ledger.record_report(asked, &process(1), asked, word);
     let leave = fleet.ledger.grant(asked, &process(1));
     assert_eq!((leave.permits.clone(), leave.is_complete), (None, false));
-    fleet.held[0].take_grant(&next, asked + pace().lease, leave);
+    fleet.held[0].apply_grant(&next, asked + pace().lease, leave);
     let stale =
         QuotaGrant { seq: 99, permits: Some(vec![35, 0, 0]), has_slot: true, ..QuotaGrant::default() };
-    assert!(!fleet.held[0].take_grant(&ballot(1), asked + pace().lease, stale));
+    assert!(!fleet.held[0].apply_grant(&ballot(1), asked + pace().lease, stale));
     let word = fleet.held[0].report(asked + 1, usage(0, 40));
     fleet.ledger.record_report(asked + 1, &process(1), asked + 1, word);
     assert_eq!(fleet.ledger.grant(asked + 1, &process(1)).permits, Some(vec![30, 0, 0]));
--- a/quota/tests/divide.rs
+++ b/quota/tests/max_min.rs
@@ -1,7 +1,7 @@
 //! Divisions against a reference that is written differently: the exact level, found by halving over fractions, without
 //! any sorting or remainder.
 
-use flaxhead_quota::max_min::{fill, settle, settle_tenants, spread, Demand};
+use flaxhead_quota::max_min::{allocate_by_weight, allocate_max_min, reallocate, reallocate_tenants, Demand};
 use proptest::prelude::*;
 
 /// What each would have if units could be split: everybody's wish, or least units, or its weight's part of one level.
@@ -44,7 +44,7 @@
 
     #[test]
     fn fills_to_within_a_unit_of_the_exact_level(total in 0u32..400, wants in wants()) {
-        let units = fill(total, &wants);
+        let units = allocate_max_min(total, &wants);
         for ((units, exact), want) in units.iter().zip(exact(total, &wants)).zip(&wants) {
             prop_assert!((f64::from(*units) - exact).abs() < 1.0 + 1e-6, "{units} for {exact}, {want:?}");
             prop_assert!(*units <= want.wanted.max(want.minimum));
@@ -55,7 +55,7 @@
 
     #[test]
     fn gives_all_units_and_all_that_is_wanted_where_there_is_enough(total in 0u32..900, wants in wants()) {
-        let units = settle(total, &wants, &[]);
+        let units = reallocate(total, &wants, &[]);
         prop_assert_eq!(sum(&units), total);
         if wants.iter().map(|want| want.wanted.max(want.minimum)).sum::<u32>() <= total {
             prop_assert!(units.iter().zip(&wants).all(|(units, want)| *units >= want.wanted.max(want.minimum)));
@@ -71,18 +71,18 @@
         near in proptest::collection::vec(0u32..3, 14),
         far in proptest::option::of(0u32..100),
     ) {
-        let near = fill(total, &wants).into_iter().zip(near).map(|(units, by)| (units + by).saturating_sub(1));
+        let near = allocate_max_min(total, &wants).into_iter().zip(near).map(|(units, by)| (units + by).saturating_sub(1));
         let old: Vec<u32> = near.map(|units| far.map_or(units, |far| far * units % 97)).collect();
-        let units = settle(total, &wants, &old);
+        let units = reallocate(total, &wants, &old);
         prop_assert_eq!(sum(&units), total);
-        let enough = sum(&fill(total, &wants)) < total;
+        let enough = sum(&allocate_max_min(total, &wants)) < total;
         let least: u32 = wants.iter().map(|want| want.minimum.max(want.wanted.min(1))).sum();
         for ((units, exact), want) in units.iter().zip(exact(total, &wants)).zip(&wants) {
             prop_assert!(f64::from(*units) > exact - 2.0 - 1e-6, "{units} for {exact}, {want:?}");
             if !enough {
                 prop_assert!(f64::from(*units) < exact + 3.0 + 1e-6, "{units} for {exact}, {want:?}");
             }
-            if fill(total, &wants).iter().all(|units| *units >= 1) && least <= total {
+            if allocate_max_min(total, &wants).iter().all(|units| *units >= 1) && least <= total {
                 prop_assert!(*units >= want.minimum.max(want.wanted.min(1)), "{units}, {want:?}");
             }
         }
@@ -94,9 +94,9 @@
         wants in wants(),
         old in proptest::collection::vec(0u32..100, 14),
     ) {
-        for settle in [settle, settle_tenants] {
-            let first = settle(total, &wants, &old);
-            prop_assert_eq!(settle(total, &wants, &first), first);
+        for reallocate in [reallocate, reallocate_tenants] {
+            let first = reallocate(total, &wants, &old);
+            prop_assert_eq!(reallocate(total, &wants, &first), first);
         }
     }
 
@@ -106,12 +106,12 @@
         let at = at % wants.len();
         let mut higher = wants.clone();
         higher[at].wanted += 1;
-        for settle in [settle, settle_tenants] {
-            let settled = settle(total, &higher, &settle(total, &wants, &[]));
+        for reallocate in [reallocate, reallocate_tenants] {
+            let settled = reallocate(total, &higher, &reallocate(total, &wants, &[]));
             let mut units = settled.clone();
             for _ in 0..3 {
                 for wants in [&wants, &higher] {
-                    units = settle(total, wants, &units);
+                    units = reallocate(total, wants, &units);
                     prop_assert_eq!(&units, &settled);
                 }
             }
@@ -120,16 +120,16 @@
 
     #[test]
     fn the_same_wishes_get_the_same(total in 0u32..400, wants in wants()) {
-        prop_assert_eq!(fill(total, &wants), fill(total, &wants));
+        prop_assert_eq!(allocate_max_min(total, &wants), allocate_max_min(total, &wants));
         let weights: Vec<u64> = wants.iter().map(|want| want.weight).collect();
-        prop_assert_eq!(sum(&spread(total, &weights)), total);
+        prop_assert_eq!(sum(&allocate_by_weight(total, &weights)), total);
     }
 }
 
 #[test]
 fn a_tenant_of_the_least_weight_is_not_shut_out() {
     let want = |weight| Demand { weight, minimum: 1, wanted: 50 };
-    assert_eq!(fill(10, &[want(1_000_000), want(1), want(1)]), [8, 1, 1]);
+    assert_eq!(allocate_max_min(10, &[want(1_000_000), want(1), want(1)]), [8, 1, 1]);
 }
 
 /// A unit that came to one of them while the other was not there goes back, though it is only one.
@@ -137,15 +137,15 @@
 fn where_all_want_more_than_they_get_nobody_keeps_a_unit_of_another() {
     let want = |demand| Demand { weight: 1, minimum: 1, wanted: demand };
     assert_eq!(
-        settle_tenants(32, &[want(60), want(40), Demand { minimum: 0, ..want(0) }], &[17, 15, 0]),
+        reallocate_tenants(32, &[want(60), want(40), Demand { minimum: 0, ..want(0) }], &[17, 15, 0]),
         [16, 16, 0]
     );
     // Where one has enough, its wish moves from call to call, and one unit is left where it is.
-    assert_eq!(settle_tenants(32, &[want(60), want(14)], &[17, 15]), [17, 15]);
+    assert_eq!(reallocate_tenants(32, &[want(60), want(14)], &[17, 15]), [17, 15]);
 }
 
 #[test]
 fn what_one_leaves_goes_to_the_others_by_weight() {
     let want = |weight, demand| Demand { weight, minimum: 0, wanted: demand };
-    assert_eq!(fill(40, &[want(500, 5), want(300, 90), want(200, 90)]), [5, 21, 14]);
+    assert_eq!(allocate_max_min(40, &[want(500, 5), want(300, 90), want(200, 90)]), [5, 21, 14]);
 }
