--- a/quota/src/admission/fair_order/tests.rs
+++ b/quota/src/admission/fair_order/tests.rs
@@ -1,9 +1,6 @@
-//! Unit tests of the fair order.
-
 use super::*;
 
-/// Nor does anybody run ahead by more than a call while the others wait: that is what choosing only among those that
-/// are owed a part of one is for.
+/// Guards against tenants that run more than one call ahead of their share, or fall more than one behind.
 #[test]
 fn where_all_wait_each_has_its_part_to_within_a_call_at_every_moment() {
     for weights in
--- a/quota/src/admission/mod.rs
+++ b/quota/src/admission/mod.rs
@@ -1,6 +1,7 @@
-//! Admission control before the decision module: which calls a process admits by what it may have in flight of each tenant.
+//! Admission control ahead of the load balancer, by the permits that a process may use for each tenant.
 //!
-//! It does no I/O and reads no clock. Nothing in flight is ever cut off for a quota; only calls that have not begun wait.
+//! It performs no I/O and reads no clock. Calls in flight are never aborted because of a quota; only new
+//! calls wait.
 
 mod fair_order;
 mod queue;
@@ -14,125 +15,125 @@
 
 pub use queue::QueueStats;
 
-/// The times of a class.
+/// Time limits of a class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClassTiming {
-    /// An answer within this time earns the full priority weight.
+    /// Latency within which a response earns the full priority weight.
     pub latency_objective: Micros,
-    /// How long a client waits in all.
+    /// Time that clients wait in total.
     pub deadline: Micros,
 }
 
 impl ClassTiming {
-    /// What is reserved of a client's time for the call itself: its latency objective, half of its time at the most. A call
-    /// that is admitted later than that has no answer in time to hope for.
+    /// Part of the deadline reserved for the call itself: the latency objective, at most half of the
+    /// deadline. Queueing ends when only this much time is left.
     fn reserved(&self) -> Micros {
         self.latency_objective.min(self.deadline / 2)
     }
 }
 
-/// The configuration of an admission controller.
+/// Configuration of an admission controller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AdmissionConfig {
-    /// The classes, in the order of the settings.
+    /// Classes in the order of the settings.
     pub classes: Vec<ClassTiming>,
-    /// The number of tenants, that for calls of no or an unknown tenant among them: it is the last.
+    /// Number of tenants, including the last one for calls with no tenant or an unknown one.
     pub tenant_count: usize,
-    /// Maximum number of calls in the queue of a tenant.
+    /// Maximum arrival_number of queued calls per tenant.
     pub max_queue: usize,
-    /// The longest Retry-After that a client heeds; 0: it is given none.
+    /// Longest Retry-After that clients respect; 0: Retry-After is not sent.
     pub max_retry_after: Micros,
 }
 
-/// A call that asks for admission.
+/// Call that requests admission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AdmissionRequest {
-    /// Its tenant; `None`, or a place that the settings do not have: none.
+    /// Index of the tenant; `None` or an index out of range: the default tenant.
     pub tenant: Option<usize>,
-    /// Its class.
+    /// Index of the class.
     pub class: usize,
-    /// Until when its client waits.
+    /// Time until which the client waits.
     pub deadline: Micros,
 }
 
-/// A call in a queue.
+/// Handle of a queued call, ordered by arrival within its tenant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct QueuedCall {
     tenant: usize,
-    number: u64,
+    arrival_number: u64,
 }
 
 impl QueuedCall {
-    /// Its tenant, by place in the settings.
+    /// Index of the tenant in the settings.
     pub fn tenant(self) -> usize {
         self.tenant
     }
 }
 
-/// The one answer that each call gets, unless its client goes before.
+/// Final answer to a call. Each call gets exactly one, unless its client disconnects first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It has a permit, which is returned by [`AdmissionController::release`].
+    /// The call holds a permit, to be returned by [`AdmissionController::release`].
     Admitted,
-    /// It is rejected, and may be retried after this time.
+    /// The call is rejected.
     Rejected {
-        /// The Retry-After.
+        /// Time after which the call may be retried.
         retry_after: Micros,
     },
 }
 
-/// What happens to a call when it asks.
+/// Immediate result of [`AdmissionController::request`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionDecision {
-    /// It has its verdict at once.
+    /// The verdict was reached at once.
     Decided(Verdict),
-    /// It waits in its tenant's queue, and has its verdict later.
+    /// The call waits in its tenant's queue for a later verdict.
     Queued(QueuedCall),
 }
 
-/// The verdict on a call that waited.
+/// Verdict on a queued call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QueuedVerdict {
-    /// The call.
+    /// Call that the verdict is for.
     pub call: QueuedCall,
-    /// Its verdict.
+    /// Final answer to the call.
     pub verdict: Verdict,
 }
 
-/// Verdicts on calls that waited, in the order in which they fell.
+/// Verdicts on queued calls, in the order in which they were reached.
 pub type Verdicts = Vec<QueuedVerdict>;
 
-/// When a queued call is given up.
+/// Queue timeout of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct GiveUp {
+struct QueueTimeout {
     at: Micros,
     call: QueuedCall,
 }
 
-/// Admits calls. A call is admitted where the cap of its tenant and the permits for all tenants leave it one. Until then it
-/// waits in its tenant's queue, or is rejected where it cannot be admitted in time.
+/// Admission controller with one queue per tenant. A call is admitted if its tenant's cap and the total both
+/// leave a permit for it. Otherwise it is queued, or rejected if it cannot be admitted in time.
 #[derive(Clone, Debug)]
 pub struct AdmissionController {
     config: AdmissionConfig,
-    /// How far back releases count: the longest that a client waits.
+    /// Time span over which releases are averaged: the longest deadline of any class.
     rate_span: Micros,
     queues: Vec<TenantQueue>,
     allowance: Allowance,
-    /// Permits in use, of all tenants.
+    /// Permits in use by all tenants.
     in_flight: u32,
     release_rate: ReleaseRate,
-    /// The order among the tenants below their fair share, and among the others.
-    owners: FairOrder,
-    borrowers: FairOrder,
-    /// The earliest first.
-    give_ups: BTreeSet<GiveUp>,
-    next_number: u64,
-    /// More may be granted soon: a cap of 0 is no reason yet to reject calls.
+    /// Order among tenants below their fair share, and among tenants at or above it, which borrow permits.
+    below_share_order: FairOrder,
+    above_share_order: FairOrder,
+    /// Queue timeouts of all queued calls, earliest first.
+    queue_timeouts: BTreeSet<QueueTimeout>,
+    next_arrival_number: u64,
+    /// Whether a grant may follow soon. Calls of a tenant whose cap is 0 are then queued instead of rejected.
     expects_more: bool,
 }
 
 impl AdmissionController {
-    /// A controller with its first allowance; `expects_more`: more may be granted soon.
+    /// Creates a controller with its first allowance. `expects_more` tells that a grant may follow soon.
     pub fn new(
         now: Micros,
         config: AdmissionConfig,
@@ -148,18 +149,18 @@
             allowance: Allowance::default(),
             in_flight: 0,
             release_rate: ReleaseRate::default(),
-            owners: FairOrder::new(tenants),
-            borrowers: FairOrder::new(tenants),
-            give_ups: BTreeSet::new(),
-            next_number: 0,
+            below_share_order: FairOrder::new(tenants),
+            above_share_order: FairOrder::new(tenants),
+            queue_timeouts: BTreeSet::new(),
+            next_arrival_number: 0,
             expects_more,
         };
         controller.set_allowance(now, allowance, expects_more, &mut Vec::new());
         controller
     }
 
-    /// Sets what may be in flight from now on; `expects_more`: more may be granted soon. Where that is less than is in
-    /// flight, nothing new is admitted until it fits.
+    /// Replaces the allowance. `expects_more` tells that a grant may follow soon. If more calls are in flight
+    /// than the new allowance permits, none is admitted until enough have ended.
     pub fn set_allowance(
         &mut self,
         now: Micros,
@@ -173,45 +174,45 @@
             queue.fair_share = tenant.fair_share;
         }
         if have_shares_changed {
-            self.owners.reset();
-            self.borrowers.reset();
+            self.below_share_order.reset();
+            self.above_share_order.reset();
         }
         self.allowance = allowance;
         self.expects_more = expects_more;
-        self.admit_waiting(now, verdicts);
+        self.admit_queued(now, verdicts);
     }
 
-    /// A call asks for admission.
+    /// Decides on a new call: admits, queues or rejects it.
     pub fn request(&mut self, now: Micros, request: AdmissionRequest) -> AdmissionDecision {
-        let tenant = self.place(request.tenant);
+        let tenant = self.queue_index(request.tenant);
         if self.has_permit(now, tenant) && self.queues[tenant].is_empty() {
             self.admit(now, tenant);
             return AdmissionDecision::Decided(Verdict::Admitted);
         }
         let reserved = self.config.classes.get(request.class).map_or(0, ClassTiming::reserved);
-        let give_up_at = request.deadline.saturating_sub(reserved);
+        let times_out_at = request.deadline.saturating_sub(reserved);
         let is_full = self.queues[tenant].len() >= self.config.max_queue;
-        let is_hopeless = || now.saturating_add(self.expected_wait(now, tenant)) >= give_up_at;
-        if is_full || self.is_closed(now, tenant) || is_hopeless() {
+        let is_too_late = || now.saturating_add(self.expected_wait(now, tenant)) >= times_out_at;
+        if is_full || self.is_blocked(now, tenant) || is_too_late() {
             return AdmissionDecision::Decided(self.reject(now, tenant));
         }
-        let call = QueuedCall { tenant, number: self.next_number };
-        self.next_number += 1;
-        self.queues[tenant].push(call.number, give_up_at);
-        self.give_ups.insert(GiveUp { at: give_up_at, call });
+        let call = QueuedCall { tenant, arrival_number: self.next_arrival_number };
+        self.next_arrival_number += 1;
+        self.queues[tenant].push(call.arrival_number, times_out_at);
+        self.queue_timeouts.insert(QueueTimeout { at: times_out_at, call });
         AdmissionDecision::Queued(call)
     }
 
-    /// The client of a queued call has gone.
+    /// Removes a queued call whose client has disconnected.
     pub fn cancel(&mut self, call: QueuedCall) {
-        if let Some(at) = self.queues[call.tenant].remove(call.number) {
-            self.give_ups.remove(&GiveUp { at, call });
+        if let Some(at) = self.queues[call.tenant].remove(call.arrival_number) {
+            self.queue_timeouts.remove(&QueueTimeout { at, call });
         }
     }
 
-    /// A hedged request of a call of this tenant asks for a permit of its own. Returns whether it got one.
+    /// Acquires a permit for a hedged request, without waiting. Returns whether there was one.
     pub fn acquire_extra(&mut self, now: Micros, tenant: Option<usize>) -> bool {
-        let tenant = self.place(tenant);
+        let tenant = self.queue_index(tenant);
         let has_permit = self.has_permit(now, tenant);
         if has_permit {
             self.acquire(now, tenant);
@@ -221,55 +222,56 @@
         has_permit
     }
 
-    /// Returns a permit of this tenant.
+    /// Returns a permit of a tenant, and admits queued calls.
     pub fn release(&mut self, now: Micros, tenant: Option<usize>, verdicts: &mut Verdicts) {
-        let tenant = self.place(tenant);
+        let tenant = self.queue_index(tenant);
         let queue = &mut self.queues[tenant];
         queue.in_flight = queue.in_flight.saturating_sub(1);
         queue.release_rate.record(now, self.rate_span);
         self.in_flight = self.in_flight.saturating_sub(1);
         self.release_rate.record(now, self.rate_span);
-        self.admit_waiting(now, verdicts);
+        self.admit_queued(now, verdicts);
     }
 
-    /// Does what is due by time alone; [`AdmissionController::next_due`] says when.
+    /// Processes expired timeouts; to be called at [`AdmissionController::next_due`].
     pub fn tick(&mut self, now: Micros, verdicts: &mut Verdicts) {
-        self.admit_waiting(now, verdicts);
+        self.admit_queued(now, verdicts);
     }
 
-    /// When time alone next changes something: a queued call is given up, or the allowance expires.
+    /// Next time at which [`AdmissionController::tick`] has something to do; `None`: no call is queued.
     pub fn next_due(&self) -> Option<Micros> {
-        let give_up_at = self.give_ups.first()?.at;
-        Some(self.allowance.expires_at.map_or(give_up_at, |at| at.min(give_up_at)))
+        let times_out_at = self.queue_timeouts.first()?.at;
+        Some(self.allowance.expires_at.map_or(times_out_at, |at| at.min(times_out_at)))
     }
 
-    /// The usage of each tenant, with peaks and counts since [`AdmissionController::usage_reported`].
+    /// Usage by tenant. Peaks and counts start at the last call of [`AdmissionController::usage_reported`].
     pub fn usage(&self) -> Vec<TenantUsage> {
         self.queues.iter().map(TenantQueue::usage).collect()
     }
 
-    /// The usage was reported.
+    /// Restarts the peaks and counts of [`AdmissionController::usage`], after a report.
     pub fn usage_reported(&mut self) {
         self.queues.iter_mut().for_each(TenantQueue::usage_reported);
     }
 
-    /// The tenants as operators see them, in the order of the settings, calls of none last.
+    /// Statistics by tenant for operators, in the order of the settings; the last is for calls with no tenant
+    /// or an unknown one.
     pub fn stats(&self) -> impl Iterator<Item = QueueStats> + '_ {
         self.queues.iter().map(TenantQueue::stats)
     }
 
-    /// Permits in use, of all tenants.
+    /// Permits in use by all tenants.
     pub fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
-    /// The place of a tenant among the queues.
-    fn place(&self, tenant: Option<usize>) -> usize {
+    /// Index of a tenant's queue.
+    fn queue_index(&self, tenant: Option<usize>) -> usize {
         let last = self.queues.len() - 1;
         tenant.map_or(last, |tenant| tenant.min(last))
     }
 
-    /// Whether there is a permit for a tenant.
+    /// Returns whether a permit is free for a tenant.
     fn has_permit(&self, now: Micros, tenant: usize) -> bool {
         let total = self.allowance.total(now);
         total.is_none_or(|total| self.in_flight < total) && self.is_below_cap(now, tenant)
@@ -279,8 +281,8 @@
         self.allowance.cap(now, tenant).is_none_or(|cap| self.queues[tenant].in_flight < cap)
     }
 
-    /// Whether there will be no permit for a tenant.
-    fn is_closed(&self, now: Micros, tenant: usize) -> bool {
+    /// Returns whether a tenant has no permits and none are expected.
+    fn is_blocked(&self, now: Micros, tenant: usize) -> bool {
         !self.expects_more && self.allowance.cap(now, tenant) == Some(0)
     }
 
@@ -306,28 +308,28 @@
         Verdict::Rejected { retry_after: self.retry_after(now, tenant) }
     }
 
-    /// Gives up the calls whose time is over, and admits those that there are permits for by now.
-    fn admit_waiting(&mut self, now: Micros, verdicts: &mut Verdicts) {
-        if self.give_ups.is_empty() {
+    /// Rejects calls whose queue timeout has passed, then admits calls while permits are free.
+    fn admit_queued(&mut self, now: Micros, verdicts: &mut Verdicts) {
+        if self.queue_timeouts.is_empty() {
             return;
         }
-        while let Some(&give_up) = self.give_ups.first().filter(|give_up| give_up.at <= now) {
-            self.give_ups.remove(&give_up);
-            self.queues[give_up.call.tenant].remove(give_up.call.number);
-            self.reject_queued(now, give_up.call, verdicts);
+        while let Some(&timeout) = self.queue_timeouts.first().filter(|timeout| timeout.at <= now) {
+            self.queue_timeouts.remove(&timeout);
+            self.queues[timeout.call.tenant].remove(timeout.call.arrival_number);
+            self.reject_queued(now, timeout.call, verdicts);
         }
         while let Some(tenant) = self.next_tenant(now) {
             let Some(call) = self.pop(tenant) else { break };
             self.admit(now, tenant);
             verdicts.push(QueuedVerdict { call, verdict: Verdict::Admitted });
         }
-        self.reject_closed(now, verdicts);
+        self.reject_blocked(now, verdicts);
     }
 
-    /// Rejects all calls of tenants for which there will be no permit.
-    fn reject_closed(&mut self, now: Micros, verdicts: &mut Verdicts) {
+    /// Rejects the queued calls of tenants that have no permits and expect none.
+    fn reject_blocked(&mut self, now: Micros, verdicts: &mut Verdicts) {
         for tenant in 0..self.queues.len() {
-            while self.is_closed(now, tenant) {
+            while self.is_blocked(now, tenant) {
                 let Some(call) = self.pop(tenant) else { break };
                 self.reject_queued(now, call, verdicts);
             }
@@ -339,23 +341,25 @@
         verdicts.push(QueuedVerdict { call, verdict });
     }
 
-    /// Takes the first call out of a queue.
+    /// Removes the first call from a queue.
     fn pop(&mut self, tenant: usize) -> Option<QueuedCall> {
-        let (number, at) = self.queues[tenant].pop()?;
-        let call = QueuedCall { tenant, number };
-        self.give_ups.remove(&GiveUp { at, call });
+        let (arrival_number, at) = self.queues[tenant].pop()?;
+        let call = QueuedCall { tenant, arrival_number };
+        self.queue_timeouts.remove(&QueueTimeout { at, call });
         Some(call)
     }
 
-    /// The tenant whose call is next. Those below their fair share come before the others: permits that were lent go back to
-    /// their owner as they are released.
+    /// Selects the tenant whose first queued call is admitted next. Tenants below their fair share precede
+    /// the others, so that lent permits return to their owners when they are released.
     fn next_tenant(&mut self, now: Micros) -> Option<usize> {
-        let AdmissionController { queues, allowance, in_flight, owners, borrowers, .. } = self;
-        let is_eligible = |place: usize, queue: &TenantQueue| {
-            !queue.is_empty() && allowance.cap(now, place).is_none_or(|cap| queue.in_flight < cap)
+        let AdmissionController {
+            queues, allowance, in_flight, below_share_order, above_share_order, ..
+        } = self;
+        let is_eligible = |index: usize, queue: &TenantQueue| {
+            !queue.is_empty() && allowance.cap(now, index).is_none_or(|cap| queue.in_flight < cap)
         };
         let Some(total) = allowance.total(now) else {
-            return queues.iter().enumerate().position(|(place, queue)| is_eligible(place, queue));
+            return queues.iter().enumerate().position(|(index, queue)| is_eligible(index, queue));
         };
         if *in_flight >= total {
             return None;
@@ -368,38 +372,40 @@
                 (is_eligible(tenant, queue) && is_in_group).then(|| queue.weight())
             }
         };
-        let idle = |tenant: usize| queues[tenant].weight();
-        owners.next(weight_of(true), idle).or_else(|| borrowers.next(weight_of(false), idle))
+        let idle_weight = |tenant: usize| queues[tenant].weight();
+        below_share_order
+            .next(weight_of(true), idle_weight)
+            .or_else(|| above_share_order.next(weight_of(false), idle_weight))
     }
 
-    /// How long a call that comes now would wait, by the rate of the releases that it waits for.
+    /// Estimated queueing time of a new call, by the release rate of the permits that it needs.
     fn expected_wait(&self, now: Micros, tenant: usize) -> Micros {
         let queue = &self.queues[tenant];
-        let ahead = (queue.len() + 1) as f64;
-        let for_cap = if self.is_below_cap(now, tenant) {
+        let queue_position = (queue.len() + 1) as f64;
+        let cap_wait = if self.is_below_cap(now, tenant) {
             0
         } else {
-            queue.release_rate.time_for(ahead, now, self.rate_span)
+            queue.release_rate.expected_time(queue_position, now, self.rate_span)
         };
-        let for_total = match self.allowance.total(now) {
+        let total_wait = match self.allowance.total(now) {
             Some(total) if self.in_flight >= total => {
-                let permits = ahead * self.waiting_weight(tenant) / queue.weight();
-                self.release_rate.time_for(permits, now, self.rate_span)
+                let permits = queue_position * self.waiting_weight(tenant) / queue.weight();
+                self.release_rate.expected_time(permits, now, self.rate_span)
             }
             _ => 0,
         };
-        for_cap.max(for_total)
+        cap_wait.max(total_wait)
     }
 
-    /// The weight of all tenants that wait, this one among them.
+    /// Total weight of the tenants that wait, including `tenant`.
     fn waiting_weight(&self, tenant: usize) -> f64 {
-        let waits = |(place, queue): &(usize, &TenantQueue)| *place == tenant || !queue.is_empty();
+        let waits = |(index, queue): &(usize, &TenantQueue)| *index == tenant || !queue.is_empty();
         self.queues.iter().enumerate().filter(waits).map(|(_, queue)| queue.weight()).sum()
     }
 
     fn retry_after(&self, now: Micros, tenant: usize) -> Micros {
         let max = self.config.max_retry_after;
-        if self.is_closed(now, tenant) {
+        if self.is_blocked(now, tenant) {
             return max;
         }
         self.expected_wait(now, tenant).min(max)
--- a/quota/src/admission/queue.rs
+++ b/quota/src/admission/queue.rs
@@ -1,37 +1,36 @@
-//! A tenant at the admission controller: what it has in flight, and its calls that wait, in order.
+//! Permits and queued calls of one tenant at the admission controller.
 
 use super::release_rate::ReleaseRate;
 use crate::{Micros, TenantUsage};
 use std::collections::BTreeMap;
 
-/// A tenant at the admission controller, as operators see it.
+/// Statistics of a tenant at the admission controller, for operators.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct QueueStats {
     /// Permits in use.
     pub in_flight: u32,
-    /// Calls that wait.
+    /// Calls in the queue.
     pub queued: u32,
     /// Calls admitted since the start.
     pub admitted: u64,
     /// Calls rejected since the start.
     pub rejected: u64,
-    /// Hedged requests that were denied a permit since the start.
+    /// Hedged requests denied a permit since the start.
     pub denied_hedges: u64,
 }
 
-/// A tenant.
 #[derive(Clone, Debug, Default)]
 pub(super) struct TenantQueue {
-    /// Its fair share of the permits for all tenants.
+    /// Fair share of the total arrival_number of permits.
     pub fair_share: u32,
     pub in_flight: u32,
     pub release_rate: ReleaseRate,
-    /// When each call is given up, by its number: the first that came has the lowest.
+    /// Queue timeout of each call by its arrival_number, in order of arrival.
     queued: BTreeMap<u64, Micros>,
     pub admitted: u64,
     pub rejected: u64,
     pub denied_hedges: u64,
-    /// In flight and queued together, at the most, and how many were rejected, since usage was last reported.
+    /// Peak of calls in flight and queued, and arrival_number of rejected calls, since the last usage report.
     peak: u32,
     rejected_since_report: u32,
 }
@@ -45,8 +44,8 @@
         self.queued.is_empty()
     }
 
-    /// Whether it has less in flight than its fair share. That counts as one call at least: a tenant of which nothing is
-    /// known yet must not wait for all the others.
+    /// Returns whether fewer calls are in flight than the fair share, which counts as at least 1: a tenant
+    /// whose share is not known yet must not wait for all others.
     pub fn is_below_fair_share(&self) -> bool {
         self.in_flight < self.fair_share.max(1)
     }
@@ -55,19 +54,16 @@
         f64::from(self.fair_share.max(1))
     }
 
-    /// Queues a call.
-    pub fn push(&mut self, number: u64, give_up_at: Micros) {
-        self.queued.insert(number, give_up_at);
+    pub fn push(&mut self, arrival_number: u64, times_out_at: Micros) {
+        self.queued.insert(arrival_number, times_out_at);
         self.update_peak();
     }
 
-    /// One permit more is in use.
     pub fn acquire(&mut self) {
         self.in_flight += 1;
         self.update_peak();
     }
 
-    /// A call is rejected.
     pub fn reject(&mut self) {
         self.rejected += 1;
         self.rejected_since_report += 1;
@@ -85,14 +81,14 @@
         self.in_flight.saturating_add(self.queued_count())
     }
 
-    /// Takes the first call out of the queue: its number, and when it would have been given up.
+    /// Removes the first call. Returns its arrival_number and its queue timeout.
     pub fn pop(&mut self) -> Option<(u64, Micros)> {
         self.queued.pop_first()
     }
 
-    /// Takes a call out of the queue. Returns when it would have been given up, if it was there.
-    pub fn remove(&mut self, number: u64) -> Option<Micros> {
-        self.queued.remove(&number)
+    /// Removes a call. Returns its queue timeout if it was queued.
+    pub fn remove(&mut self, arrival_number: u64) -> Option<Micros> {
+        self.queued.remove(&arrival_number)
     }
 
     pub fn usage(&self) -> TenantUsage {
--- a/quota/src/allowance.rs
+++ b/quota/src/allowance.rs
@@ -1,33 +1,35 @@
-//! What one process may have in flight now: all that passes from the agreement to the admission controller.
+//! Limits on calls in flight that a process's grants give to its admission controller.
 
 use flaxhead_lease::Micros;
 use serde::{Deserialize, Serialize};
 
-/// What a process may have in flight of one tenant.
+/// Limits of one tenant at a process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct TenantAllowance {
-    /// Maximum number of permits, by the tenant's cap; `None`: it has no cap.
+    /// Maximum number of permits by the tenant's cap; `None`: no cap.
     pub cap: Option<u32>,
-    /// What is left of `cap` from [`Allowance::expires_at`] on: the guaranteed minimum.
+    /// Limit that replaces `cap` from [`Allowance::expires_at`] on: the guaranteed minimum.
     pub guaranteed: Option<u32>,
-    /// Its fair share of [`Allowance::total`], in permits; also its weight where several tenants wait for permits.
+    /// Fair share of [`Allowance::total`], in permits. It is also the tenant's weight when several tenants
+    /// wait for permits.
     pub fair_share: u32,
 }
 
-/// What a process may have in flight. It is valid until the next one comes, or until it expires.
+/// Limits on the calls in flight at a process, valid until they are replaced or expire.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Allowance {
-    /// By tenant, in the order of the settings; the last is for calls of no tenant, or of an unknown one.
+    /// Limits by tenant, in the order of the settings; the last is for calls with no tenant or an unknown
+    /// one.
     pub tenants: Vec<TenantAllowance>,
-    /// Permits of all tenants together; `None`: not agreed upon, and only caps bind.
+    /// Permits of all tenants together; `None`: the leader has set no total, and only caps apply.
     pub total: Option<u32>,
-    /// From then on only the guaranteed minimums count, whether another allowance came or not: a process that was stopped
-    /// for a while looks here before it admits anything. By the machine's clock; `None`: it does not expire.
+    /// Time from which only the guaranteed minimums apply, by the process's clock; `None`: no expiry. A
+    /// process that resumes after a pause compares this with the time before it admits any call.
     pub expires_at: Option<Micros>,
 }
 
 impl Allowance {
-    /// Permits of a tenant at a moment; `None`: any number, or an unknown tenant.
+    /// Returns the permits of a tenant at `now`; `None`: no cap, or an unknown tenant.
     pub fn cap(&self, now: Micros, tenant: usize) -> Option<u32> {
         let allowance = self.tenants.get(tenant)?;
         if self.is_valid(now) {
@@ -37,7 +39,7 @@
         }
     }
 
-    /// Permits of all tenants together at a moment; `None`: not agreed upon.
+    /// Returns the permits of all tenants together at `now`; `None`: no total applies.
     pub fn total(&self, now: Micros) -> Option<u32> {
         self.total.filter(|_| self.is_valid(now))
     }
--- a/quota/src/application.rs
+++ b/quota/src/application.rs
@@ -1,4 +1,4 @@
-//! The quotas, as something that the proxies agree upon.
+//! The application of the lease protocol that grants quotas.
 
 use crate::allowance::Allowance;
 use crate::capacity::HostCapacity;
@@ -12,18 +12,18 @@
     Name, NoCommand, Presence, Process, ReceivedGrant, ReceivedReport,
 };
 
-/// One process's part in the quotas.
+/// Protocol state machine of one process.
 pub type Machine = flaxhead_lease::Machine<QuotaApplication>;
-/// A message between two processes.
+/// Message between two processes.
 pub type Message = flaxhead_lease::Message<QuotaApplication>;
-/// What the driver is to do.
+/// Instruction to the driver of the state machine.
 pub type Effect = flaxhead_lease::Effect<QuotaApplication>;
-/// What a process is given with everything that happens.
+/// Time, facts and randomness passed to the state machine with every event.
 pub type Context<'a> = flaxhead_lease::Context<'a, Vec<HostCapacity>>;
-/// What a process knows from outside the protocol.
+/// Facts from outside the protocol: members, and the capacity of the hosts.
 pub type Facts = flaxhead_lease::Facts<Vec<HostCapacity>>;
 
-/// The quotas, as one process takes part in them.
+/// One process's quotas, as an application of the lease protocol.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct QuotaApplication {
     local: LocalQuota,
@@ -33,14 +33,14 @@
 }
 
 impl QuotaApplication {
-    /// A process that starts at `now` and remembers nothing.
+    /// Creates the state of a process that starts at `now` without any grant.
     pub fn new(now: Micros, registry: TenantRegistry, timing: QuotaTiming) -> QuotaApplication {
         let local = LocalQuota::new(now, registry, timing.clone());
         QuotaApplication { local, timing, usage: Usage::default(), wants_early_renewal: false }
     }
 
-    /// The time spans of the lease. A leader that remembers nothing needs to wait for no process: its ledger learns for as
-    /// long as grants may be valid.
+    /// Returns the timing of the lease. `operator_wait` is 0 because the ledger of a leader without state
+    /// collects reports for as long as earlier grants may be valid.
     pub fn config(timing: &QuotaTiming) -> Config {
         Config {
             lease: timing.lease,
@@ -51,8 +51,8 @@
         }
     }
 
-    /// Sets what the process has in flight now. Peaks and counts are since this was last called, and are added up until the
-    /// next report.
+    /// Sets the calls in flight at `now`. Peaks and counts in `usage` cover the time since the previous call
+    /// of this function, and accumulate until the next report.
     pub fn set_usage(&mut self, now: Micros, usage: Usage) {
         let before = std::mem::replace(&mut self.usage, usage);
         for (tenant, before) in self.usage.tenants.iter_mut().zip(&before.tenants) {
@@ -64,27 +64,29 @@
         self.wants_early_renewal = now >= self.next_report_at();
     }
 
-    /// When the next report is wanted: [`QuotaApplication::set_usage`] is to be called then, and when calls begin to wait.
+    /// Time at which the next report should be sent. [`QuotaApplication::set_usage`] has to be called then,
+    /// and whenever calls start to queue.
     pub fn next_report_at(&self) -> Micros {
         self.local.next_report_at(&self.usage)
     }
 
-    /// What may be in flight from now on.
+    /// Returns the limits on calls in flight that apply from `now` on.
     pub fn allowance(&mut self, now: Micros) -> Allowance {
         self.local.allowance(now)
     }
 
-    /// When that next changes, if nothing is heard until then.
+    /// Time at which [`QuotaApplication::allowance`] next changes unless a grant arrives first; `None`:
+    /// never.
     pub fn next_change(&self, now: Micros) -> Option<Micros> {
         self.local.next_change(now)
     }
 
-    /// Whether this process may use its guaranteed minimums.
+    /// Returns whether this process may use its guaranteed minimums.
     pub fn slot(&self) -> Slot {
         self.local.slot()
     }
 
-    /// The newest grant that it has heard of.
+    /// Returns the version of the newest grant received; `None`: none since the start.
     pub fn grant_version(&self) -> Option<&GrantVersion> {
         self.local.grant_version()
     }
@@ -101,7 +103,7 @@
     type Event = String;
 
     const MAX_STATE_BYTES: usize = 0;
-    // As many tenants as a registry can have, with their names where configurations differ.
+    // Sufficient for the maximum number of tenants, with their names where configurations differ.
     const MAX_REPORT_BYTES: usize = 1 << 15;
     const MAX_GRANT_BYTES: usize = 1 << 13;
     const MAX_COMMAND_BYTES: usize = 0;
--- a/quota/src/capacity/tests.rs
+++ b/quota/src/capacity/tests.rs
@@ -1,4 +1,3 @@
-//! Unit tests of `capacity`.
 #![expect(clippy::cast_possible_truncation, reason = "the counts of a test are small")]
 
 use super::*;
@@ -18,7 +17,7 @@
         host(9_000, 1_000, false, false),
         host(9_000, 1_000, true, true),
     ];
-    // 16 calls, less a tenth.
+    // 16 calls less a margin of a tenth.
     assert_eq!(fleet_capacity(&registry, &hosts, 1_000), Some(14));
     assert_eq!(fleet_capacity(&registry, &hosts, 500), Some(7));
     assert_eq!(fleet_capacity(&registry, &hosts[2..], 1_000), Some(1));
@@ -31,14 +30,14 @@
 fn learns_down_to_a_quarter_and_back_to_the_whole() {
     let mut learned = LearnedCapacity::new(0);
     for second in 1..40 {
-        learned.record(second * WINDOW, 100, 50);
+        learned.record(second * REPORT_WINDOW, 100, 50);
     }
-    assert_eq!(learned.ratio_per_mille(), MIN_PART);
+    assert_eq!(learned.ratio_per_mille(), MIN_RATIO_PER_MILLE);
     for second in 40..200 {
-        learned.record(second * WINDOW, 100, 0);
+        learned.record(second * REPORT_WINDOW, 100, 0);
     }
-    assert_eq!(learned.ratio_per_mille(), WHOLE);
-    // Too few to say anything.
-    learned.record(300 * WINDOW, MIN_ATTEMPTS as u32 - 1, MIN_ATTEMPTS as u32 - 1);
-    assert_eq!(learned.ratio_per_mille(), WHOLE);
+    assert_eq!(learned.ratio_per_mille(), FULL_PER_MILLE);
+    // Too few attempts to change the ratio.
+    learned.record(300 * REPORT_WINDOW, MIN_ATTEMPT_COUNT as u32 - 1, MIN_ATTEMPT_COUNT as u32 - 1);
+    assert_eq!(learned.ratio_per_mille(), FULL_PER_MILLE);
 }
--- a/quota/src/ledger/effective_config.rs
+++ b/quota/src/ledger/effective_config.rs
@@ -1,34 +1,34 @@
-//! The configuration that is in effect where that of processes differs: the lower cap.
+//! Configuration in effect where processes have different ones: the lowest cap and guaranteed minimum of each
+//! tenant.
 
 use crate::registry::{Tenant, TenantRegistry};
 use crate::report::{LoweredMinimum, ReportedConfig};
 
-/// The cap of a tenant of the leader's registry.
+/// Cap in effect of a tenant of the leader's registry.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct EffectiveCap {
-    /// The lowest of all caps.
+    /// Lowest cap of all configurations; `None`: no configuration has one.
     cap: Option<u32>,
-    /// The lowest of all guaranteed minimums; where there is no cap, any number.
+    /// Lowest guaranteed minimum of all configurations that cap the tenant; `u32::MAX` if none does.
     guaranteed: u32,
 }
 
-/// The configuration that is in effect.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct EffectiveConfig {
     caps: Vec<EffectiveCap>,
-    /// The highest and the lowest number of processes that any configuration counts with.
+    /// Highest and lowest number of processes in any configuration.
     most_proxies: u32,
     fewest_proxies: u32,
 }
 
 impl EffectiveConfig {
-    /// That of a leader to which no process has reported another one.
+    /// Returns the leader's configuration, before any process has reported another one.
     pub fn new(registry: &TenantRegistry) -> EffectiveConfig {
-        EffectiveConfig::of(registry, [])
+        EffectiveConfig::combine(registry, [])
     }
 
-    /// That of the leader's registry and all other configurations.
-    pub fn of<'a>(
+    /// Combines the leader's configuration with the differing ones of processes.
+    pub fn combine<'a>(
         registry: &TenantRegistry,
         others: impl IntoIterator<Item = &'a ReportedConfig>,
     ) -> EffectiveConfig {
@@ -48,46 +48,48 @@
     fn lower(&mut self, registry: &TenantRegistry, other: &ReportedConfig) {
         self.most_proxies = self.most_proxies.max(other.max_proxies);
         self.fewest_proxies = self.fewest_proxies.min(other.max_proxies.max(1));
-        for theirs in &other.tenants {
-            let place = registry.tenants.iter().position(|tenant| tenant.name == theirs.name);
-            if let Some(cap) = place.and_then(|place| self.caps.get_mut(place)) {
-                cap.cap = cap.cap.into_iter().chain(theirs.cap).min();
-                cap.guaranteed = cap.guaranteed.min(guaranteed_or_unlimited(theirs));
+        for other_tenant in &other.tenants {
+            let index = registry.tenants.iter().position(|tenant| tenant.name == other_tenant.name);
+            if let Some(cap) = index.and_then(|index| self.caps.get_mut(index)) {
+                cap.cap = cap.cap.into_iter().chain(other_tenant.cap).min();
+                cap.guaranteed = cap.guaranteed.min(guaranteed_or_unlimited(other_tenant));
             }
         }
     }
 
-    /// The number of slots.
+    /// Returns the number of processes that may have a slot.
     pub fn slots(&self) -> usize {
         self.fewest_proxies as usize
     }
 
-    /// The cap of a tenant; `None`: it has none.
+    /// Returns the cap of a tenant; `None`: no cap.
     pub fn cap(&self, tenant: usize) -> Option<u32> {
         self.caps.get(tenant)?.cap
     }
 
-    /// The permits of a tenant that each process is guaranteed; 0 where it has no cap, as nothing is counted there.
+    /// Permits of a tenant that are guaranteed to each process; 0 without a cap, as permits are not counted
+    /// there.
     pub fn guaranteed(&self, tenant: usize) -> u32 {
         self.caps.get(tenant).filter(|cap| cap.cap.is_some()).map_or(0, |cap| cap.guaranteed)
     }
 
-    /// Permits of a cap beside all guaranteed minimums; `None`: the tenant has no cap.
+    /// Permits of a cap beyond the guaranteed minimums of all processes; `None`: no cap.
     pub fn pool(&self, tenant: usize) -> Option<u32> {
         let guaranteed = self.guaranteed(tenant).saturating_mul(self.most_proxies);
         Some(self.cap(tenant)?.saturating_sub(guaranteed))
     }
 
-    /// The guaranteed minimums that are lower than by a process's own configuration, in its order of tenants.
+    /// Returns the guaranteed minimums that are lower than in a process's own configuration, in the process's
+    /// order of tenants.
     pub fn lowered(&self, registry: &TenantRegistry, other: Option<&ReportedConfig>) -> Vec<LoweredMinimum> {
-        let theirs = other.map_or(&registry.tenants, |other| &other.tenants);
-        let lowered = |(place, tenant): (usize, &Tenant)| {
-            let own_place = registry.tenants.iter().position(|own| own.name == tenant.name)?;
-            let (cap, guaranteed) = (self.cap(own_place), self.guaranteed(own_place));
+        let process_tenants = other.map_or(&registry.tenants, |other| &other.tenants);
+        let lowered = |(index, tenant): (usize, &Tenant)| {
+            let own_index = registry.tenants.iter().position(|own| own.name == tenant.name)?;
+            let (cap, guaranteed) = (self.cap(own_index), self.guaranteed(own_index));
             let is_lower = cap.is_some() && (tenant.cap.is_none() || guaranteed < tenant.guaranteed);
-            is_lower.then_some(LoweredMinimum { tenant: u16::try_from(place).ok()?, guaranteed })
+            is_lower.then_some(LoweredMinimum { tenant: u16::try_from(index).ok()?, guaranteed })
         };
-        theirs.iter().enumerate().filter_map(lowered).collect()
+        process_tenants.iter().enumerate().filter_map(lowered).collect()
     }
 }
 
--- a/quota/src/ledger/mod.rs
+++ b/quota/src/ledger/mod.rs
@@ -1,4 +1,4 @@
-//! The part of the leader: what each process may use, and what it is granted next.
+//! The leader's record of which permits each process may use, from which it computes grants.
 
 mod effective_config;
 mod process_entry;
@@ -17,41 +17,41 @@
 
 const MICROS_PER_MILLI: Micros = 1_000;
 
-/// What a leader knows of the permits that it may grant. It begins with its ballot and ends with its lease. Nothing of it
-/// outlives it, as the processes report what they have. Times are by its own clock.
+/// Permits that a leader has granted or may grant. It exists only while the lease is held: the next leader
+/// rebuilds it from the reports of the processes. All times are by the leader's clock.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct QuotaLedger {
     registry: TenantRegistry,
     timing: QuotaTiming,
     ballot: Ballot,
-    began: Micros,
-    /// The processes that may have something and have not reported under this ballot what; `None`: it is not known which
-    /// those are.
+    started_at: Micros,
+    /// Processes that may hold permits and have not reported them under this ballot; `None`: unknown which
+    /// processes those are.
     awaited: Option<BTreeSet<Process>>,
     entries: BTreeMap<Process, ProcessEntry>,
-    /// The processes that run or may run, according to the membership.
+    /// Processes that run or may run, by membership.
     members: BTreeSet<Process>,
     effective: EffectiveConfig,
     learned: LearnedCapacity,
-    /// Calls that the hosts carry; `None`: not configured, or not known.
+    /// Calls that the hosts carry at a time; `None`: not configured, or unknown.
     capacity: Option<u32>,
     targets: Targets,
 }
 
-/// What a tenant has at one process.
+/// Permits and calls of one tenant at one process.
 pub(crate) struct ProcessUsage<'a> {
     pub process: &'a Process,
-    /// Its guaranteed minimum.
+    /// Guaranteed minimum, in permits.
     pub guaranteed: u32,
-    /// Permits that it may use, or has in flight, beside that.
+    /// Permits granted beyond the guaranteed minimum, or in flight beyond it if that is more.
     pub granted: u32,
-    /// Its calls, by its last report.
+    /// Calls by the last report.
     pub usage: TenantUsage,
 }
 
 impl QuotaLedger {
-    /// The ledger of a process that becomes the leader. `roster`: the processes that another leader may have granted
-    /// anything; `is_roster_complete`: there are no others.
+    /// Creates the ledger of a process that becomes the leader. `roster` lists processes that may hold grants
+    /// of an earlier leader; `is_roster_complete` tells that no others do.
     pub fn new<'a>(
         now: Micros,
         registry: TenantRegistry,
@@ -72,24 +72,25 @@
             registry,
             timing,
             ballot,
-            began: now,
+            started_at: now,
         }
     }
 
-    /// The leader's ballot.
+    /// Returns the ballot of the leader.
     pub fn ballot(&self) -> &Ballot {
         &self.ballot
     }
 
-    /// Until when nothing is granted but what processes report that they have; `None`: what all have is known.
+    /// Time until which the leader only confirms the permits that processes report; `None`: the permits of
+    /// all processes are known, or earlier grants have expired.
     pub fn learning_until(&self, now: Micros) -> Option<Micros> {
-        let until = self.began + self.timing.max_grant_lifetime();
+        let until = self.started_at + self.timing.max_grant_lifetime();
         let have_all_reported = self.awaited.as_ref().is_some_and(BTreeSet::is_empty);
         (now < until && !have_all_reported).then_some(until)
     }
 
-    /// Takes a process's report, which it sent at `sent_at` by its clock. A report that was sent before another one that
-    /// came is of no use, nor is one of a process that has taken a later leader's grant.
+    /// Records the report that a process sent at `sent_at` by its own clock. Ignores reports older than the
+    /// last one, and those of processes with a grant of a later leader.
     pub fn record_report(&mut self, now: Micros, process: &Process, sent_at: Micros, report: QuotaReport) {
         let entry = self.entries.entry(process.clone()).or_default();
         let grant_version = report.grant_version.clone();
@@ -100,11 +101,11 @@
             return;
         }
         self.learned.record(now, report.usage.attempts, report.usage.rejected_by_hosts);
-        let is_config_known = entry.learn_config(&self.registry, &report);
+        let is_config_known = entry.identify_config(&self.registry, &report);
         let has_config_changed = is_config_known && entry.store_config(&report);
         entry.last_report = Some(version);
         entry.record(now, &self.ballot, &self.timing, report, is_config_known);
-        if entry.is_settled {
+        if entry.has_reported_permits {
             if let Some(awaited) = &mut self.awaited {
                 awaited.remove(process);
             }
@@ -115,7 +116,7 @@
         self.targets.is_stale = true;
     }
 
-    /// A process has ended: nothing of it is left.
+    /// Removes a process that has ended.
     pub fn remove_process(&mut self, process: &Process) {
         if let Some(awaited) = &mut self.awaited {
             awaited.remove(process);
@@ -128,10 +129,10 @@
 
     fn update_effective_config(&mut self) {
         let others = self.entries.values().filter_map(|entry| entry.config.as_ref());
-        self.effective = EffectiveConfig::of(&self.registry, others);
+        self.effective = EffectiveConfig::combine(&self.registry, others);
     }
 
-    /// Sets what is known of the hosts.
+    /// Updates the capacity from the state of the hosts.
     pub fn set_hosts<'a>(&mut self, hosts: impl IntoIterator<Item = &'a HostCapacity>) {
         let capacity = fleet_capacity(&self.registry, hosts, self.learned.ratio_per_mille());
         if self.capacity != capacity {
@@ -140,10 +141,11 @@
         }
     }
 
-    /// What a process is granted along with its lease. From now on it may use that.
+    /// Issues the grant that a process gets with the renewal of its lease. The ledger counts its permits as
+    /// in use from now on.
     pub fn grant(&mut self, now: Micros, process: &Process) -> QuotaGrant {
         self.entries.entry(process.clone()).or_default();
-        self.divide(now);
+        self.allocate(now);
         let has_slot = self.assigns_slot(process);
         let is_learning = self.learning_until(now).is_some();
         let tenants = 0..self.registry.tenants.len();
@@ -159,7 +161,7 @@
             report_interval_ms: u32::try_from(report_interval).unwrap_or(u32::MAX),
             ..QuotaGrant::default()
         };
-        if !entry.is_settled {
+        if !entry.has_reported_permits {
             return grant;
         }
         let permits = if is_learning {
@@ -179,7 +181,7 @@
         }
     }
 
-    /// Permits of a tenant that one process may be granted beside all that others may use.
+    /// Permits of a tenant that a process can be granted while all other processes use theirs.
     fn available(&self, now: Micros, tenant: usize, process: &Process) -> u32 {
         let others = self.entries.iter().filter(|(other, _)| *other != process);
         let used = others.map(|(_, entry)| u64::from(self.max_permits(now, tenant, entry))).sum::<u64>();
@@ -187,7 +189,8 @@
         u32::try_from(pool.saturating_sub(used)).unwrap_or(u32::MAX)
     }
 
-    /// Permits of a tenant that a process may use or has in flight, beside its guaranteed minimum.
+    /// Maximum number of permits of a tenant that a process may use or has in flight beyond its guaranteed
+    /// minimum.
     fn max_permits(&self, now: Micros, tenant: usize, entry: &ProcessEntry) -> u32 {
         let has_minimum = entry.reported_slot == Slot::Assigned;
         let guaranteed = if has_minimum { self.effective.guaranteed(tenant) } else { 0 };
@@ -195,7 +198,7 @@
     }
 }
 
-// What operators see.
+// Accessors for the status view.
 impl QuotaLedger {
     pub(crate) fn tenants(&self) -> &[Tenant] {
         &self.registry.tenants
@@ -213,7 +216,7 @@
         self.capacity.and_then(|_| self.targets.fair_shares.get(tenant).copied())
     }
 
-    /// What a tenant has at each process.
+    /// Returns the permits and calls of a tenant at each process.
     pub(crate) fn usages(&self, now: Micros, tenant: usize) -> impl Iterator<Item = ProcessUsage<'_>> {
         self.entries.iter().map(move |(process, entry)| ProcessUsage {
             process,
@@ -223,7 +226,7 @@
         })
     }
 
-    /// The processes that have not reported within a lease.
+    /// Returns the processes that have not reported for the duration of a lease.
     pub(crate) fn silent(&self, now: Micros) -> Vec<String> {
         let is_silent =
             |entry: &ProcessEntry| entry.last_report_at.is_none_or(|at| now >= at + self.timing.lease);
@@ -231,7 +234,7 @@
         silent.map(|(process, _)| process.name.to_string()).collect()
     }
 
-    /// The processes with another configuration.
+    /// Returns the processes whose configuration differs from the leader's.
     pub(crate) fn with_other_config(&self) -> Vec<String> {
         let others = self.entries.iter().filter(|(_, entry)| entry.config.is_some());
         others.map(|(process, _)| process.name.to_string()).collect()
--- a/quota/src/ledger/process_entry.rs
+++ b/quota/src/ledger/process_entry.rs
@@ -1,4 +1,4 @@
-//! What the leader knows of one process.
+//! The leader's record of one process.
 
 use crate::registry::TenantRegistry;
 use crate::report::{GrantVersion, QuotaReport, ReportedConfig, Slot, TenantUsage};
@@ -6,79 +6,82 @@
 use flaxhead_lease::{Ballot, Micros};
 use std::collections::VecDeque;
 
-/// Maximum number of grants that were sent and not confirmed; until one of them is, the last is sent again.
-const MAX_UNCONFIRMED: usize = 8;
-/// Maximum number of tenants that another configuration may have.
-const MAX_TENANTS: usize = 256;
+/// Maximum number of unconfirmed grants. At this number, the last grant is repeated until the process
+/// confirms one.
+const MAX_UNCONFIRMED_COUNT: usize = 8;
+/// Maximum number of tenants in a reported configuration.
+const MAX_TENANT_COUNT: usize = 256;
 
-/// Permits that were granted, and may be used.
+/// Grant that has been sent, and whose permits may be in use.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct IssuedGrant {
     seq: u64,
     permits: Vec<u32>,
-    /// When it has expired, by the leader's clock, whatever the process's says.
+    /// Time by which the grant has expired even by a slow clock of the process, by the leader's clock.
     expires_at: Micros,
 }
 
-/// Which report of a process is the newest.
+/// Position of a report among the reports of its process.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) struct ReportVersion {
-    /// When it was sent, by the process's clock.
+    /// Time at which the report was sent, by the process's clock.
     pub sent_at: Micros,
-    /// The newest grant that the process had heard of.
+    /// Newest grant that the process had received.
     pub grant_version: Option<GrantVersion>,
 }
 
-/// What the leader knows of one process.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct ProcessEntry {
     pub last_report: Option<ReportVersion>,
-    /// When the last report came.
+    /// Time at which the last report arrived.
     pub last_report_at: Option<Micros>,
-    /// It has reported what it has, as one that takes nothing of an earlier leader any more.
-    pub is_settled: bool,
-    /// It has taken this grant of ours, or a later one.
+    /// Whether the process has reported its permits after it stopped to apply grants of earlier leaders.
+    pub has_reported_permits: bool,
+    /// Highest count of this leader's grants that the process has reported.
     confirmed_seq: u64,
-    /// What it reported that it was granted, and when that has expired at the latest.
+    /// Permits reported as granted, and the latest time at which they expire.
     reported_grant: Vec<u32>,
-    reported_grant_until: Micros,
+    reported_grant_expires_at: Micros,
     in_flight: Vec<u32>,
     unconfirmed: VecDeque<IssuedGrant>,
     pub reported_slot: Slot,
-    /// Whether it was granted a slot.
+    /// Whether the last grant assigned a slot.
     pub has_slot: bool,
-    /// By tenant: permits that were wanted by its last report, and by the one before where that came just before it.
+    /// Demand by tenant of the last report, and of the one before if both arrived within one coalescing
+    /// window.
     demand: Vec<u32>,
     coalesced_demand: Vec<u32>,
     pub usage: Vec<TenantUsage>,
-    /// What it is to be granted beside its guaranteed minimums, and its fair shares, by tenant.
+    /// Target for permits beyond the guaranteed minimums, and fair shares, by tenant.
     pub target: Vec<u32>,
     pub fair_shares: Vec<u32>,
-    /// Its configuration, where that is not the leader's.
+    /// Configuration of the process if it differs from the leader's.
     pub config: Option<ReportedConfig>,
-    /// Where its configuration differs: the place of each of its tenants among the leader's.
-    tenant_places: Option<Vec<Option<usize>>>,
+    /// For a differing configuration: index of each of its tenants in the leader's registry, if the leader
+    /// has the tenant.
+    tenant_indices: Option<Vec<Option<usize>>>,
     tenants: usize,
 }
 
 impl ProcessEntry {
-    /// Learns which configuration it has. Returns whether that is known.
-    pub fn learn_config(&mut self, registry: &TenantRegistry, report: &QuotaReport) -> bool {
+    /// Compares the process's configuration with the leader's. Returns whether the order of tenants in its
+    /// reports is known.
+    pub fn identify_config(&mut self, registry: &TenantRegistry, report: &QuotaReport) -> bool {
         self.tenants = registry.tenants.len();
         if report.digest == registry.digest {
-            self.tenant_places = None;
+            self.tenant_indices = None;
             return true;
         }
-        let config = report.config.as_ref().filter(|config| config.tenants.len() <= MAX_TENANTS);
+        let config = report.config.as_ref().filter(|config| config.tenants.len() <= MAX_TENANT_COUNT);
         let Some(config) = config else { return self.config.is_some() };
-        let place = |name: &str| registry.tenants.iter().position(|tenant| tenant.name == name);
-        self.tenant_places = Some(config.tenants.iter().map(|tenant| place(&tenant.name)).collect());
+        let index = |name: &str| registry.tenants.iter().position(|tenant| tenant.name == name);
+        self.tenant_indices = Some(config.tenants.iter().map(|tenant| index(&tenant.name)).collect());
         true
     }
 
-    /// Stores its configuration. Returns whether that has changed.
+    /// Stores the process's configuration. Returns whether it has changed.
     pub fn store_config(&mut self, report: &QuotaReport) -> bool {
-        let config = match self.tenant_places {
+        let config = match self.tenant_indices {
             None => None,
             Some(_) => report.config.clone().or_else(|| self.config.clone()),
         };
@@ -87,28 +90,29 @@
         has_changed
     }
 
-    fn in_leader_order<T: Copy + Default>(&self, theirs: &[T]) -> Vec<T> {
-        let mut ours = vec![T::default(); self.tenants];
-        for (place, value) in theirs.iter().enumerate() {
-            let own_place = match &self.tenant_places {
-                None => Some(place),
-                Some(places) => places.get(place).copied().flatten(),
+    fn in_leader_order<T: Copy + Default>(&self, process_values: &[T]) -> Vec<T> {
+        let mut leader_values = vec![T::default(); self.tenants];
+        for (index, value) in process_values.iter().enumerate() {
+            let leader_index = match &self.tenant_indices {
+                None => Some(index),
+                Some(indices) => indices.get(index).copied().flatten(),
             };
-            if let Some(own) = own_place.and_then(|place| ours.get_mut(place)) {
-                *own = *value;
+            if let Some(leader_value) = leader_index.and_then(|index| leader_values.get_mut(index)) {
+                *leader_value = *value;
             }
         }
-        ours
+        leader_values
     }
 
-    /// Values by tenant, in the order of the process's configuration.
-    pub fn in_process_order(&self, ours: &[u32]) -> Vec<u32> {
-        let Some(places) = &self.tenant_places else { return ours.to_vec() };
-        let value = |place: &Option<usize>| place.and_then(|place| ours.get(place)).copied().unwrap_or(0);
-        places.iter().map(value).collect()
+    /// Reorders values by tenant from the leader's order to the process's.
+    pub fn in_process_order(&self, leader_values: &[u32]) -> Vec<u32> {
+        let Some(indices) = &self.tenant_indices else { return leader_values.to_vec() };
+        let value =
+            |index: &Option<usize>| index.and_then(|index| leader_values.get(index)).copied().unwrap_or(0);
+        indices.iter().map(value).collect()
     }
 
-    /// Takes a report. `is_config_known`: its tenants can be told apart.
+    /// Records a report. `is_config_known` tells that the order of its tenants is known.
     pub fn record(
         &mut self,
         now: Micros,
@@ -127,53 +131,61 @@
         self.coalesced_demand = if is_coalesced { previous } else { Vec::new() };
         let version = report.grant_version.filter(|version| version.ballot == *ballot && is_config_known);
         let Some(version) = version else { return };
-        self.is_settled = true;
-        // A process that has taken a grant takes none before it.
+        self.has_reported_permits = true;
+        // A process that has applied a grant ignores all earlier ones, so those need no tracking.
         self.confirmed_seq = self.confirmed_seq.max(version.seq);
         self.unconfirmed.retain(|grant| grant.seq >= self.confirmed_seq);
         self.reported_grant = self.in_leader_order(&report.granted);
-        self.reported_grant_until = now + QuotaTiming::with_max_drift(report.grant_left.min(timing.lease));
+        self.reported_grant_expires_at =
+            now + QuotaTiming::with_max_drift(report.grant_left.min(timing.lease));
     }
 
-    /// Permits of a tenant that it wants. Each report tells the peak since the one before, so that a lull between two looks
-    /// moves nothing.
+    /// Permits of a tenant that the process needs. Reports carry the peak since the previous one, so a short
+    /// lull between reports moves no permits.
     pub fn demand(&self, tenant: usize) -> u32 {
         let demands = [&self.demand, &self.coalesced_demand];
         demands.iter().filter_map(|demand| demand.get(tenant)).copied().max().unwrap_or(0)
     }
 
-    /// Permits that it may use now: those that it reported, or was granted since.
+    /// Permits that the process may use now: those of the last unconfirmed grant, or else the reported ones.
     pub fn current_permits(&self, now: Micros) -> Vec<u32> {
         if let Some(last) = self.unconfirmed.back() {
             return last.permits.clone();
         }
-        if now < self.reported_grant_until {
+        if now < self.reported_grant_expires_at {
             self.reported_grant.clone()
         } else {
             vec![0; self.tenants]
         }
     }
 
-    /// The most permits of a tenant that it may use or has in flight, beside its `guaranteed` minimum.
+    /// Maximum number of permits of a tenant that the process may use or has in flight beyond its
+    /// `guaranteed` minimum.
     pub fn max_permits(&self, now: Micros, tenant: usize, guaranteed: u32, timing: &QuotaTiming) -> u32 {
-        // A call that was admitted just before its permit expired is still in flight after that.
+        // A call admitted just before its permit expired can be in flight for up to the maximum call duration
+        // after that.
         let max_call_duration = QuotaTiming::with_max_drift(timing.max_call_duration);
         let counts_until = |moment: Micros| now < moment + max_call_duration;
-        let of = |permits: &[u32]| permits.get(tenant).copied().unwrap_or(0);
+        let tenant_permits = |permits: &[u32]| permits.get(tenant).copied().unwrap_or(0);
         let issued = self.unconfirmed.iter().filter(|grant| counts_until(grant.expires_at));
-        let issued = issued.map(|grant| of(&grant.permits)).max().unwrap_or(0);
-        let reported = if counts_until(self.reported_grant_until) { of(&self.reported_grant) } else { 0 };
+        let issued = issued.map(|grant| tenant_permits(&grant.permits)).max().unwrap_or(0);
+        let reported = if counts_until(self.reported_grant_expires_at) {
+            tenant_permits(&self.reported_grant)
+        } else {
+            0
+        };
         let in_flight = match self.last_report_at {
-            Some(at) if counts_until(at) => of(&self.in_flight).saturating_sub(guaranteed),
+            Some(at) if counts_until(at) => tenant_permits(&self.in_flight).saturating_sub(guaranteed),
             _ => 0,
         };
         issued.max(reported).max(in_flight)
     }
 
-    /// Grants permits. Returns the count of that grant.
+    /// Records a grant and returns its count. Repeats the last grant if the permits are the same, or if too
+    /// many grants are unconfirmed.
     pub fn issue(&mut self, now: Micros, timing: &QuotaTiming, permits: Vec<u32>) -> u64 {
         let expires_at = now + QuotaTiming::with_max_drift(timing.lease);
-        let is_full = self.unconfirmed.len() >= MAX_UNCONFIRMED;
+        let is_full = self.unconfirmed.len() >= MAX_UNCONFIRMED_COUNT;
         let last = self.unconfirmed.back_mut().filter(|last| is_full || last.permits == permits);
         if let Some(last) = last {
             last.expires_at = expires_at;
@@ -185,14 +197,14 @@
         seq
     }
 
-    /// The permits of the last grant.
+    /// Permits of the last grant.
     pub fn issued(&self) -> &[u32] {
         self.unconfirmed.back().map_or(&[], |grant| &grant.permits)
     }
 }
 
-/// Permits that a report wants: the peak, and what was rejected, which counts no more than one above that, so that one
-/// report at most doubles the demand, and adds one.
+/// Demand by a report: the peak plus the rejected calls. Rejections add at most the peak and one, so that
+/// retries of rejected calls cannot inflate the demand quickly.
 fn demand_of(usage: &TenantUsage) -> u32 {
     let peak = usage.peak.max(usage.in_flight.saturating_add(usage.queued));
     peak.saturating_add(usage.rejected.min(peak.saturating_add(1)))
--- a/quota/src/ledger/slots.rs
+++ b/quota/src/ledger/slots.rs
@@ -1,4 +1,5 @@
-//! Which processes may use their guaranteed minimums, where there are more processes than those are counted for.
+//! Assignment of the slots that give the right to guaranteed minimums, if there are more processes than
+//! slots.
 
 use super::process_entry::ProcessEntry;
 use super::QuotaLedger;
@@ -8,14 +9,15 @@
 use std::net::SocketAddr;
 
 impl QuotaLedger {
-    /// Sets the processes that run or may run, according to the membership.
+    /// Sets the processes that run or may run, by membership.
     pub fn set_members(&mut self, members: impl IntoIterator<Item = Process>) {
         self.members = members.into_iter().collect();
     }
 
-    /// Whether a process gets a slot. One that has a slot keeps it; where more report that they have one than there are, as
-    /// after a time without a leader, the first by name do. A process that is on the roster, or known to the membership, and
-    /// has not reported may have one. Of two that listen at one address one has ended: both have one slot.
+    /// Returns whether a process gets a slot. A process keeps its slot; if more report one than exist, as
+    /// after a period without a leader, the first by name keep theirs. Processes on the roster or in the
+    /// membership that have not reported count as having one. Processes with the same address share one,
+    /// since at most one of them still runs.
     pub(super) fn assigns_slot(&self, process: &Process) -> bool {
         let has_slot = |entry: &ProcessEntry| entry.reported_slot == Slot::Assigned || entry.has_slot;
         let others = self
@@ -24,9 +26,9 @@
             .filter(|(other, entry)| other.address != process.address && has_slot(entry))
             .map(|(other, _)| other);
         if self.entries.get(process).is_some_and(has_slot) {
-            let before: BTreeSet<SocketAddr> =
+            let preceding: BTreeSet<SocketAddr> =
                 others.filter(|other| *other < process).map(|other| other.address).collect();
-            return before.len() < self.effective.slots();
+            return preceding.len() < self.effective.slots();
         }
         let unreported = self.members.iter().chain(self.awaited.iter().flatten());
         let unreported = unreported.filter(|other| !self.has_reported(other));
@@ -42,7 +44,7 @@
         self.entries.get(process).is_some_and(|entry| entry.last_report_at.is_some())
     }
 
-    /// The processes without a slot, for the log and the status page.
+    /// Returns the names of the processes without a slot.
     pub fn processes_without_slot(&self) -> Vec<&Name> {
         let is_without = |entry: &ProcessEntry| entry.last_report_at.is_some() && !entry.has_slot;
         let without = self.entries.iter().filter(|(_, entry)| is_without(entry));
--- a/quota/src/ledger/targets.rs
+++ b/quota/src/ledger/targets.rs
@@ -1,4 +1,4 @@
-//! The division that the leader works towards: tenants first, then each tenant's permits over the processes.
+//! Target allocation of the leader: capacity among tenants, then each tenant's permits among processes.
 
 use super::process_entry::ProcessEntry;
 use super::QuotaLedger;
@@ -6,30 +6,30 @@
 use flaxhead_lease::{Micros, Process};
 use std::collections::BTreeMap;
 
-/// Divisions within a lease at the most.
-const MAX_DIVISIONS_PER_LEASE: Micros = 256;
-/// Divisions within a lease though nothing was reported: a process may have fallen silent.
-const MIN_DIVISIONS_PER_LEASE: Micros = 4;
+/// Maximum number of allocations per lease.
+const MAX_ALLOCATIONS_PER_LEASE: Micros = 256;
+/// Minimum number of allocations per lease, to reclaim the permits of processes that have stopped to report.
+const MIN_ALLOCATIONS_PER_LEASE: Micros = 4;
 
-/// The last division.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct Targets {
-    /// Something has changed since.
+    /// Whether the inputs have changed since the last allocation.
     pub is_stale: bool,
-    divided_at: Option<Micros>,
-    /// Fair shares by tenant, of all that the hosts carry.
+    allocated_at: Option<Micros>,
+    /// Fair share of the hosts' capacity by tenant, in permits.
     pub fair_shares: Vec<u32>,
 }
 
 impl QuotaLedger {
-    /// Divides anew, if something has changed, or a process has been silent for so long that its part is free.
-    pub(super) fn divide(&mut self, now: Micros) {
-        let per_lease = if self.targets.is_stale { MAX_DIVISIONS_PER_LEASE } else { MIN_DIVISIONS_PER_LEASE };
+    /// Recomputes the targets if inputs have changed, or if a process may have become silent since.
+    pub(super) fn allocate(&mut self, now: Micros) {
+        let per_lease =
+            if self.targets.is_stale { MAX_ALLOCATIONS_PER_LEASE } else { MIN_ALLOCATIONS_PER_LEASE };
         let interval = self.timing.lease / per_lease;
-        if self.targets.divided_at.is_some_and(|at| now < at + interval) {
+        if self.targets.allocated_at.is_some_and(|at| now < at + interval) {
             return;
         }
-        self.targets.divided_at = Some(now);
+        self.targets.allocated_at = Some(now);
         self.targets.is_stale = false;
         let active = self.active_processes(now);
         let tenants = self.registry.tenants.len();
@@ -41,26 +41,26 @@
         }
         for tenant in 0..tenants {
             if let Some(pool) = self.effective.pool(tenant) {
-                self.divide_pool(now, tenant, pool, &active);
+                self.allocate_pool(now, tenant, pool, &active);
             }
         }
-        self.divide_capacity(&active);
+        self.allocate_capacity(&active);
     }
 
-    /// The processes that something is divided among: those that have reported what they have, and are not silent. In
-    /// ascending order.
+    /// Returns the processes that take part in the allocation, in ascending order: those that have reported
+    /// their permits and are not silent.
     fn active_processes(&self, now: Micros) -> Vec<Process> {
         let lease = self.timing.lease;
         let is_active = |entry: &ProcessEntry| {
-            entry.is_settled && entry.last_report_at.is_some_and(|at| now < at + lease)
+            entry.has_reported_permits && entry.last_report_at.is_some_and(|at| now < at + lease)
         };
         let active = self.entries.iter().filter(|(_, entry)| is_active(entry));
         active.map(|(process, _)| process.clone()).collect()
     }
 
-    /// Divides a capped tenant's permits beside the guaranteed minimums. Those of silent processes are not there to be
-    /// divided.
-    fn divide_pool(&mut self, now: Micros, tenant: usize, pool: u32, active: &[Process]) {
+    /// Allocates the permits of a capped tenant beyond the guaranteed minimums. Permits of silent processes
+    /// are excluded.
+    fn allocate_pool(&mut self, now: Micros, tenant: usize, pool: u32, active: &[Process]) {
         let guaranteed = self.effective.guaranteed(tenant);
         let silent = self.entries.iter().filter(|(process, _)| active.binary_search(process).is_err());
         let reserved = silent.map(|(_, entry)| self.max_permits(now, tenant, entry));
@@ -73,7 +73,8 @@
             previous.push(minimum + entry.target[tenant]);
         }
         let permits = reallocate(total, &demands, &previous);
-        let targets = permits.iter().zip(&demands).map(|(permits, d)| permits.saturating_sub(d.minimum));
+        let targets =
+            permits.iter().zip(&demands).map(|(permits, demand)| permits.saturating_sub(demand.minimum));
         for (process, target) in active.iter().zip(targets) {
             if let Some(entry) = self.entries.get_mut(process) {
                 entry.target[tenant] = target;
@@ -81,19 +82,19 @@
         }
     }
 
-    /// Divides what the hosts carry: by weight among the tenants, then evenly among the processes that want it.
-    fn divide_capacity(&mut self, active: &[Process]) {
+    /// Allocates the hosts' capacity by weight among tenants, then equally among the processes with demand.
+    fn allocate_capacity(&mut self, active: &[Process]) {
         let Some(capacity) = self.capacity else { return };
         let entries: BTreeMap<&Process, &ProcessEntry> =
             active.iter().filter_map(|process| self.entries.get_key_value(process)).collect();
-        let tenant_demands = self.registry.tenants.iter().enumerate().map(|(place, tenant)| {
-            let wanted = entries.values().map(|entry| self.usable_demand(entry, place));
+        let tenant_demands = self.registry.tenants.iter().enumerate().map(|(index, tenant)| {
+            let wanted = entries.values().map(|entry| self.usable_demand(entry, index));
             let wanted = wanted.fold(0, u32::saturating_add);
             Demand { weight: tenant.weight, minimum: wanted.min(1), wanted }
         });
         let tenant_demands: Vec<Demand> = tenant_demands.collect();
         let fair_shares = reallocate_tenants(capacity, &tenant_demands, &self.targets.fair_shares);
-        let mut parts_by_tenant = Vec::new();
+        let mut shares_by_tenant = Vec::new();
         for (tenant, total) in fair_shares.iter().enumerate() {
             let demand = |entry: &&ProcessEntry| {
                 let wanted = self.usable_demand(entry, tenant);
@@ -101,17 +102,17 @@
             };
             let demands: Vec<Demand> = entries.values().map(demand).collect();
             let previous: Vec<u32> = entries.values().map(|entry| entry.fair_shares[tenant]).collect();
-            parts_by_tenant.push(reallocate(*total, &demands, &previous));
+            shares_by_tenant.push(reallocate(*total, &demands, &previous));
         }
         self.targets.fair_shares = fair_shares;
-        for (place, process) in active.iter().enumerate() {
+        for (index, process) in active.iter().enumerate() {
             if let Some(entry) = self.entries.get_mut(process) {
-                entry.fair_shares = parts_by_tenant.iter().map(|parts| parts[place]).collect();
+                entry.fair_shares = shares_by_tenant.iter().map(|shares| shares[index]).collect();
             }
         }
     }
 
-    /// The demand of a process that its cap lets it use: what that keeps back is no use of hosts.
+    /// Demand of a process, limited to what its cap lets it use, because calls above the cap occupy no host.
     fn usable_demand(&self, entry: &ProcessEntry, tenant: usize) -> u32 {
         let guaranteed = if entry.has_slot { self.effective.guaranteed(tenant) } else { 0 };
         let cap = self.effective.cap(tenant);
--- a/quota/src/lib.rs
+++ b/quota/src/lib.rs
@@ -1,13 +1,14 @@
-//! Connection capacity, shared among tenants by all client proxies: decisions without I/O or clock.
+//! Distributes connection capacity among tenants across all client proxies, without I/O or a clock.
 //!
-//! A call uses a connection to a host for as long as it is in flight, so what is shared is counted in calls in flight; a
-//! hedged request is one more. One call in flight is one *permit*. A tenant may have a *cap* over the whole fleet, which is
-//! hard, and has a *fair share* of what the hosts can carry, which is lent to others while it is not used.
+//! A call occupies a connection to a host while it is in flight, so capacity is counted in calls in flight; a
+//! hedged request counts as another one. One call in flight takes one *permit*. A tenant may have a hard
+//! *cap* over the whole fleet. It also has a *fair share* of the capacity of the hosts, whose unused part is
+//! lent to other tenants.
 //!
-//! Each process has a small guaranteed minimum of each cap that depends on nobody ([`TenantRegistry`]). The rest is granted
-//! by whoever holds the lease ([`QuotaLedger`]), for a time that the receiver counts from its request ([`LocalQuota`]). At
-//! every moment the sum of what all processes may use is at most the cap. What is guaranteed and what is not stands in
-//! `docs/design/shares.md`.
+//! Each process has a small guaranteed minimum of each cap that needs no agreement ([`TenantRegistry`]). The
+//! leader, which is the holder of the lease, grants the rest ([`QuotaLedger`]) for a period that the receiver
+//! counts from its request ([`LocalQuota`]). At any moment, the permits that all processes may use add up to
+//! at most the cap. `docs/design/shares.md` lists the guarantees and their limits.
 
 pub mod admission;
 mod allowance;
--- a/quota/src/local_quota.rs
+++ b/quota/src/local_quota.rs
@@ -1,4 +1,4 @@
-//! The part of every process: what it was granted, and what it may have in flight by that.
+//! The grants of one process, and the allowance that follows from them.
 
 use crate::allowance::{Allowance, TenantAllowance};
 use crate::registry::{Tenant, TenantRegistry};
@@ -8,10 +8,9 @@
 use std::collections::BTreeMap;
 
 const MICROS_PER_MILLI: Micros = 1_000;
-/// Until a leader has named an interval, a process reports this often within a lease.
+/// Report rate of a process that has not yet received an interval from a leader.
 const INITIAL_REPORTS_PER_LEASE: Micros = 4;
 
-/// What is granted until it expires.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct CurrentGrant {
     permits: Vec<u32>,
@@ -20,34 +19,34 @@
     expires_at: Micros,
 }
 
-/// One process's grants. Times are by its own clock.
+/// Grants of one process. All times are by its own clock.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LocalQuota {
     registry: TenantRegistry,
     timing: QuotaTiming,
-    started: Micros,
+    started_at: Micros,
     slot: Slot,
-    /// The newest grant that it has heard of: it takes no older one.
+    /// Newest grant received; older ones are ignored.
     grant_version: Option<GrantVersion>,
     grant: Option<CurrentGrant>,
-    /// Guaranteed minimums that are lower by another process's configuration, by tenant.
+    /// Guaranteed minimums lowered by the configuration of another process, by tenant index.
     lowered: BTreeMap<usize, u32>,
-    /// The digest of the leader's configuration, as far as it is known.
+    /// Digest of the leader's configuration; `None`: unknown.
     leader_digest: Option<u64>,
     last_report_at: Micros,
     report_interval: Micros,
-    /// By its last report no call waited for a permit, and none was rejected.
+    /// Whether the last report showed no queued and no rejected call.
     was_satisfied: bool,
 }
 
 impl LocalQuota {
-    /// A process that starts, and remembers nothing.
+    /// Creates the state of a process that has just started_at, without any grant.
     pub fn new(now: Micros, registry: TenantRegistry, timing: QuotaTiming) -> LocalQuota {
         LocalQuota {
             report_interval: timing.lease / INITIAL_REPORTS_PER_LEASE,
             registry,
             timing,
-            started: now,
+            started_at: now,
             slot: Slot::Pending,
             grant_version: None,
             grant: None,
@@ -58,22 +57,22 @@
         }
     }
 
-    /// Whether it may use its guaranteed minimums.
+    /// Returns whether the process may use its guaranteed minimums.
     pub fn slot(&self) -> Slot {
         self.slot
     }
 
-    /// The newest grant that it has heard of.
+    /// Returns the version of the newest grant received; `None`: none since the start.
     pub fn grant_version(&self) -> Option<&GrantVersion> {
         self.grant_version.as_ref()
     }
 
-    /// Its tenants.
+    /// Returns the configured tenants.
     pub fn registry(&self) -> &TenantRegistry {
         &self.registry
     }
 
-    /// The report for the next renewal. `now` is the time that the renewal is sent with.
+    /// Builds the report for a lease renewal sent at `now`.
     pub fn report(&mut self, now: Micros, usage: Usage) -> QuotaReport {
         let grant = self.grant.as_ref().filter(|grant| now < grant.expires_at);
         let is_config_known = self.leader_digest == Some(self.registry.digest);
@@ -92,20 +91,22 @@
         }
     }
 
-    /// Takes note of a ballot: grants under a lower one are not taken any more. What it has is valid until it expires.
+    /// Records the ballot of a leader, after which grants of lower ballots are ignored. The current grant
+    /// stays valid until it expires.
     pub fn observe_fence(&mut self, ballot: &Ballot) {
         if self.grant_version.as_ref().is_none_or(|version| version.ballot < *ballot) {
             self.grant_version = Some(GrantVersion { ballot: ballot.clone(), seq: 0 });
         }
     }
 
-    /// Takes a grant that was requested so that it expires then. Returns whether it was taken.
+    /// Applies a grant that expires at `expires_at`. Returns `false` if a newer grant is known, and ignores
+    /// it.
     pub fn apply_grant(&mut self, ballot: &Ballot, expires_at: Micros, grant: QuotaGrant) -> bool {
         let version = GrantVersion { ballot: ballot.clone(), seq: grant.seq };
         if self.grant_version.as_ref().is_some_and(|newest| version < *newest) {
             return false;
         }
-        let is_same = self.grant_version.as_ref() == Some(&version);
+        let is_renewal = self.grant_version.as_ref() == Some(&version);
         self.grant_version = Some(version);
         self.slot = if grant.has_slot { Slot::Assigned } else { Slot::Denied };
         self.leader_digest = Some(grant.digest);
@@ -114,9 +115,9 @@
         let Some(mut permits) = grant.permits else { return true };
         permits.resize(self.registry.tenants.len(), 0);
         let previous = self.grant.take();
-        let same = previous.as_ref().filter(|_| is_same);
-        let expires_at = expires_at.max(same.map_or(0, |previous| previous.expires_at));
-        // A leader that does not know yet what all processes have says nothing of fair shares: the last ones stay.
+        let renewed = previous.as_ref().filter(|_| is_renewal);
+        let expires_at = expires_at.max(renewed.map_or(0, |previous| previous.expires_at));
+        // A leader that is still collecting reports sends no fair shares, so the previous ones stay in use.
         let (total, fair_shares) = match previous.filter(|_| !grant.is_complete) {
             Some(previous) => (previous.total, previous.fair_shares),
             None => (grant.total, grant.fair_shares),
@@ -135,15 +136,15 @@
         }
     }
 
-    /// Assumes a slot, if it waits for one: every voter has lost its state, so nobody can say that there are too many
-    /// processes.
+    /// Assigns a pending slot without a grant. It is used once all voters have lost their state, so that no
+    /// leader can tell whether there are more processes than slots.
     pub fn assume_slot(&mut self) {
         if self.slot == Slot::Pending {
             self.slot = Slot::Assigned;
         }
     }
 
-    /// What may be in flight from now on.
+    /// Returns the limits on calls in flight that apply from `now` on.
     pub fn allowance(&mut self, now: Micros) -> Allowance {
         if now >= self.autonomous_at() {
             self.assume_slot();
@@ -151,7 +152,7 @@
         let grant = self.grant.as_ref().filter(|grant| now < grant.expires_at);
         let tenants = self.registry.tenants.iter().enumerate();
         Allowance {
-            tenants: tenants.map(|(place, tenant)| self.tenant_allowance(place, tenant, grant)).collect(),
+            tenants: tenants.map(|(index, tenant)| self.tenant_allowance(index, tenant, grant)).collect(),
             total: grant.and_then(|grant| grant.total),
             expires_at: grant.map(|grant| grant.expires_at),
         }
@@ -159,36 +160,36 @@
 
     fn tenant_allowance(
         &self,
-        place: usize,
+        index: usize,
         tenant: &Tenant,
         grant: Option<&CurrentGrant>,
     ) -> TenantAllowance {
-        let lowered = self.lowered.get(&place).copied();
+        let lowered = self.lowered.get(&index).copied();
         let is_capped = tenant.cap.is_some() || lowered.is_some();
         let configured = if tenant.cap.is_some() { tenant.guaranteed } else { u32::MAX };
         let guaranteed = match self.slot {
             Slot::Assigned => configured.min(lowered.unwrap_or(configured)),
             Slot::Pending | Slot::Denied => 0,
         };
-        let of = |permits: &[u32]| permits.get(place).copied().unwrap_or(0);
-        let granted = grant.map_or(0, |grant| of(&grant.permits));
-        let agreed = grant.filter(|grant| grant.total.is_some());
+        let tenant_permits = |permits: &[u32]| permits.get(index).copied().unwrap_or(0);
+        let granted = grant.map_or(0, |grant| tenant_permits(&grant.permits));
+        let grant_with_total = grant.filter(|grant| grant.total.is_some());
         TenantAllowance {
             cap: is_capped.then_some(guaranteed.saturating_add(granted)),
             guaranteed: is_capped.then_some(guaranteed),
-            fair_share: agreed.map_or(0, |grant| of(&grant.fair_shares)),
+            fair_share: grant_with_total.map_or(0, |grant| tenant_permits(&grant.fair_shares)),
         }
     }
 
-    /// When [`LocalQuota::allowance`] next changes, if nothing is heard until then.
+    /// Time at which [`LocalQuota::allowance`] next changes unless a grant arrives first; `None`: never.
     pub fn next_change(&self, now: Micros) -> Option<Micros> {
         let expiry = self.grant.as_ref().map(|grant| grant.expires_at).filter(|at| now < *at);
-        let slot = (self.slot == Slot::Pending).then(|| self.autonomous_at());
-        expiry.into_iter().chain(slot).min()
+        let slot_assumed_at = (self.slot == Slot::Pending).then(|| self.autonomous_at());
+        expiry.into_iter().chain(slot_assumed_at).min()
     }
 
-    /// From when on a report is wanted before the lease must be renewed: after the interval that the leader named, or half
-    /// of it where calls have begun to wait since the last report.
+    /// Time from which a report should be sent ahead of the lease renewal: one report interval after the last
+    /// report, or half of one if calls have started_at to queue since then.
     pub fn next_report_at(&self, usage: &Usage) -> Micros {
         let is_urgent = self.was_satisfied && has_unmet_demand(usage);
         let interval = if is_urgent { self.report_interval / 2 } else { self.report_interval };
@@ -196,11 +197,11 @@
     }
 
     fn autonomous_at(&self) -> Micros {
-        self.started.saturating_add(self.timing.autonomy_timeout)
+        self.started_at.saturating_add(self.timing.autonomy_timeout)
     }
 }
 
-/// Whether calls wait for a permit, or were rejected for want of one.
+/// Returns whether any call is queued for a permit, or was rejected for lack of one.
 fn has_unmet_demand(usage: &Usage) -> bool {
     usage.tenants.iter().any(|tenant| tenant.queued > 0 || tenant.rejected > 0)
 }
--- a/quota/src/max_min/mod.rs
+++ b/quota/src/max_min/mod.rs
@@ -1,4 +1,4 @@
-//! Weighted max-min fair division of permits.
+//! Weighted max-min fair allocation of permits.
 
 mod progressive_filling;
 mod reallocation;
--- a/quota/src/registry.rs
+++ b/quota/src/registry.rs
@@ -1,32 +1,32 @@
-//! The tenants, and what the operators' file configures for them.
+//! Tenants, and the limits that the operators' configuration sets for them.
 
 use serde::{Deserialize, Serialize};
 use siphasher::sip::SipHasher13;
 use std::hash::{Hash, Hasher};
 
-/// The name that the file has for calls of no tenant, or of an unknown one.
+/// Configuration name of the tenant for calls with no tenant or an unknown one.
 pub const DEFAULT_TENANT: &str = "others";
-/// Maximum number of tenants: what a report can hold.
-const MAX_TENANTS: usize = 256;
-/// Maximum length of a tenant's name, in bytes.
+/// Maximum number of tenants that fits into a report.
+const MAX_TENANT_COUNT: usize = 256;
 const MAX_NAME_BYTES: usize = 64;
-/// Weights are counted in parts of a whole of this many.
-const WEIGHT_SCALE: f64 = 1_000_000.0;
-/// Maximum portion of a tenant; the settings are not ours.
+/// Weight of a tenant whose portion is 1.
+const WEIGHT_PER_PORTION: f64 = 1_000_000.0;
+/// Upper bound that keeps weights in the range of their type.
 const MAX_PORTION: f64 = 1e6;
 
-/// What the operators' file says, before it is checked.
+/// Quota configuration as written by the operators, before validation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct QuotaConfig {
-    /// Maximum number of processes: guaranteed minimums are counted for so many.
+    /// Maximum number of processes that run at a time. Each cap provides the guaranteed minimums for that
+    /// many.
     pub max_proxies: u32,
-    /// Part of each cap that is guaranteed, in percent.
+    /// Part of each cap that is guaranteed to processes, in percent, 1 to 100.
     pub guaranteed_percent: u32,
-    /// Calls that a warm host of size 1 can have in flight; 0: there are no fair shares.
+    /// Calls that a warmed-up host of size 1 carries at a time; 0 turns fair shares off.
     pub calls_per_host: u32,
-    /// Part of the hosts' capacity that is left free, in percent.
+    /// Part of the hosts' capacity that is kept free, in percent, 0 to 99.
     pub margin_percent: u32,
-    /// Each a tenant's name and its cap over the fleet, as in `banca-trinacria 40`.
+    /// Lines of a tenant's name and its cap over the fleet, in calls, such as `banca-trinacria 40`.
     pub caps: Vec<String>,
 }
 
@@ -42,62 +42,62 @@
     }
 }
 
-/// Why a configuration cannot be used.
+/// Reason for which a configuration is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum QuotaConfigError {
-    /// No process at all.
-    #[error("proxies_most is 0; give the most client proxies that run at a time, those of a roll included")]
+    /// `max_proxies` is 0.
+    #[error("proxies_most is 0; set it to the maximum number of client proxies that run at a time, including those of a rolling update")]
     NoProxies,
-    /// A guaranteed part that cannot be.
-    #[error("own_percent is {0}; give 1 to 100")]
+    /// `guaranteed_percent` is not 1 to 100.
+    #[error("own_percent is {0}; it must be 1 to 100")]
     GuaranteedPercent(u32),
-    /// No capacity would be left.
-    #[error("margin_percent is {0}; give 0 to 99")]
+    /// `margin_percent` is 100 or more.
+    #[error("margin_percent is {0}; it must be 0 to 99")]
     MarginPercent(u32),
-    /// Not a name and a number.
-    #[error("caps has {0:?}; give a tenant's name and a number of calls, as in \"{DEFAULT_TENANT} 10\"")]
+    /// A line of `caps` is not a name and a number.
+    #[error("caps contains {0:?}; each entry must be a tenant name and a number of calls, such as \"{DEFAULT_TENANT} 10\"")]
     InvalidCap(String),
-    /// The settings have no such tenant.
-    #[error("caps names {tenant:?}, which the settings do not have; they have {known}, and \"{DEFAULT_TENANT}\" is the rest")]
+    /// A line of `caps` names a tenant that the settings do not have.
+    #[error("caps names the tenant {tenant:?}, which the settings do not define; the defined tenants are {known}, where \"{DEFAULT_TENANT}\" is all other calls")]
     UnknownTenant {
-        /// The name.
+        /// Name in the configuration.
         tenant: String,
-        /// The names that the settings have.
+        /// Names that the settings have, separated by commas.
         known: String,
     },
-    /// A tenant has two caps.
-    #[error("caps names {0:?} twice; leave one of them out")]
+    /// `caps` names a tenant twice.
+    #[error("caps names {0:?} twice; remove one entry")]
     DuplicateCap(String),
-    /// Two tenants have one name.
+    /// The settings give two tenants the same name, or the name of the default tenant.
     #[error(
-        "the settings name the tenant {0:?} twice or use the name of the rest; caps cannot tell them apart"
+        "the settings define the tenant {0:?} twice, or give it the reserved name \"{DEFAULT_TENANT}\"; names must be unique"
     )]
     AmbiguousTenant(String),
-    /// A report could not hold the tenants.
-    #[error("the settings have more than {MAX_TENANTS} tenants, or a name over {MAX_NAME_BYTES} bytes; leave [shares] out")]
+    /// The tenants do not fit into a report.
+    #[error("the settings have more than {MAX_TENANT_COUNT} tenants including \"{DEFAULT_TENANT}\", or a tenant name over {MAX_NAME_BYTES} bytes; remove the [shares] section")]
     TooManyTenants,
-    /// Some process would have no permit.
-    #[error("the cap of {tenant:?} is {cap}, but each of {proxies} proxies needs one call; raise it, or lower proxies_most")]
+    /// A cap is lower than the number of processes, each of which needs a permit.
+    #[error("the cap of {tenant:?} is {cap}, but each of {proxies} proxies needs at least one permit; raise the cap or lower proxies_most")]
     CapTooLow {
-        /// The tenant.
+        /// Tenant of the cap.
         tenant: String,
-        /// Its cap.
+        /// Configured cap, in permits.
         cap: u32,
-        /// The number of processes.
+        /// Configured maximum number of processes.
         proxies: u32,
     },
 }
 
-/// A tenant.
+/// A tenant with its weight and limits.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Tenant {
-    /// Its name.
+    /// Tenant name, unique in the registry.
     pub name: String,
-    /// Its weight relative to the others', in millionths; at least 1.
+    /// Weight relative to the other tenants, in millionths; at least 1.
     pub weight: u64,
-    /// Maximum number of permits over the fleet; `None`: it has no cap.
+    /// Maximum number of permits over the fleet; `None`: no cap.
     pub cap: Option<u32>,
-    /// The permits of the cap that each process is guaranteed.
+    /// Permits of the cap that are guaranteed to each process; 0 without a cap.
     pub guaranteed: u32,
 }
 
@@ -107,10 +107,11 @@
     }
 }
 
-/// A configuration that was checked.
+/// A validated quota configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct TenantRegistry {
-    /// In the order of the settings; the last is for calls of no tenant, or of an unknown one, and is always there.
+    /// Tenants in the order of the settings. The last one, always present, is for calls with no tenant or an
+    /// unknown one.
     pub tenants: Vec<Tenant>,
     /// See [`QuotaConfig::max_proxies`].
     pub max_proxies: u32,
@@ -118,21 +119,22 @@
     pub calls_per_host: u32,
     /// See [`QuotaConfig::margin_percent`].
     pub margin_percent: u32,
-    /// Differs between registries that allow something else.
+    /// Hash over all other fields, by which processes compare their configurations.
     pub digest: u64,
 }
 
 impl TenantRegistry {
-    /// Checks a configuration against the tenants of the settings, each with its portion of the service.
+    /// Validates a configuration against the tenants of the settings, given as pairs of name and portion of
+    /// the service.
     ///
     /// # Errors
     ///
-    /// What an operator has to change.
+    /// Returns the first problem found in the configuration or the tenants.
     pub fn new<'a>(
         config: &QuotaConfig,
         tenants: impl IntoIterator<Item = (&'a str, f64)>,
     ) -> Result<TenantRegistry, QuotaConfigError> {
-        check_numbers(config)?;
+        check_ranges(config)?;
         let mut registry = TenantRegistry {
             tenants: weighted_tenants(tenants)?,
             max_proxies: config.max_proxies,
@@ -153,7 +155,7 @@
         hasher.finish()
     }
 
-    /// Sets a tenant's cap by a line of the configuration.
+    /// Sets the cap of a tenant from one line of [`QuotaConfig::caps`].
     fn set_cap(&mut self, line: &str, guaranteed_percent: u32) -> Result<(), QuotaConfigError> {
         let parsed = line.trim().rsplit_once(char::is_whitespace);
         let parsed = parsed.and_then(|(name, cap)| Some((name.trim(), cap.parse::<u32>().ok()?)));
@@ -176,20 +178,21 @@
         Ok(())
     }
 
-    /// Permits of a cap beside all guaranteed minimums; `None`: the tenant has no cap.
+    /// Permits of a cap beyond the guaranteed minimums of all processes; `None`: the tenant has no cap, or
+    /// does not exist.
     pub fn pool(&self, tenant: usize) -> Option<u32> {
         let tenant = self.tenants.get(tenant)?;
         Some(tenant.cap?.saturating_sub(tenant.guaranteed.saturating_mul(self.max_proxies)))
     }
 
-    /// The place of the tenant with this name; that of the last, where there is none.
+    /// Returns the index of the tenant with this name, or that of the last one if there is none.
     pub fn index(&self, name: Option<&str>) -> usize {
         let last = self.tenants.len().saturating_sub(1);
         name.and_then(|name| self.tenants.iter().position(|tenant| tenant.name == name)).unwrap_or(last)
     }
 }
 
-fn check_numbers(config: &QuotaConfig) -> Result<(), QuotaConfigError> {
+fn check_ranges(config: &QuotaConfig) -> Result<(), QuotaConfigError> {
     if config.max_proxies == 0 {
         return Err(QuotaConfigError::NoProxies);
     }
@@ -202,7 +205,7 @@
     Ok(())
 }
 
-/// The tenants with their weights, and the rest as the last.
+/// Returns the tenants with their weights, followed by the default tenant.
 fn weighted_tenants<'a>(
     tenants: impl IntoIterator<Item = (&'a str, f64)>,
 ) -> Result<Vec<Tenant>, QuotaConfigError> {
@@ -212,22 +215,26 @@
         if name == DEFAULT_TENANT || named.iter().any(|tenant| tenant.name == name) {
             return Err(QuotaConfigError::AmbiguousTenant(name.to_owned()));
         }
-        if named.len() + 1 >= MAX_TENANTS || name.len() > MAX_NAME_BYTES {
+        if named.len() + 1 >= MAX_TENANT_COUNT || name.len() > MAX_NAME_BYTES {
             return Err(QuotaConfigError::TooManyTenants);
         }
         let portion = if portion.is_finite() { portion.clamp(0.0, MAX_PORTION) } else { 0.0 };
         total += portion;
         named.push(Tenant::uncapped(name, weight(portion)));
     }
-    // The rest weighs what the portions leave, and no less than the lightest tenant.
+    // The default tenant gets the weight that the portions leave, and at least that of the lightest tenant.
     let lightest = named.iter().map(|tenant| tenant.weight).min().unwrap_or(1);
     named.push(Tenant::uncapped(DEFAULT_TENANT, weight(1.0 - total).max(lightest)));
     Ok(named)
 }
 
-#[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "a portion is 0 to MAX_PORTION")]
+#[expect(
+    clippy::cast_possible_truncation,
+    clippy::cast_sign_loss,
+    reason = "portions are at most MAX_PORTION"
+)]
 fn weight(portion: f64) -> u64 {
-    ((portion * WEIGHT_SCALE).round().max(0.0) as u64).max(1)
+    ((portion * WEIGHT_PER_PORTION).round().max(0.0) as u64).max(1)
 }
 
 #[cfg(test)]
--- a/quota/src/registry/tests.rs
+++ b/quota/src/registry/tests.rs
@@ -1,5 +1,3 @@
-//! Unit tests of the registry.
-
 use super::*;
 
 const BANKS: [(&str, f64); 2] = [("banca-trinacria", 0.6), ("cassa-iblea", 0.3)];
--- a/quota/src/view.rs
+++ b/quota/src/view.rs
@@ -1,4 +1,4 @@
-//! What operators see of the fleet. The names of the keys in JSON are those of the side port.
+//! Status of quotas over the fleet, as shown to operators. The JSON keys are those of the status pages.
 
 use crate::ledger::{ProcessUsage, QuotaLedger};
 use flaxhead_lease::Micros;
@@ -6,42 +6,42 @@
 
 const MICROS_PER_SECOND: Micros = 1_000_000;
 
-/// A process that has permits of a tenant.
+/// Process that holds permits of a tenant.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PermitHolderView {
-    /// The process.
+    /// Process name.
     pub name: String,
-    /// Permits that it may use beside its guaranteed minimum, or has in flight beyond it.
+    /// Permits granted beyond the guaranteed minimum, or in flight beyond it if that is more.
     pub granted: u32,
-    /// Calls in flight, by its last report.
+    /// Calls in flight by the last report.
     #[serde(rename = "in_hand")]
     pub in_flight: u32,
 }
 
-/// A tenant, over the fleet.
+/// Status of a tenant over the fleet.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TenantView {
-    /// Its name.
+    /// Tenant name.
     pub name: String,
-    /// Maximum number of calls in flight; `None`: it has no cap.
+    /// Maximum number of calls in flight; `None`: no cap.
     pub cap: Option<u32>,
-    /// Its fair share of what the hosts carry, in calls; `None`: not agreed upon.
+    /// Fair share of the hosts' capacity, in calls; `None`: the capacity is unknown or not configured.
     #[serde(rename = "share")]
     pub fair_share: Option<u32>,
-    /// Permits that are granted, with the guaranteed minimums of processes that have a slot.
+    /// Permits granted, including the guaranteed minimums of processes that have a slot.
     pub granted: u32,
     /// Calls in flight.
     #[serde(rename = "in_hand")]
     pub in_flight: u32,
-    /// The part of its fair share that others may use, as it does not.
+    /// Unused part of the fair share, which other tenants may use.
     pub lent: u32,
-    /// Calls that wait for a permit.
+    /// Calls queued for a permit.
     #[serde(rename = "waiting")]
     pub queued: u32,
-    /// Calls that were rejected for want of one, by the last report of each process.
+    /// Calls rejected for lack of a permit, by the last report of each process.
     #[serde(rename = "refused")]
     pub rejected: u32,
-    /// The processes that have permits of it.
+    /// Processes that hold permits of the tenant.
     #[serde(rename = "held_by")]
     pub holders: Vec<PermitHolderView>,
 }
@@ -60,21 +60,22 @@
     }
 }
 
-/// The fleet, as the leader knows it.
+/// Status of the fleet as known to the leader.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuotaView {
-    /// By tenant.
+    /// Status by tenant, in the order of the settings.
     pub tenants: Vec<TenantView>,
-    /// Calls that the hosts carry, less the margin; `None`: not agreed upon.
+    /// Calls that the hosts carry, less the margin; `None`: unknown or not configured.
     #[serde(rename = "carried")]
     pub capacity: Option<u32>,
-    /// Why less is granted than there is: `learning for 9 s more`, `not heard: n3`, `no seat: n9`, `caps differ at n2`.
+    /// Reasons for which less is granted than the caps allow: `learning for 9 s more`, `not heard: n3`, `no
+    /// seat: n9`, `caps differ at n2`.
     #[serde(rename = "why")]
     pub reasons: Vec<String>,
 }
 
 impl QuotaLedger {
-    /// What operators see.
+    /// Returns the status of the fleet at `now`.
     pub fn view(&self, now: Micros) -> QuotaView {
         let tenants = (0..self.tenants().len()).map(|tenant| self.tenant_view(now, tenant)).collect();
         QuotaView { tenants, capacity: self.capacity(), reasons: self.reasons(now) }
@@ -98,9 +99,9 @@
             let seconds = (until - now).div_ceil(MICROS_PER_SECOND);
             reasons.push(format!("learning for {seconds} s more"));
         }
-        let mut add = |what: &str, names: Vec<String>| {
+        let mut add = |prefix: &str, names: Vec<String>| {
             if !names.is_empty() {
-                reasons.push(format!("{what} {}", names.join(" ")));
+                reasons.push(format!("{prefix} {}", names.join(" ")));
             }
         };
         add("not heard:", self.silent(now));
