--- a/quota/benches/admission.rs
+++ b/quota/benches/admission.rs
@@ -1,5 +1,5 @@
-//! What the gate takes for a call, from its asking to its unit's coming back: where units are free, and where all
-//! tenants wait for them.
+//! Time of the admission controller for a call from its request to the release of its permit, with free
+//! permits and with queues of all tenants.
 //!
 //! `cargo bench -p flaxhead-quota`
 #![expect(clippy::cast_possible_truncation, reason = "the counts of a test are small")]
@@ -13,7 +13,7 @@
 use flaxhead_quota::{Allowance, TenantAllowance};
 use std::hint::black_box;
 
-/// A gate of so many tenants, with the moment that it is at and whose unit comes back next.
+/// Admission controller with its clock and the tenants of the calls in flight, in order of release.
 struct Bench {
     gate: AdmissionController,
     now: u64,
@@ -47,7 +47,7 @@
         }
     }
 
-    /// One call comes and one ends; both see that somebody is served.
+    /// Starts a call and ends the oldest one.
     fn call(&mut self, n: usize) {
         self.now += 50;
         self.ask(n);
--- a/quota/benches/shares.rs
+++ b/quota/benches/shares.rs
@@ -1,6 +1,6 @@
-//! Shares at fleets of several sizes, in virtual time: how fast they follow a change, how much of what the hosts carry is
-//! used, how fast an owner is back, what is sent, and how long all caps take to be whole after all were restarted; beside
-//! a fixed split and beside nothing that is shared.
+//! Simulated fleets of several sizes: speed and accuracy of fair shares after changes of demand, use of
+//! capacity, return of lent permits, messages, and time to recover after restarts, compared with fixed parts
+//! and with no limits.
 #![expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
@@ -12,248 +12,271 @@
 
 use flaxhead_quota::max_min::{allocate_max_min, Demand};
 use flaxhead_quota::{Micros, QuotaTiming};
-use fleet::{site, Fleet, Mode, Plan, SECOND};
+use fleet::{site, Fleet, Mode, Scenario, SECOND};
 use std::time::Instant;
 
 const STEP: Micros = SECOND / 20;
 
-fn plan(processes: usize, mode: Mode, seed: u64) -> Plan {
-    Plan {
+fn scenario(processes: usize, mode: Mode, seed: u64) -> Scenario {
+    Scenario {
         processes,
         voters: processes.min(5),
-        proxies_most: processes as u32,
+        max_proxies: processes as u32,
         site: site("banks", 4 * processes as u32),
         hosts: 2 * processes,
-        host_calls: 8,
-        pace: QuotaTiming {
+        calls_per_host: 8,
+        timing: QuotaTiming {
             lease: 6 * SECOND,
             max_call_duration: 10 * SECOND,
             autonomy_timeout: 15 * SECOND,
         },
-        call: SECOND / 10,
-        long_calls: false,
-        tick: if processes > 50 { SECOND / 50 } else { SECOND / 200 },
-        fault_every: 0,
-        shift_every: 0,
-        loss: 0.0,
+        call_duration: SECOND / 10,
+        has_long_calls: false,
+        call_interval: if processes > 50 { SECOND / 50 } else { SECOND / 200 },
+        fault_interval: 0,
+        demand_change_interval: 0,
+        loss_ratio: 0.0,
         mode,
         seed,
     }
 }
 
-/// What each tenant gets of what the hosts carry by one scheduler that sees all.
-fn exact(fleet: &Fleet, carried: u32) -> Vec<u32> {
-    let tenants = fleet.book().tenants.iter().enumerate();
-    let wants = tenants.map(|(at, tenant)| {
-        let demand = fleet.wanted(at).min(tenant.cap.unwrap_or(u32::MAX));
+/// Fair allocation by a scheduler with full knowledge of the demand.
+fn fair_allocation(fleet: &Fleet, capacity: u32) -> Vec<u32> {
+    let tenants = fleet.registry().tenants.iter().enumerate();
+    let demands = tenants.map(|(tenant_index, tenant)| {
+        let demand = fleet.total_demand(tenant_index).min(tenant.cap.unwrap_or(u32::MAX));
         Demand { weight: tenant.weight, minimum: demand.min(1), wanted: demand }
     });
-    allocate_max_min(carried, &wants.collect::<Vec<_>>())
+    allocate_max_min(capacity, &demands.collect::<Vec<_>>())
 }
 
-/// Worst and mean deviation of what is in hand, over tenants that should have any, in percent.
-fn off(in_hand: &[f64], exact: &[u32]) -> (f64, f64) {
-    let off = |(at, exact): (usize, &u32)| {
-        (*exact > 0).then(|| 100.0 * (in_hand[at] / f64::from(*exact) - 1.0).abs())
+/// Largest and mean relative deviation of calls in flight from the fair allocation, over tenants with a
+/// share, in percent.
+fn deviation(in_flight: &[f64], fair_allocation: &[u32]) -> (f64, f64) {
+    let relative = |(tenant_index, fair_allocation): (usize, &u32)| {
+        (*fair_allocation > 0)
+            .then(|| 100.0 * (in_flight[tenant_index] / f64::from(*fair_allocation) - 1.0).abs())
     };
-    let off: Vec<f64> = exact.iter().enumerate().filter_map(off).collect();
-    (off.iter().copied().fold(0.0, f64::max), off.iter().sum::<f64>() / off.len().max(1) as f64)
+    let deviations: Vec<f64> = fair_allocation.iter().enumerate().filter_map(relative).collect();
+    (
+        deviations.iter().copied().fold(0.0, f64::max),
+        deviations.iter().sum::<f64>() / deviations.len().max(1) as f64,
+    )
 }
 
-fn place(sorted: &mut [f64], share: f64) -> f64 {
-    sorted.sort_by(f64::total_cmp);
-    let place = (sorted.len() as f64 * share).ceil().max(1.0) as usize - 1;
-    sorted.get(place).copied().unwrap_or(f64::NAN)
+fn percentile(values: &mut [f64], ratio: f64) -> f64 {
+    values.sort_by(f64::total_cmp);
+    let rank = (values.len() as f64 * ratio).ceil().max(1.0) as usize - 1;
+    values.get(rank).copied().unwrap_or(f64::NAN)
 }
 
-/// Each tenant's calls at one half of the processes; with every change other tenants, and the other half.
-fn change(fleet: &mut Fleet, processes: usize, round: usize) {
-    for tenant in 0..fleet.book().tenants.len() {
-        let idle = (tenant + round).is_multiple_of(4);
-        let half = (tenant + round / 2) % 2;
-        for place in 0..processes {
-            let there = place * 2 / processes == half;
-            let calls = [24, 10, 6, 16][(tenant * 3 + round + place) % 4];
-            fleet.want(place, tenant, if idle || !there { 0 } else { calls });
+/// Sets each tenant's demand at one half of the processes. Each round uses other tenants and the other half.
+fn set_round_demands(fleet: &mut Fleet, processes: usize, round: usize) {
+    for tenant in 0..fleet.registry().tenants.len() {
+        let is_idle = (tenant + round).is_multiple_of(4);
+        let active_half = (tenant + round / 2) % 2;
+        for node in 0..processes {
+            let is_active = node * 2 / processes == active_half;
+            let calls = [24, 10, 6, 16][(tenant * 3 + round + node) % 4];
+            fleet.set_demand(node, tenant, if is_idle || !is_active { 0 } else { calls });
         }
     }
 }
 
-fn changes(processes: usize, mode: Mode, rounds: usize) {
-    let start = Instant::now();
-    let plan = plan(processes, mode, 1);
-    let carried = plan.hosts as u32 * plan.host_calls * 9 / 10;
-    let mut fleet = Fleet::new(plan);
-    change(&mut fleet, processes, 0);
-    fleet.play(40 * SECOND);
-    let (mut one, mut two, mut four, mut recent) = (Vec::new(), Vec::new(), Vec::new(), Vec::new());
-    let (mut used, mut over) = (Vec::new(), Vec::new());
-    let (mut worst, mut passed) = (0.0_f64, 0);
+fn measure_demand_changes(processes: usize, mode: Mode, rounds: usize) {
+    let started = Instant::now();
+    let scenario = scenario(processes, mode, 1);
+    let capacity = scenario.hosts as u32 * scenario.calls_per_host * 9 / 10;
+    let mut fleet = Fleet::new(scenario);
+    set_round_demands(&mut fleet, processes, 0);
+    fleet.run(40 * SECOND);
+    let (mut after_1s, mut after_2s, mut after_4s, mut samples) =
+        (Vec::new(), Vec::new(), Vec::new(), Vec::new());
+    let (mut usage_ratios, mut load_ratios) = (Vec::new(), Vec::new());
+    let (mut worst_deviation, mut cap_violation_count) = (0.0_f64, 0);
     for round in 1..=rounds {
-        change(&mut fleet, processes, round);
-        let exact = exact(&fleet, carried);
-        let whole: u32 = exact.iter().sum();
+        set_round_demands(&mut fleet, processes, round);
+        let fair = fair_allocation(&fleet, capacity);
+        let allocated: u32 = fair.iter().sum();
         for step in 1..=4 * SECOND / STEP {
-            fleet.play(STEP);
-            let in_hand: u32 = (0..exact.len()).map(|at| fleet.in_hand(at)).sum();
-            used.push(f64::from(in_hand.min(whole)) / f64::from(whole));
-            over.push(f64::from(in_hand) / f64::from(carried));
-            let caps = fleet.book().tenants.iter().enumerate();
-            passed += u32::from(caps.clone().any(|(at, t)| t.cap.is_some_and(|cap| fleet.in_hand(at) > cap)));
-            // What is in hand, as a mean over the last fifth of a second.
-            recent.push((0..exact.len()).map(|at| f64::from(fleet.in_hand(at))).collect::<Vec<f64>>());
-            recent.drain(..recent.len().saturating_sub(4));
-            let means = (0..exact.len()).map(|at| recent.iter().map(|of| of[at]).sum::<f64>() / 4.0);
-            let (most, mean) = off(&means.collect::<Vec<f64>>(), &exact);
+            fleet.run(STEP);
+            let in_flight: u32 = (0..fair.len()).map(|tenant_index| fleet.in_flight(tenant_index)).sum();
+            usage_ratios.push(f64::from(in_flight.min(allocated)) / f64::from(allocated));
+            load_ratios.push(f64::from(in_flight) / f64::from(capacity));
+            let caps = fleet.registry().tenants.iter().enumerate();
+            cap_violation_count += u32::from(
+                caps.clone()
+                    .any(|(tenant_index, t)| t.cap.is_some_and(|cap| fleet.in_flight(tenant_index) > cap)),
+            );
+            // Calls in flight, averaged over the last four samples.
+            samples.push(
+                (0..fair.len())
+                    .map(|tenant_index| f64::from(fleet.in_flight(tenant_index)))
+                    .collect::<Vec<f64>>(),
+            );
+            samples.drain(..samples.len().saturating_sub(4));
+            let averages = (0..fair.len())
+                .map(|tenant_index| samples.iter().map(|sample| sample[tenant_index]).sum::<f64>() / 4.0);
+            let (largest, mean) = deviation(&averages.collect::<Vec<f64>>(), &fair);
             match step * STEP {
-                SECOND => one.push(mean),
+                SECOND => after_1s.push(mean),
                 after if after == 2 * SECOND => {
-                    worst = worst.max(most);
-                    two.push(mean);
+                    worst_deviation = worst_deviation.max(largest);
+                    after_2s.push(mean);
                 }
-                after if after == 4 * SECOND => four.push(mean),
+                after if after == 4 * SECOND => after_4s.push(mean),
                 _ => {}
             }
         }
     }
-    let mean = |of: &[f64]| of.iter().sum::<f64>() / of.len() as f64;
+    let mean = |values: &[f64]| values.iter().sum::<f64>() / values.len() as f64;
     println!(
-        "{processes} processes, {mode:?}: off exact max-min after 1 s {:.1}% (p90 {:.1}), after 2 s {:.1}% (p90 {:.1}, one tenant {worst:.0}), after 4 s {:.1}%; \
-         use of capacity {:.3}; most calls beside what hosts carry {:.2}; over a cap in {:.1}% of the time; {:.0} s to play",
-        mean(&one),
-        place(&mut one, 0.9),
-        mean(&two),
-        place(&mut two, 0.9),
-        mean(&four),
-        mean(&used),
-        over.iter().copied().fold(0.0, f64::max),
-        100.0 * f64::from(passed) / used.len() as f64,
-        start.elapsed().as_secs_f64()
+        "{processes} processes, {mode:?}: mean deviation from max-min fairness after 1 s {:.1}% (p90 {:.1}), after 2 s {:.1}% (p90 {:.1}, largest of one tenant {worst_deviation:.0}), after 4 s {:.1}%; \
+         use of capacity {:.3}; maximum ratio of calls to capacity {:.2}; a cap exceeded in {:.1}% of the samples; run time {:.0} s",
+        mean(&after_1s),
+        percentile(&mut after_1s, 0.9),
+        mean(&after_2s),
+        percentile(&mut after_2s, 0.9),
+        mean(&after_4s),
+        mean(&usage_ratios),
+        load_ratios.iter().copied().fold(0.0, f64::max),
+        100.0 * f64::from(cap_violation_count) / usage_ratios.len() as f64,
+        started.elapsed().as_secs_f64()
     );
 }
 
-/// A tenant without calls comes back, while another uses all that is there.
-fn owner_back(processes: usize, mode: Mode, rounds: usize) {
-    let plan = plan(processes, mode, 2);
-    let carried = plan.hosts as u32 * plan.host_calls * 9 / 10;
-    let mut fleet = Fleet::new(plan);
+/// Measures how long a tenant needs to get back lent permits from a tenant that uses all capacity.
+fn measure_return_of_lent_permits(processes: usize, mode: Mode, rounds: usize) {
+    let scenario = scenario(processes, mode, 2);
+    let capacity = scenario.hosts as u32 * scenario.calls_per_host * 9 / 10;
+    let mut fleet = Fleet::new(scenario);
     let (owner, lender) = (2, 3);
-    for place in 0..processes {
-        fleet.want(place, lender, 40);
+    for node in 0..processes {
+        fleet.set_demand(node, lender, 40);
     }
-    fleet.play(40 * SECOND);
-    let mut took = Vec::new();
+    fleet.run(40 * SECOND);
+    let mut elapsed_secs = Vec::new();
     for round in 0..rounds {
-        // At all processes, at half of them, at one.
-        let there = |place: usize| match round % 3 {
+        // Demand returns at all processes, at half of them, or at one.
+        let is_active = |node: usize| match round % 3 {
             0 => true,
-            1 => place * 2 < processes,
-            _ => place == round % processes,
+            1 => node * 2 < processes,
+            _ => node == round % processes,
         };
-        for place in (0..processes).filter(|place| there(*place)) {
-            fleet.want(place, owner, 40);
+        for node in (0..processes).filter(|node| is_active(*node)) {
+            fleet.set_demand(node, owner, 40);
         }
-        let share = exact(&fleet, carried)[owner];
-        let since = fleet.now;
-        while fleet.now < since + 10 * SECOND && fleet.in_hand(owner) * 100 < share * 95 {
-            fleet.play(SECOND / 100);
+        let fair_share = fair_allocation(&fleet, capacity)[owner];
+        let started_at = fleet.now;
+        while fleet.now < started_at + 10 * SECOND && fleet.in_flight(owner) * 100 < fair_share * 95 {
+            fleet.run(SECOND / 100);
         }
-        took.push((fleet.now - since) as f64 / 1e6);
-        (0..processes).for_each(|place| fleet.want(place, owner, 0));
-        fleet.play(6 * SECOND);
+        elapsed_secs.push((fleet.now - started_at) as f64 / 1e6);
+        (0..processes).for_each(|node| fleet.set_demand(node, owner, 0));
+        fleet.run(6 * SECOND);
     }
     println!(
-        "{processes} processes, {mode:?}: owner back at 95% of its share after lending: p50 {:.2} s, p99 {:.2} s (10 s: not)",
-        place(&mut took, 0.5),
-        place(&mut took, 0.99)
+        "{processes} processes, {mode:?}: time until a tenant has 95% of its lent share again: p50 {:.2} s, p99 {:.2} s (10 s: timed out)",
+        percentile(&mut elapsed_secs, 0.5),
+        percentile(&mut elapsed_secs, 0.99)
     );
 }
 
-fn sent(processes: usize) {
-    let mut fleet = Fleet::new(plan(processes, Mode::Settled, 3));
-    change(&mut fleet, processes, 1);
-    fleet.play(40 * SECOND);
-    let before = fleet.seen.clone();
-    fleet.play(20 * SECOND);
-    let each = |now: u64, before: u64| (now - before) as f64 / 20.0 / processes as f64;
+fn measure_messages(processes: usize) {
+    let mut fleet = Fleet::new(scenario(processes, Mode::Coordinated, 3));
+    set_round_demands(&mut fleet, processes, 1);
+    fleet.run(40 * SECOND);
+    let stats_before = fleet.stats.clone();
+    fleet.run(20 * SECOND);
+    let per_process_and_second =
+        |now: u64, stats_before: u64| (now - stats_before) as f64 / 20.0 / processes as f64;
     println!(
-        "{processes} processes: {:.1} messages and {:.0} bytes a process and second; {:.2} allowances pushed",
-        each(fleet.seen.messages, before.messages),
-        each(fleet.seen.bytes, before.bytes),
-        each(fleet.seen.pushed, before.pushed)
+        "{processes} processes: per process and second {:.1} messages, {:.0} bytes, {:.2} changes of the allowance",
+        per_process_and_second(fleet.stats.messages, stats_before.messages),
+        per_process_and_second(fleet.stats.bytes, stats_before.bytes),
+        per_process_and_second(fleet.stats.allowance_changes, stats_before.allowance_changes)
     );
 }
 
-fn restarted(processes: usize, killed: usize, seed: u64) {
-    let mut fleet = Fleet::new(plan(processes, Mode::Settled, seed));
-    let capped: Vec<(usize, u32)> =
-        fleet.book().tenants.iter().enumerate().filter_map(|(at, t)| Some((at, t.cap?))).collect();
-    for place in 0..processes {
-        capped.iter().for_each(|(tenant, _)| fleet.want(place, *tenant, 40));
+fn measure_restart(processes: usize, restart_count: usize, seed: u64) {
+    let mut fleet = Fleet::new(scenario(processes, Mode::Coordinated, seed));
+    let capped: Vec<(usize, u32)> = fleet
+        .registry()
+        .tenants
+        .iter()
+        .enumerate()
+        .filter_map(|(tenant_index, t)| Some((tenant_index, t.cap?)))
+        .collect();
+    for node in 0..processes {
+        capped.iter().for_each(|(tenant, _)| fleet.set_demand(node, *tenant, 40));
     }
-    fleet.play(60 * SECOND);
-    (0..killed).for_each(|place| fleet.kill(place));
-    fleet.play(SECOND);
-    (0..killed).for_each(|place| fleet.launch(place));
-    let (since, all) = (fleet.now, capped.iter().map(|(_, cap)| cap).sum::<u32>());
-    let (mut own, mut half, mut whole) = (None, None, None);
-    while fleet.now < since + 60 * SECOND && whole.is_none() {
-        fleet.play(SECOND / 50);
-        let usable = capped.iter().map(|(tenant, _)| fleet.allowed(*tenant)).sum::<u32>();
-        let took = (fleet.now - since) as f64 / 1e6;
-        let parts =
-            capped.iter().map(|(at, _)| fleet.book().tenants[*at].guaranteed).sum::<u32>() * processes as u32;
-        own = own.or((usable >= parts).then_some(took));
-        half = half.or((usable * 2 >= all).then_some(took));
-        whole = whole.or((usable == all).then_some(took));
+    fleet.run(60 * SECOND);
+    (0..restart_count).for_each(|node| fleet.kill(node));
+    fleet.run(SECOND);
+    (0..restart_count).for_each(|node| fleet.start(node));
+    let (started_at, all_permits) = (fleet.now, capped.iter().map(|(_, cap)| cap).sum::<u32>());
+    let (mut minimums_after, mut half_after, mut all_after) = (None, None, None);
+    while fleet.now < started_at + 60 * SECOND && all_after.is_none() {
+        fleet.run(SECOND / 50);
+        let usable = capped.iter().map(|(tenant, _)| fleet.total_usable(*tenant)).sum::<u32>();
+        let elapsed_secs = (fleet.now - started_at) as f64 / 1e6;
+        let minimums = capped
+            .iter()
+            .map(|(tenant_index, _)| fleet.registry().tenants[*tenant_index].guaranteed)
+            .sum::<u32>()
+            * processes as u32;
+        minimums_after = minimums_after.or((usable >= minimums).then_some(elapsed_secs));
+        half_after = half_after.or((usable * 2 >= all_permits).then_some(elapsed_secs));
+        all_after = all_after.or((usable == all_permits).then_some(elapsed_secs));
     }
     println!(
-        "{processes} processes, {killed} killed and started: own parts after {:.1} s, half of the caps {:.1} s, all {:.1} s",
-        own.unwrap_or(f64::NAN),
-        half.unwrap_or(f64::NAN),
-        whole.unwrap_or(f64::NAN)
+        "{processes} processes, {restart_count} restarted: guaranteed minimums usable after {:.1} s, half of the caps {:.1} s, all {:.1} s",
+        minimums_after.unwrap_or(f64::NAN),
+        half_after.unwrap_or(f64::NAN),
+        all_after.unwrap_or(f64::NAN)
     );
 }
 
-fn through_faults(processes: usize, lasts: Micros) {
-    let start = Instant::now();
-    let pace =
+fn measure_faults(processes: usize, duration: Micros) {
+    let started = Instant::now();
+    let timing =
         QuotaTiming { lease: 6 * SECOND, max_call_duration: 10 * SECOND, autonomy_timeout: 15 * SECOND };
-    let mut fleet = Fleet::new(Plan {
-        fault_every: SECOND / 3,
-        shift_every: SECOND / 10,
-        loss: 0.05,
-        call: 2 * SECOND,
-        long_calls: true,
-        tick: SECOND / 10,
-        pace,
-        ..plan(processes, Mode::Settled, 4)
+    let mut fleet = Fleet::new(Scenario {
+        fault_interval: SECOND / 3,
+        demand_change_interval: SECOND / 10,
+        loss_ratio: 0.05,
+        call_duration: 2 * SECOND,
+        has_long_calls: true,
+        call_interval: SECOND / 10,
+        timing,
+        ..scenario(processes, Mode::Coordinated, 4)
     });
-    fleet.play(lasts);
+    fleet.run(duration);
     println!(
-        "{processes} processes, {:.0} s with {} faults, {} calls, {} messages: over a cap {} times, most {:?}; {:.0} s to play",
-        lasts as f64 / 1e6,
-        fleet.seen.faults,
-        fleet.seen.calls,
-        fleet.seen.messages,
-        fleet.seen.over,
-        fleet.seen.most,
-        start.elapsed().as_secs_f64()
+        "{processes} processes, {:.0} s with {} faults, {} calls, {} messages: caps exceeded {} times, maximum usage {:?}; run time {:.0} s",
+        duration as f64 / 1e6,
+        fleet.stats.faults,
+        fleet.stats.calls,
+        fleet.stats.messages,
+        fleet.stats.cap_violations,
+        fleet.stats.peak_usage,
+        started.elapsed().as_secs_f64()
     );
 }
 
 fn main() {
-    for mode in [Mode::Settled, Mode::Fixed, Mode::Nothing] {
-        changes(8, mode, 24);
-        owner_back(8, mode, 30);
+    for mode in [Mode::Coordinated, Mode::StaticSplit, Mode::Unlimited] {
+        measure_demand_changes(8, mode, 24);
+        measure_return_of_lent_permits(8, mode, 30);
     }
-    [5, 50, 300].into_iter().for_each(sent);
-    for (processes, killed) in [(8, 8), (8, 7), (300, 300)] {
-        (1..=3).for_each(|seed| restarted(processes, killed, seed));
+    [5, 50, 300].into_iter().for_each(measure_messages);
+    for (processes, restart_count) in [(8, 8), (8, 7), (300, 300)] {
+        (1..=3).for_each(|seed| measure_restart(processes, restart_count, seed));
     }
-    for mode in [Mode::Settled, Mode::Fixed, Mode::Nothing] {
-        changes(300, mode, 8);
+    for mode in [Mode::Coordinated, Mode::StaticSplit, Mode::Unlimited] {
+        measure_demand_changes(300, mode, 8);
     }
-    owner_back(300, Mode::Settled, 12);
-    through_faults(300, 1_200 * SECOND);
+    measure_return_of_lent_permits(300, Mode::Coordinated, 12);
+    measure_faults(300, 1_200 * SECOND);
 }
--- a/quota/src/admission/fair_order.rs
+++ b/quota/src/admission/fair_order.rs
@@ -3,7 +3,7 @@
 //! As in deficit round robin (Shreedhar and Varghese, "Efficient fair queueing using deficit round robin",
 //! 1995), each tenant has a deficit that grows with its weight and shrinks by one with each admitted call.
 //! Round robin order can leave a tenant a quantum and a call behind. Here the next tenant is the one that
-//! would be a whole call behind the soonest, among those whose deficit permits a call now (Tijdeman, "The
+//! would be a whole call behind the soonest, among those that are not ahead of their share (Tijdeman, "The
 //! chairman assignment problem", 1980; Baruah et al., "Proportionate progress", 1996). This bounds the
 //! deficit by one call.
 
--- a/quota/src/registry.rs
+++ b/quota/src/registry.rs
@@ -58,7 +58,7 @@
     #[error("caps contains {0:?}; each entry must be a tenant name and a number of calls, such as \"{DEFAULT_TENANT} 10\"")]
     InvalidCap(String),
     /// A line of `caps` names a tenant that the settings do not have.
-    #[error("caps names the tenant {tenant:?}, which the settings do not define; the defined tenants are {known}, where \"{DEFAULT_TENANT}\" is all other calls")]
+    #[error("caps names {tenant:?}, which the settings do not define; the defined tenants are {known}, where \"{DEFAULT_TENANT}\" is all other calls")]
     UnknownTenant {
         /// Name in the configuration.
         tenant: String,
--- a/quota/tests/admission.rs
+++ b/quota/tests/admission.rs
@@ -1,4 +1,4 @@
-//! What must hold at the gate whatever comes, from drawn events. All is reckoned from what goes in and comes out.
+//! Properties of the admission controller under random events, computed from its inputs and outputs only.
 #![expect(clippy::cast_possible_truncation, reason = "the counts of a test are small")]
 
 use flaxhead_quota::admission::{
@@ -54,16 +54,16 @@
     AdmissionConfig { classes, tenant_count: TENANTS, max_queue: 12, max_retry_after: 400 }
 }
 
-/// A gate, and what its events come to.
+/// Admission controller with a reference model of its state.
 struct Play {
     gate: AdmissionController,
     now: u64,
     allowance: Allowance,
-    /// Whose units are in hand.
+    /// Tenants of the calls in flight.
     out: Vec<usize>,
-    /// Calls that wait, with the moment at which they are given up.
+    /// Queued calls with their tenant and queue timeout.
     waiting: BTreeMap<QueuedCall, (usize, u64)>,
-    /// What tenants are behind their share among those that wait for the same units, below their share or above it.
+    /// Deficit of each tenant among those below their share, and among those at or above it, in calls.
     behind: [[f64; TENANTS]; 2],
     asked: usize,
     answered: usize,
@@ -107,7 +107,7 @@
         Ok(())
     }
 
-    /// A waiting call enters: nobody who waits below its share is passed by one above it, and nobody falls behind.
+    /// Checks the order of admissions: tenants below their share come first, and no deficit exceeds one call.
     fn reckon(&mut self, tenant: usize) -> Result<(), TestCaseError> {
         if self.allowance.total.is_none() {
             return Ok(());
@@ -117,8 +117,8 @@
         prop_assert!(!above || able.iter().all(|t| self.is_above(*t)), "{tenant} before an owner");
         let rivals: Vec<usize> = able.into_iter().filter(|t| self.is_above(*t) == above).collect();
         let behind = &self.behind[usize::from(above)];
-        // Who had more than its share still takes part until that is worked off; else whoever does not wait is owed
-        // nothing.
+        // A tenant ahead of its share takes part until it has worked that off; other tenants that do not wait
+        // accrue no deficit.
         let takes_part = |t: &usize| rivals.contains(t) || behind[*t] < 0.0;
         let all: f64 = (0..TENANTS).filter(takes_part).map(|t| self.weight(t)).sum();
         for t in 0..TENANTS {
@@ -243,13 +243,13 @@
         for event in events {
             play.feed(event)?;
         }
-        // Each call has had its one word once its time is over.
+        // Every call has got its verdict after its deadline.
         play.feed(Event::Time(10_000))?;
         prop_assert!(play.waiting.is_empty());
         prop_assert_eq!(play.asked, play.answered);
     }
 
-    /// Lines that never run dry, units of any weight: nobody is ever more than one call behind.
+    /// Guards against starvation while all queues stay filled, for shares of any size.
     #[test]
     fn among_those_that_wait_nobody_falls_behind(
         shares in proptest::collection::vec(1_u32..60, TENANTS), ends in proptest::collection::vec(any::<usize>(), 1..400),
@@ -285,7 +285,8 @@
 fn a_call_whose_turn_cannot_come_in_time_is_turned_away_at_once() {
     let mut gate = one_tenant(1);
     assert_eq!(ask(&mut gate, 0), AdmissionDecision::Decided(Verdict::Admitted));
-    // A unit came free each 400: the second in the line would have its turn after 800 of its 900, the third never.
+    // A permit was released every 400 us: the second call in the queue would be admitted after 800 us of its
+    // 900 us, the third too late.
     for now in [400, 800, 1_200, 1_600] {
         gate.release(now, None, &mut Verdicts::new());
         assert_eq!(ask(&mut gate, now), AdmissionDecision::Decided(Verdict::Admitted));
@@ -296,7 +297,8 @@
         matches!(refused[2], AdmissionDecision::Decided(Verdict::Rejected { retry_after: 400 })),
         "{refused:?}"
     );
-    // Nothing ended for as long as a client waits: what waits may still be next, but nobody behind it.
+    // No permit was released for almost the whole deadline: the first queued call may still get the next one,
+    // but none behind it.
     let mut gate = one_tenant(1);
     assert_eq!(ask(&mut gate, 0), AdmissionDecision::Decided(Verdict::Admitted));
     assert!(matches!(ask(&mut gate, 850), AdmissionDecision::Queued(_)));
--- a/quota/tests/fault_injection.rs
+++ b/quota/tests/fault_injection.rs
@@ -1,59 +1,67 @@
-//! Fleets in virtual time with a fault every few seconds, judged at every step against the caps.
+//! Simulated fleets with frequent faults, whose usable permits are checked against the caps throughout.
 #![expect(clippy::cast_possible_truncation, reason = "the counts of a test are small")]
 
 mod fleet;
 
 use flaxhead_quota::QuotaTiming;
-use fleet::{site, Fleet, Mode, Plan, SECOND};
+use fleet::{site, Fleet, Mode, Scenario, SECOND};
 
-fn plan(name: &str, processes: usize, seed: u64) -> Plan {
-    Plan {
+fn scenario(name: &str, processes: usize, seed: u64) -> Scenario {
+    Scenario {
         processes,
         voters: 3,
-        proxies_most: processes as u32,
+        max_proxies: processes as u32,
         site: site(name, 4 * processes as u32),
         hosts: 2 * processes,
-        host_calls: 8,
-        pace: QuotaTiming { lease: 3 * SECOND, max_call_duration: 4 * SECOND, autonomy_timeout: 8 * SECOND },
-        call: SECOND,
-        long_calls: true,
-        tick: SECOND / 20,
-        fault_every: 2 * SECOND,
-        shift_every: SECOND,
-        loss: 0.03,
-        mode: Mode::Settled,
+        calls_per_host: 8,
+        timing: QuotaTiming {
+            lease: 3 * SECOND,
+            max_call_duration: 4 * SECOND,
+            autonomy_timeout: 8 * SECOND,
+        },
+        call_duration: SECOND,
+        has_long_calls: true,
+        call_interval: SECOND / 20,
+        fault_interval: 2 * SECOND,
+        demand_change_interval: SECOND,
+        loss_ratio: 0.03,
+        mode: Mode::Coordinated,
         seed,
     }
 }
 
-fn played(plan: Plan, lasts: u64) -> fleet::Seen {
-    let mut fleet = Fleet::new(plan);
-    fleet.play(lasts);
-    fleet.seen
+fn run_scenario(scenario: Scenario, duration: u64) -> fleet::Stats {
+    let mut fleet = Fleet::new(scenario);
+    fleet.run(duration);
+    fleet.stats
 }
 
 #[test]
-fn through_drawn_faults_no_cap_is_passed_at_three_sites_and_the_same_seed_plays_the_same() {
-    for (at, name) in ["banks", "shops", "one group"].into_iter().enumerate() {
-        let seen = played(plan(name, 8, at as u64), 900 * SECOND);
-        println!("{name}: {seen:?}");
-        assert!(seen.faults > 200 && seen.calls > 5_000, "{seen:?}");
-        assert_eq!(seen, played(plan(name, 8, at as u64), 900 * SECOND));
+fn random_faults_never_exceed_a_cap_and_runs_are_reproducible() {
+    for (seed, name) in ["banks", "shops", "one group"].into_iter().enumerate() {
+        let stats = run_scenario(scenario(name, 8, seed as u64), 900 * SECOND);
+        println!("{name}: {stats:?}");
+        assert!(stats.faults > 200 && stats.calls > 5_000, "{stats:?}");
+        assert_eq!(stats, run_scenario(scenario(name, 8, seed as u64), 900 * SECOND));
     }
 }
 
-/// Two more than own parts are counted for. Nobody takes a part by itself here, as where the voters are never all gone.
+/// Two processes more than slots. The autonomy timeout is off, because it assumes that no leader exists.
 #[test]
-fn with_more_processes_than_seats_no_cap_is_passed() {
-    let pace = QuotaTiming { autonomy_timeout: u64::MAX, ..plan("banks", 8, 0).pace };
-    let seen = played(Plan { processes: 10, pace, ..plan("banks", 8, 5) }, 600 * SECOND);
-    assert!(seen.faults > 150 && seen.calls > 5_000, "{seen:?}");
+fn no_cap_is_exceeded_with_more_processes_than_slots() {
+    let timing = QuotaTiming { autonomy_timeout: u64::MAX, ..scenario("banks", 8, 0).timing };
+    let stats = run_scenario(Scenario { processes: 10, timing, ..scenario("banks", 8, 5) }, 600 * SECOND);
+    assert!(stats.faults > 150 && stats.calls > 5_000, "{stats:?}");
 }
 
 #[test]
-fn three_hundred_processes_through_hundreds_of_faults_pass_no_cap() {
-    let many = Plan { fault_every: SECOND / 5, shift_every: SECOND / 5, ..plan("banks", 300, 7) };
-    let seen = played(many, 90 * SECOND);
-    println!("{seen:?}");
-    assert!(seen.faults > 300 && seen.calls > 50_000, "{seen:?}");
+fn three_hundred_processes_with_frequent_faults_never_exceed_a_cap() {
+    let large_fleet = Scenario {
+        fault_interval: SECOND / 5,
+        demand_change_interval: SECOND / 5,
+        ..scenario("banks", 300, 7)
+    };
+    let stats = run_scenario(large_fleet, 90 * SECOND);
+    println!("{stats:?}");
+    assert!(stats.faults > 300 && stats.calls > 50_000, "{stats:?}");
 }
--- a/quota/tests/fleet/mod.rs
+++ b/quota/tests/fleet/mod.rs
@@ -1,13 +1,13 @@
-//! A fleet of processes in virtual time: messages that take time, are lost and come twice, processes that crash and forget,
-//! freeze and are cut off, clocks that run apart, calls that come and go. One seed gives one run. At every step of a
-//! process the sum of what all may use or have in hand is held against each cap.
-#![allow(dead_code, reason = "the bench uses other parts than the tests")]
+//! Deterministic simulation of a fleet in virtual time: delayed, lost and duplicated messages, crashes with
+//! loss of state, pauses, partitions, clock drift and changing demand. Whenever a process acts, the permits
+//! usable and in use over the fleet are checked against each cap.
+#![allow(dead_code, reason = "each test and the benchmark use only a part of this module")]
 #![expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
     clippy::needless_pass_by_value,
     clippy::too_many_lines,
-    reason = "the counts and times of a simulation are small, and its parts are read in one piece"
+    reason = "the counts and times of a simulation are small, and its steps are easier to read in one function"
 )]
 
 mod simulation;
@@ -27,298 +27,310 @@
 use std::net::SocketAddr;
 
 pub const SECOND: Micros = 1_000_000;
-/// How old what is known of members may be.
-const FRESH: Micros = 200_000;
+/// Maximum age of the membership facts that a process sees.
+const MAX_FACTS_AGE: Micros = 200_000;
 
-/// What goes by.
+/// Way in which processes get their limits.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Mode {
-    /// What is settled in common.
-    Settled,
-    /// Each process has its part of each cap for good.
-    Fixed,
-    /// Each takes what it wants.
-    Nothing,
+    /// Grants by the quota protocol.
+    Coordinated,
+    /// Fixed, equal part of each cap for every process.
+    StaticSplit,
+    /// No limits.
+    Unlimited,
 }
 
-/// What a run is made of.
+/// Parameters of a simulation run. All times are in microseconds.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct Scenario {
     pub processes: usize,
     pub voters: usize,
-    pub proxies_most: u32,
+    pub max_proxies: u32,
     pub site: Site,
     pub hosts: usize,
-    pub host_calls: u32,
-    pub pace: QuotaTiming,
-    /// How long a call takes in the middle, and whether some take as long as they may.
-    pub call: Micros,
-    pub long_calls: bool,
-    /// How often a process looks for calls to begin.
-    pub tick: Micros,
-    /// Mean time between two faults; 0: there are none.
-    pub fault_every: Micros,
-    /// Mean time between two changes of what a process wants; 0: none.
-    pub shift_every: Micros,
-    /// Share of messages that are lost; a quarter as many come twice.
-    pub loss: f64,
+    pub calls_per_host: u32,
+    pub timing: QuotaTiming,
+    /// Median duration of a call, and whether one in 200 takes the maximum duration.
+    pub call_duration: Micros,
+    pub has_long_calls: bool,
+    /// Interval at which a process starts calls.
+    pub call_interval: Micros,
+    /// Mean time between two faults; 0: no faults.
+    pub fault_interval: Micros,
+    /// Mean time between two changes of demand; 0: no changes.
+    pub demand_change_interval: Micros,
+    /// Ratio of messages lost; a quarter as many are duplicated.
+    pub loss_ratio: f64,
     pub mode: Mode,
     pub seed: u64,
 }
 
-/// What came of it.
+/// Counters of a simulation run.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Seen {
+pub struct Stats {
     pub faults: usize,
     pub calls: u64,
     pub messages: u64,
     pub bytes: u64,
-    /// Highest sum of what might be used or was in hand, by tenant, and how often it was over the cap.
-    pub most: Vec<u32>,
-    pub over: u64,
-    /// Changes of a grant or share that was pushed to a gate.
-    pub pushed: u64,
+    /// Maximum number of permits usable or in use over the fleet, by tenant, and the number of checks that
+    /// found it above the cap.
+    pub peak_usage: Vec<u32>,
+    pub cap_violations: u64,
+    /// Changes of an allowance.
+    pub allowance_changes: u64,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum What {
+enum SimEvent {
     Wake(usize, u64),
-    Arrive { to: usize, number: u64 },
-    Work(usize),
-    Fault,
-    Heal(usize),
-    Shift,
+    Deliver { to: usize, message_id: u64 },
+    ServeCalls(usize),
+    InjectFault,
+    Recover(usize),
+    ChangeDemand,
 }
 
-struct Place {
+struct Node {
     machine: Option<Machine>,
-    /// Its clock: how far ahead, and by how many parts in ten thousand it runs fast.
-    ahead: Micros,
-    fast: i64,
-    frozen: bool,
-    apart: bool,
-    since: Micros,
-    wake: Micros,
-    life: u64,
+    /// Offset of the process's clock, and its drift in parts per ten thousand.
+    clock_offset: Micros,
+    clock_drift: i64,
+    is_paused: bool,
+    is_partitioned: bool,
+    changed_at: Micros,
+    wake_at: Micros,
+    incarnation: u64,
     allowance: Allowance,
-    /// Calls of each tenant that it wants to have in hand.
-    wants: Vec<u32>,
-    /// Calls in hand, with their ends, and how many of each tenant.
+    /// Demand by tenant, in calls in flight.
+    demands: Vec<u32>,
+    /// Calls in flight as pairs of tenant and end, and their number by tenant.
     calls: Vec<(usize, Micros)>,
-    in_hand: Vec<u32>,
+    in_flight: Vec<u32>,
     facts: Option<(Micros, Facts)>,
 }
 
 pub struct Fleet {
-    plan: Plan,
-    book: TenantRegistry,
+    scenario: Scenario,
+    registry: TenantRegistry,
     pub now: Micros,
-    queue: BinaryHeap<Reverse<(Micros, u64, What)>>,
-    order: u64,
-    letters: BTreeMap<u64, (usize, Message)>,
-    places: Vec<Place>,
-    names: BTreeMap<Name, usize>,
-    random: Pcg64,
+    events: BinaryHeap<Reverse<(Micros, u64, SimEvent)>>,
+    sequence: u64,
+    messages_in_transit: BTreeMap<u64, (usize, Message)>,
+    nodes: Vec<Node>,
+    indices_by_name: BTreeMap<Name, usize>,
+    rng: Pcg64,
     pub hosts: Vec<HostCapacity>,
-    lives: u64,
-    /// By process and tenant, what might be used at its last step; and the sums.
-    usable: Vec<Vec<u32>>,
-    sums: Vec<u32>,
-    pub seen: Seen,
+    incarnations: u64,
+    /// Usable permits by process and tenant at the last check, and their sums by tenant.
+    usable_permits: Vec<Vec<u32>>,
+    usable_totals: Vec<u32>,
+    pub stats: Stats,
 }
 
-fn name(place: usize) -> Name {
-    Name::new(&format!("p{place:03}")).expect("a name")
+fn node_name(index: usize) -> Name {
+    Name::new(&format!("p{index:03}")).expect("valid name")
 }
 
-fn at(place: usize) -> SocketAddr {
-    SocketAddr::from(([10, 0, (place / 250) as u8, (place % 250) as u8], 7_946))
+fn node_address(index: usize) -> SocketAddr {
+    SocketAddr::from(([10, 0, (index / 250) as u8, (index % 250) as u8], 7_946))
 }
 
 impl Fleet {
-    pub fn new(plan: Plan) -> Fleet {
-        let mut random = Pcg64::seed_from_u64(plan.seed);
-        let terms = QuotaConfig {
-            max_proxies: plan.proxies_most,
-            calls_per_host: plan.host_calls,
-            caps: plan.site.caps.clone(),
+    pub fn new(scenario: Scenario) -> Fleet {
+        let mut rng = Pcg64::seed_from_u64(scenario.seed);
+        let config = QuotaConfig {
+            max_proxies: scenario.max_proxies,
+            calls_per_host: scenario.calls_per_host,
+            caps: scenario.site.caps.clone(),
             ..QuotaConfig::default()
         };
-        let tenants = plan.site.tenants.iter().map(|(name, portion)| (name.as_str(), *portion));
-        let book = TenantRegistry::new(&terms, tenants).expect("terms");
-        let groups = book.tenants.len();
-        let places = (0..plan.processes).map(|_| Place {
+        let tenants =
+            scenario.site.tenants.iter().map(|(tenant_name, portion)| (tenant_name.as_str(), *portion));
+        let registry = TenantRegistry::new(&config, tenants).expect("valid config");
+        let tenant_count = registry.tenants.len();
+        let nodes = (0..scenario.processes).map(|_| Node {
             machine: None,
-            ahead: u64::from(random.next_u32()),
-            // Within what is borne: one part in 64 between two.
-            fast: i64::from(random.next_u32() % 140) - 70,
-            frozen: false,
-            apart: false,
-            since: 0,
-            wake: 0,
-            life: 0,
+            clock_offset: u64::from(rng.next_u32()),
+            // Two clocks that drift by up to 0.7% each differ by less than the bound of 1/64.
+            clock_drift: i64::from(rng.next_u32() % 140) - 70,
+            is_paused: false,
+            is_partitioned: false,
+            changed_at: 0,
+            wake_at: 0,
+            incarnation: 0,
             allowance: Allowance::default(),
-            wants: vec![0; groups],
+            demands: vec![0; tenant_count],
             calls: Vec::new(),
-            in_hand: vec![0; groups],
+            in_flight: vec![0; tenant_count],
             facts: None,
         });
         let host = HostCapacity { ready: true, failing: false, warmth: 1_000, size: 1_000 };
         let mut fleet = Fleet {
             now: SECOND,
-            queue: BinaryHeap::new(),
-            order: 0,
-            letters: BTreeMap::new(),
-            places: places.collect(),
-            names: (0..plan.processes).map(|place| (name(place), place)).collect(),
-            hosts: vec![host; plan.hosts],
-            lives: 0,
-            usable: vec![vec![0; groups]; plan.processes],
-            sums: vec![0; groups],
-            seen: Seen { most: vec![0; groups], ..Seen::default() },
-            random,
-            book,
-            plan,
+            events: BinaryHeap::new(),
+            sequence: 0,
+            messages_in_transit: BTreeMap::new(),
+            nodes: nodes.collect(),
+            indices_by_name: (0..scenario.processes).map(|index| (node_name(index), index)).collect(),
+            hosts: vec![host; scenario.hosts],
+            incarnations: 0,
+            usable_permits: vec![vec![0; tenant_count]; scenario.processes],
+            usable_totals: vec![0; tenant_count],
+            stats: Stats { peak_usage: vec![0; tenant_count], ..Stats::default() },
+            rng,
+            registry,
+            scenario,
         };
-        for place in 0..fleet.plan.processes {
-            fleet.launch(place);
-            let after = fleet.below(fleet.plan.tick);
-            fleet.push(after, What::Work(place));
+        for index in 0..fleet.scenario.processes {
+            fleet.start(index);
+            let after = fleet.random_below(fleet.scenario.call_interval);
+            fleet.schedule(after, SimEvent::ServeCalls(index));
         }
-        let (fault, shift) = (fleet.plan.fault_every, fleet.plan.shift_every);
-        if fault > 0 {
-            fleet.push(3 * fleet.plan.pace.lease, What::Fault);
+        let (fault_interval, demand_change_interval) =
+            (fleet.scenario.fault_interval, fleet.scenario.demand_change_interval);
+        if fault_interval > 0 {
+            fleet.schedule(3 * fleet.scenario.timing.lease, SimEvent::InjectFault);
         }
-        if shift > 0 {
-            fleet.push(shift, What::Shift);
+        if demand_change_interval > 0 {
+            fleet.schedule(demand_change_interval, SimEvent::ChangeDemand);
         }
         fleet
     }
 
-    pub fn book(&self) -> &TenantRegistry {
-        &self.book
+    pub fn registry(&self) -> &TenantRegistry {
+        &self.registry
     }
 
-    /// What a process wants to have in hand of a tenant from now on.
-    pub fn want(&mut self, place: usize, tenant: usize, calls: u32) {
-        self.places[place].wants[tenant] = calls;
+    /// Sets the demand of a process for a tenant, in calls in flight.
+    pub fn set_demand(&mut self, index: usize, tenant: usize, calls: u32) {
+        self.nodes[index].demands[tenant] = calls;
     }
 
-    pub fn wanted(&self, tenant: usize) -> u32 {
-        self.places.iter().map(|of| of.wants[tenant]).sum()
+    pub fn total_demand(&self, tenant: usize) -> u32 {
+        self.nodes.iter().map(|node| node.demands[tenant]).sum()
     }
 
-    pub fn in_hand(&self, tenant: usize) -> u32 {
-        self.places.iter().map(|of| of.in_hand[tenant]).sum()
+    pub fn in_flight(&self, tenant: usize) -> u32 {
+        self.nodes.iter().map(|node| node.in_flight[tenant]).sum()
     }
 
-    /// What all may use of a tenant by their own leave, now.
-    pub fn allowed(&self, tenant: usize) -> u32 {
-        (0..self.places.len()).map(|place| self.usable_at(place, tenant)).sum()
+    /// Permits of a tenant that all processes may use now by their own allowances.
+    pub fn total_usable(&self, tenant: usize) -> u32 {
+        (0..self.nodes.len()).map(|index| self.usable_at(index, tenant)).sum()
     }
 
-    /// The same at one process.
-    pub fn usable_at(&self, place: usize, tenant: usize) -> u32 {
-        self.places[place].allowance.cap(self.local(place), tenant).unwrap_or(0)
+    /// Permits of a tenant that one process may use now by its allowance.
+    pub fn usable_at(&self, index: usize, tenant: usize) -> u32 {
+        self.nodes[index].allowance.cap(self.local_time(index), tenant).unwrap_or(0)
     }
 
-    pub fn shares(&self, tenant: usize) -> u32 {
-        self.places
+    pub fn total_fair_share(&self, tenant: usize) -> u32 {
+        self.nodes
             .iter()
-            .map(|of| of.allowance.tenants.get(tenant).map_or(0, |units| units.fair_share))
+            .map(|node| node.allowance.tenants.get(tenant).map_or(0, |tenant| tenant.fair_share))
             .sum()
     }
 
-    pub fn holder(&self) -> Option<usize> {
-        (0..self.plan.voters.min(self.places.len())).find(|place| {
-            let of = &self.places[*place];
-            !of.frozen && of.machine.as_ref().is_some_and(|m| m.leading_ballot(self.local(*place)).is_some())
+    pub fn leader(&self) -> Option<usize> {
+        (0..self.scenario.voters.min(self.nodes.len())).find(|index| {
+            let node = &self.nodes[*index];
+            !node.is_paused
+                && node.machine.as_ref().is_some_and(|m| m.leading_ballot(self.local_time(*index)).is_some())
         })
     }
 
-    pub fn kill(&mut self, place: usize) {
-        let of = &mut self.places[place];
-        (of.machine, of.since, of.allowance) = (None, self.now, Allowance::default());
-        of.calls.clear();
-        of.in_hand.iter_mut().for_each(|calls| *calls = 0);
-        self.judge(place);
+    pub fn kill(&mut self, index: usize) {
+        let node = &mut self.nodes[index];
+        (node.machine, node.changed_at, node.allowance) = (None, self.now, Allowance::default());
+        node.calls.clear();
+        node.in_flight.iter_mut().for_each(|calls| *calls = 0);
+        self.check_caps(index);
     }
 
-    fn push(&mut self, after: Micros, what: What) {
-        self.order += 1;
-        self.queue.push(Reverse((self.now + after, self.order, what)));
+    fn schedule(&mut self, after: Micros, event: SimEvent) {
+        self.sequence += 1;
+        self.events.push(Reverse((self.now + after, self.sequence, event)));
     }
 
-    fn below(&mut self, bound: u64) -> u64 {
-        self.random.next_u64() % bound.max(1)
+    fn random_below(&mut self, bound: u64) -> u64 {
+        self.rng.next_u64() % bound.max(1)
     }
 
-    fn local(&self, place: usize) -> Micros {
-        let Place { ahead, fast, .. } = self.places[place];
-        ahead + (self.now as i64 + self.now as i64 / 10_000 * fast) as Micros
+    fn local_time(&self, index: usize) -> Micros {
+        let Node { clock_offset, clock_drift, .. } = self.nodes[index];
+        clock_offset + (self.now as i64 + self.now as i64 / 10_000 * clock_drift) as Micros
     }
 
-    /// What a process has on its disk.
-    pub fn memory(&self, place: usize) -> Option<PersistentState<QuotaApplication>> {
-        self.places[place].machine.as_ref().map(|machine| machine.persistent_state(self.local(place)))
+    /// Persistent state of a process.
+    pub fn persistent_state(&self, index: usize) -> Option<PersistentState<QuotaApplication>> {
+        self.nodes[index].machine.as_ref().map(|machine| machine.persistent_state(self.local_time(index)))
     }
 
-    /// Starts a process that goes by no disk.
-    pub fn launch(&mut self, place: usize) {
-        self.start(place, |machine, _| machine);
+    /// Starts a process without persistent storage.
+    pub fn start(&mut self, index: usize) {
+        self.start_machine(index, |machine, _| machine);
     }
 
-    /// Starts one that goes by a disk, and finds this there.
-    pub fn launch_with(&mut self, place: usize, found: Option<PersistentState<QuotaApplication>>) {
-        self.start(place, |machine, now| machine.with_disk(now, found, SECOND));
+    /// Starts a process with persistent storage, which contains `found`.
+    pub fn start_with_state(&mut self, index: usize, found: Option<PersistentState<QuotaApplication>>) {
+        self.start_machine(index, |machine, now| machine.with_disk(now, found, SECOND));
     }
 
-    fn start(&mut self, place: usize, with: impl FnOnce(Machine, Micros) -> Machine) {
-        self.lives += 1;
-        let voters = (0..self.plan.voters).map(name).collect();
-        let voters = Voters::new(voters, Vec::new()).expect("voters");
-        let config: Config = QuotaApplication::config(&self.plan.pace);
-        let me = Process { name: name(place), incarnation: self.lives, address: at(place) };
-        let now = self.local(place);
-        let shares = QuotaApplication::new(now, self.book.clone(), self.plan.pace.clone());
-        let (lives, since) = (self.lives, self.now);
-        let of = &mut self.places[place];
-        of.machine = Some(with(Machine::new(config, shares, voters, me, now), now));
-        (of.life, of.since, of.frozen, of.apart) = (lives, since, false, false);
-        self.act(place, |_, _, _| {});
+    fn start_machine(&mut self, index: usize, configure: impl FnOnce(Machine, Micros) -> Machine) {
+        self.incarnations += 1;
+        let voter_names = (0..self.scenario.voters).map(node_name).collect();
+        let voters = Voters::new(voter_names, Vec::new()).expect("valid voters");
+        let config: Config = QuotaApplication::config(&self.scenario.timing);
+        let process =
+            Process { name: node_name(index), incarnation: self.incarnations, address: node_address(index) };
+        let now = self.local_time(index);
+        let quota = QuotaApplication::new(now, self.registry.clone(), self.scenario.timing.clone());
+        let (incarnation, changed_at) = (self.incarnations, self.now);
+        let node = &mut self.nodes[index];
+        node.machine = Some(configure(Machine::new(config, quota, voters, process, now), now));
+        (node.incarnation, node.changed_at, node.is_paused, node.is_partitioned) =
+            (incarnation, changed_at, false, false);
+        self.step(index, |_, _, _| {});
     }
 
-    fn wake(&mut self, place: usize) {
-        let local = self.local(place);
-        let Some(machine) = &self.places[place].machine else { return };
-        let shares = machine.application();
-        let wake = machine.next_wake().min(shares.next_change(local).unwrap_or(Micros::MAX));
-        let after = wake.min(shares.next_report_at().max(local + 5_000)).saturating_sub(local).max(1_000);
-        let at = self.now + after;
-        self.places[place].wake = at;
-        self.push(after, What::Wake(place, at));
+    fn schedule_wake(&mut self, index: usize) {
+        let local_time = self.local_time(index);
+        let Some(machine) = &self.nodes[index].machine else { return };
+        let quota = machine.application();
+        let next_wake = machine.next_wake().min(quota.next_change(local_time).unwrap_or(Micros::MAX));
+        let after = next_wake
+            .min(quota.next_report_at().max(local_time + 5_000))
+            .saturating_sub(local_time)
+            .max(1_000);
+        let wake_at = self.now + after;
+        self.nodes[index].wake_at = wake_at;
+        self.schedule(after, SimEvent::Wake(index, wake_at));
     }
 
-    /// What the membership knows, some time after it is so.
-    fn facts(&self, of: usize) -> Facts {
-        let fact = |place: usize| {
-            let Place { life, since, frozen, apart, .. } = &self.places[place];
-            let away = self.now.saturating_sub(*since);
-            let gone = self.places[place].machine.is_none();
-            let cut = *frozen || *apart || self.places[of].apart;
-            let presence = match (gone, cut) {
-                (true, _) if away > 2 * SECOND => Presence::Exited,
-                (_, true) if away > 10 * SECOND => Presence::Unreachable,
-                (_, true) if away > 3 * SECOND => Presence::Suspected,
+    /// Membership facts as one process sees them, with detection delays.
+    fn facts(&self, observer: usize) -> Facts {
+        let status = |index: usize| {
+            let Node { incarnation, changed_at, is_paused, is_partitioned, .. } = &self.nodes[index];
+            let elapsed = self.now.saturating_sub(*changed_at);
+            let has_exited = self.nodes[index].machine.is_none();
+            let is_unreachable = *is_paused || *is_partitioned || self.nodes[observer].is_partitioned;
+            let presence = match (has_exited, is_unreachable) {
+                (true, _) if elapsed > 2 * SECOND => Presence::Exited,
+                (_, true) if elapsed > 10 * SECOND => Presence::Unreachable,
+                (_, true) if elapsed > 3 * SECOND => Presence::Suspected,
                 _ => Presence::Alive,
             };
-            (name(place), MemberStatus { incarnation: *life, address: at(place), presence, since: 0 })
+            (
+                node_name(index),
+                MemberStatus { incarnation: *incarnation, address: node_address(index), presence, since: 0 },
+            )
         };
         Facts {
             application: self.hosts.clone(),
-            members: (0..self.places.len()).filter(|place| *place != of).map(fact).collect(),
-            participates: !self.places[of].apart
-                || self.now.saturating_sub(self.places[of].since) < 3 * SECOND,
+            members: (0..self.nodes.len()).filter(|index| *index != observer).map(status).collect(),
+            participates: !self.nodes[observer].is_partitioned
+                || self.now.saturating_sub(self.nodes[observer].changed_at) < 3 * SECOND,
         }
     }
 }
--- a/quota/tests/fleet/simulation.rs
+++ b/quota/tests/fleet/simulation.rs
@@ -1,6 +1,6 @@
-//! What happens, one thing after the other.
+//! Event loop of the simulation.
 
-use super::{name, Fleet, Mode, Place, What, FRESH, SECOND};
+use super::{node_name, Fleet, Mode, Node, SimEvent, MAX_FACTS_AGE, SECOND};
 use flaxhead_quota::{
     Allowance, Context, Effect, Facts, Machine, Message, Micros, Name, TenantAllowance, TenantUsage, Usage,
 };
@@ -8,257 +8,281 @@
 use std::cmp::Reverse;
 
 impl Fleet {
-    /// Plays on for so long.
-    pub fn play(&mut self, lasts: Micros) {
-        let end = self.now + lasts;
-        while self.queue.peek().is_some_and(|Reverse((at, _, _))| *at <= end) {
-            let Some(Reverse((at, _, what))) = self.queue.pop() else { break };
-            self.now = at;
-            self.happen(what);
+    /// Runs the simulation for `duration`.
+    pub fn run(&mut self, duration: Micros) {
+        let end = self.now + duration;
+        while self.events.peek().is_some_and(|Reverse((time, _, _))| *time <= end) {
+            let Some(Reverse((time, _, event))) = self.events.pop() else { break };
+            self.now = time;
+            self.handle(event);
         }
         self.now = end;
     }
 
-    fn happen(&mut self, what: What) {
-        match what {
-            What::Wake(place, at) if self.places[place].wake == at && !self.places[place].frozen => {
-                self.act(place, |machine, around, out| machine.tick(around, out));
+    fn handle(&mut self, event: SimEvent) {
+        match event {
+            SimEvent::Wake(index, time)
+                if self.nodes[index].wake_at == time && !self.nodes[index].is_paused =>
+            {
+                self.step(index, |machine, context, out| machine.tick(context, out));
             }
-            What::Wake(..) => {}
-            What::Arrive { to, number } => {
-                let Some((from, message)) = self.letters.remove(&number) else { return };
-                if self.places[to].frozen {
-                    // It waits in the socket.
-                    self.letters.insert(number, (from, message));
-                    return self.push(SECOND / 4, What::Arrive { to, number });
+            SimEvent::Wake(..) => {}
+            SimEvent::Deliver { to, message_id } => {
+                let Some((from, message)) = self.messages_in_transit.remove(&message_id) else { return };
+                if self.nodes[to].is_paused {
+                    // Messages to a paused process wait in its socket buffer.
+                    self.messages_in_transit.insert(message_id, (from, message));
+                    return self.schedule(SECOND / 4, SimEvent::Deliver { to, message_id });
                 }
-                let from = name(from);
-                self.act(to, |machine, around, out| machine.receive(around, &from, message, out));
+                let sender = node_name(from);
+                self.step(to, |machine, context, out| machine.receive(context, &sender, message, out));
             }
-            What::Work(place) => {
-                self.work(place);
-                let tick = self.plan.tick;
-                self.push(tick, What::Work(place));
+            SimEvent::ServeCalls(index) => {
+                self.serve_calls(index);
+                let call_interval = self.scenario.call_interval;
+                self.schedule(call_interval, SimEvent::ServeCalls(index));
             }
-            What::Fault => self.fault(),
-            What::Heal(place) => {
-                let gone = self.places[place].machine.is_none();
-                let of = &mut self.places[place];
-                let frozen = std::mem::take(&mut of.frozen);
-                (of.apart, of.since) = (false, self.now);
-                if gone {
-                    self.launch(place);
-                } else if frozen {
-                    // Calls that waited for it come before anything that it hears.
-                    self.work(place);
-                    self.wake(place);
+            SimEvent::InjectFault => self.inject_fault(),
+            SimEvent::Recover(index) => {
+                let has_exited = self.nodes[index].machine.is_none();
+                let node = &mut self.nodes[index];
+                let was_paused = std::mem::take(&mut node.is_paused);
+                (node.is_partitioned, node.changed_at) = (false, self.now);
+                if has_exited {
+                    self.start(index);
+                } else if was_paused {
+                    // A resumed process first serves its waiting calls, before it handles any message.
+                    self.serve_calls(index);
+                    self.schedule_wake(index);
                 }
             }
-            What::Shift => {
-                let (place, tenant) =
-                    (self.below(self.plan.processes as u64), self.below(self.book.tenants.len() as u64));
-                let cap = self.book.tenants[tenant as usize].cap.unwrap_or(16);
-                let calls = if self.below(3) == 0 { 0 } else { self.below(u64::from(cap)) as u32 };
-                self.want(place as usize, tenant as usize, calls);
-                let every = self.plan.shift_every;
-                let after = every / 2 + self.below(every);
-                self.push(after, What::Shift);
+            SimEvent::ChangeDemand => {
+                let (index, tenant) = (
+                    self.random_below(self.scenario.processes as u64),
+                    self.random_below(self.registry.tenants.len() as u64),
+                );
+                let cap = self.registry.tenants[tenant as usize].cap.unwrap_or(16);
+                let demand =
+                    if self.random_below(3) == 0 { 0 } else { self.random_below(u64::from(cap)) as u32 };
+                self.set_demand(index as usize, tenant as usize, demand);
+                let interval = self.scenario.demand_change_interval;
+                let after = interval / 2 + self.random_below(interval);
+                self.schedule(after, SimEvent::ChangeDemand);
             }
         }
     }
 
-    /// Lets a machine do something, and takes what comes of it.
-    pub(super) fn act(
+    /// Passes an event to a process's state machine and applies the effects.
+    pub(super) fn step(
         &mut self,
-        place: usize,
-        act: impl FnOnce(&mut Machine, &mut Context<'_>, &mut Vec<Effect>),
+        index: usize,
+        handle: impl FnOnce(&mut Machine, &mut Context<'_>, &mut Vec<Effect>),
     ) {
-        // Only voters look at facts: for the others they need not be made.
-        let old = self.places[place].facts.take().filter(|(at, _)| self.now < at + FRESH);
-        let (looked, facts) = match old {
+        // Facts are only read by voters, so other processes get empty ones.
+        let cached =
+            self.nodes[index].facts.take().filter(|(observed_at, _)| self.now < observed_at + MAX_FACTS_AGE);
+        let (observed_at, facts) = match cached {
             Some(fresh) => fresh,
-            None if place < self.plan.voters => (self.now, self.facts(place)),
+            None if index < self.scenario.voters => (self.now, self.facts(index)),
             None => (self.now, Facts::default()),
         };
-        self.end_calls(place);
-        let (local, usage) = (self.local(place), self.usage(place));
-        let Some(mut machine) = self.places[place].machine.take() else { return };
-        machine.application_mut().set_usage(local, usage);
-        let mut out = Vec::new();
-        let mut around = Context { now: local, facts: &facts, random: &mut self.random };
-        act(&mut machine, &mut around, &mut out);
-        // A disk has at once what is to be kept.
+        self.end_calls(index);
+        let (local_time, usage) = (self.local_time(index), self.usage(index));
+        let Some(mut machine) = self.nodes[index].machine.take() else { return };
+        machine.application_mut().set_usage(local_time, usage);
+        let mut effects = Vec::new();
+        let mut context = Context { now: local_time, facts: &facts, random: &mut self.rng };
+        handle(&mut machine, &mut context, &mut effects);
+        // Writes to the simulated storage complete at once.
         if let Some(mark) = machine.persistence_mark() {
-            machine.persisted(&mut around, mark, &mut out);
+            machine.persisted(&mut context, mark, &mut effects);
         }
-        let mut allowance = match self.plan.mode {
-            Mode::Settled => machine.application_mut().allowance(local),
-            Mode::Fixed => self.fixed(place),
-            Mode::Nothing => Allowance::default(),
+        let mut allowance = match self.scenario.mode {
+            Mode::Coordinated => machine.application_mut().allowance(local_time),
+            Mode::StaticSplit => self.static_allowance(index),
+            Mode::Unlimited => Allowance::default(),
         };
-        allowance.tenants.resize(self.book.tenants.len(), TenantAllowance::default());
-        let of = &mut self.places[place];
-        self.seen.pushed +=
-            u64::from(of.allowance.tenants != allowance.tenants || of.allowance.total != allowance.total);
-        (of.allowance, of.facts, of.machine) = (allowance, Some((looked, facts)), Some(machine));
-        self.judge(place);
-        for effect in out {
+        allowance.tenants.resize(self.registry.tenants.len(), TenantAllowance::default());
+        let node = &mut self.nodes[index];
+        self.stats.allowance_changes +=
+            u64::from(node.allowance.tenants != allowance.tenants || node.allowance.total != allowance.total);
+        (node.allowance, node.facts, node.machine) = (allowance, Some((observed_at, facts)), Some(machine));
+        self.check_caps(index);
+        for effect in effects {
             if let Effect::Send { to, message } = effect {
-                self.send(place, &to, message);
+                self.send(index, &to, message);
             }
         }
-        self.wake(place);
+        self.schedule_wake(index);
     }
 
-    /// Its part of each cap, whoever runs.
-    fn fixed(&self, place: usize) -> Allowance {
-        let count = self.plan.processes as u32;
-        let part = |cap: u32| cap / count + u32::from((place as u32) < cap % count);
-        let units = self.book.tenants.iter().map(|tenant| {
+    /// Limits of a process that owns an equal part of each cap.
+    fn static_allowance(&self, index: usize) -> Allowance {
+        let count = self.scenario.processes as u32;
+        let part = |cap: u32| cap / count + u32::from((index as u32) < cap % count);
+        let tenants = self.registry.tenants.iter().map(|tenant| {
             let cap = tenant.cap.map(part);
             TenantAllowance { cap, guaranteed: cap, fair_share: 1 }
         });
-        let carried = self.hosts.len() as u32 * self.plan.host_calls * 9 / 10;
-        let all = (self.plan.host_calls > 0).then(|| part(carried));
-        Allowance { tenants: units.collect(), total: all, expires_at: None }
+        let capacity = self.hosts.len() as u32 * self.scenario.calls_per_host * 9 / 10;
+        let total_permits = (self.scenario.calls_per_host > 0).then(|| part(capacity));
+        Allowance { tenants: tenants.collect(), total: total_permits, expires_at: None }
     }
 
-    fn usage(&self, place: usize) -> Usage {
-        let Place { wants, in_hand, .. } = &self.places[place];
-        let tenants = wants.iter().zip(in_hand).map(|(wants, in_hand)| TenantUsage {
-            in_flight: *in_hand,
-            peak: *in_hand.max(wants),
-            queued: wants.saturating_sub(*in_hand),
+    fn usage(&self, index: usize) -> Usage {
+        let Node { demands, in_flight, .. } = &self.nodes[index];
+        let tenants = demands.iter().zip(in_flight).map(|(demand, in_flight)| TenantUsage {
+            in_flight: *in_flight,
+            peak: *in_flight.max(demand),
+            queued: demand.saturating_sub(*in_flight),
             rejected: 0,
         });
         Usage { tenants: tenants.collect(), attempts: 0, rejected_by_hosts: 0 }
     }
 
-    fn end_calls(&mut self, place: usize) {
-        let (now, of) = (self.now, &mut self.places[place]);
-        let in_hand = &mut of.in_hand;
-        of.calls.retain(|(tenant, until)| {
-            in_hand[*tenant] -= u32::from(*until <= now);
-            *until > now
+    fn end_calls(&mut self, index: usize) {
+        let (now, node) = (self.now, &mut self.nodes[index]);
+        let in_flight = &mut node.in_flight;
+        node.calls.retain(|(tenant, ends_at)| {
+            in_flight[*tenant] -= u32::from(*ends_at <= now);
+            *ends_at > now
         });
     }
 
-    /// Calls end, and others begin, as the allowance has it at this moment.
-    fn work(&mut self, place: usize) {
-        self.end_calls(place);
-        if self.places[place].machine.is_none() || self.places[place].frozen {
+    /// Ends calls that are due and starts new ones within the current allowance.
+    fn serve_calls(&mut self, index: usize) {
+        self.end_calls(index);
+        if self.nodes[index].machine.is_none() || self.nodes[index].is_paused {
             return;
         }
-        let local = self.local(place);
-        let waited = self.usage(place).tenants.iter().any(|tenant| tenant.queued > 0);
-        while let Some(tenant) = self.next(place, local) {
-            let (call, drawn) = (self.plan.call, self.below(self.plan.call));
-            let most = self.plan.pace.max_call_duration;
-            let lasts = if self.plan.long_calls && self.below(200) == 0 {
-                most
+        let local_time = self.local_time(index);
+        let had_waiting = self.usage(index).tenants.iter().any(|tenant| tenant.queued > 0);
+        while let Some(tenant) = self.next_tenant(index, local_time) {
+            let (call_duration, sample) =
+                (self.scenario.call_duration, self.random_below(self.scenario.call_duration));
+            let longest = self.scenario.timing.max_call_duration;
+            let duration = if self.scenario.has_long_calls && self.random_below(200) == 0 {
+                longest
             } else {
-                (call / 2 + drawn).min(most)
+                (call_duration / 2 + sample).min(longest)
             };
-            let of = &mut self.places[place];
-            of.calls.push((tenant, self.now + lasts));
-            of.in_hand[tenant] += 1;
-            self.seen.calls += 1;
+            let node = &mut self.nodes[index];
+            node.calls.push((tenant, self.now + duration));
+            node.in_flight[tenant] += 1;
+            self.stats.calls += 1;
         }
-        let waits = self.usage(place).tenants.iter().any(|tenant| tenant.queued > 0);
-        self.judge(place);
-        if waits || waited {
-            self.act(place, |machine, around, out| machine.tick(around, out));
+        let has_waiting = self.usage(index).tenants.iter().any(|tenant| tenant.queued > 0);
+        self.check_caps(index);
+        if has_waiting || had_waiting {
+            self.step(index, |machine, context, out| machine.tick(context, out));
         }
     }
 
-    /// Whose call begins next: of those that wait and may, the one that has the least for its share.
-    fn next(&self, place: usize, local: Micros) -> Option<usize> {
-        let Place { allowance, wants, in_hand, .. } = &self.places[place];
-        let sum: u32 = in_hand.iter().sum();
-        if allowance.total(local).is_some_and(|all| sum >= all) {
+    /// Returns the tenant of the next call: of those with unmet demand and a free permit, the one with the
+    /// fewest calls relative to its share.
+    fn next_tenant(&self, index: usize, local_time: Micros) -> Option<usize> {
+        let Node { allowance, demands, in_flight, .. } = &self.nodes[index];
+        let sum: u32 = in_flight.iter().sum();
+        if allowance.total(local_time).is_some_and(|total| sum >= total) {
             return None;
         }
-        let may = |tenant: &usize| {
-            let (tenant, held) = (*tenant, in_hand[*tenant]);
-            held < wants[tenant] && allowance.cap(local, tenant).is_none_or(|cap| held < cap)
+        let is_eligible = |tenant: &usize| {
+            let (tenant, used) = (*tenant, in_flight[*tenant]);
+            used < demands[tenant] && allowance.cap(local_time, tenant).is_none_or(|cap| used < cap)
         };
-        let for_share = |tenant: &usize| {
-            let share = allowance.tenants.get(*tenant).map_or(1, |units| units.fair_share.max(1));
-            u64::from(in_hand[*tenant]) * 1_000_000 / u64::from(share)
+        let usage_per_share = |tenant: &usize| {
+            let share = allowance.tenants.get(*tenant).map_or(1, |tenant| tenant.fair_share.max(1));
+            u64::from(in_flight[*tenant]) * 1_000_000 / u64::from(share)
         };
-        (0..wants.len()).filter(may).min_by_key(for_share)
+        (0..demands.len()).filter(is_eligible).min_by_key(usage_per_share)
     }
 
-    /// What might be used now, against each cap.
-    pub(super) fn judge(&mut self, place: usize) {
-        if self.plan.mode != Mode::Settled {
+    /// Updates the permits in use by a process and checks the sum against each cap.
+    pub(super) fn check_caps(&mut self, index: usize) {
+        if self.scenario.mode != Mode::Coordinated {
             return;
         }
-        for tenant in 0..self.book.tenants.len() {
-            let Some(cap) = self.book.tenants[tenant].cap else { continue };
-            let usable = self.usable_now(place, tenant);
-            self.sums[tenant] = self.sums[tenant] + usable - self.usable[place][tenant];
-            self.usable[place][tenant] = usable;
-            if self.sums[tenant] > cap {
-                // What has run out meanwhile does not count.
-                for other in 0..self.places.len() {
-                    self.usable[other][tenant] = self.usable_now(other, tenant);
+        for tenant in 0..self.registry.tenants.len() {
+            let Some(cap) = self.registry.tenants[tenant].cap else { continue };
+            let usable_now = self.usable_now(index, tenant);
+            self.usable_totals[tenant] =
+                self.usable_totals[tenant] + usable_now - self.usable_permits[index][tenant];
+            self.usable_permits[index][tenant] = usable_now;
+            if self.usable_totals[tenant] > cap {
+                // The sums may include grants that have expired since, so they are recomputed before the
+                // check.
+                for other in 0..self.nodes.len() {
+                    self.usable_permits[other][tenant] = self.usable_now(other, tenant);
                 }
-                self.sums[tenant] = self.usable.iter().map(|of| of[tenant]).sum();
+                self.usable_totals[tenant] = self.usable_permits.iter().map(|node| node[tenant]).sum();
             }
-            let sum = self.sums[tenant];
-            self.seen.most[tenant] = self.seen.most[tenant].max(sum);
-            self.seen.over += u64::from(sum > cap);
-            assert!(sum <= cap, "{sum} of {cap} of tenant {tenant} might be used at {}: {:?}", self.now, {
-                self.usable.iter().map(|of| of[tenant]).collect::<Vec<_>>()
-            });
+            let sum = self.usable_totals[tenant];
+            self.stats.peak_usage[tenant] = self.stats.peak_usage[tenant].max(sum);
+            self.stats.cap_violations += u64::from(sum > cap);
+            assert!(
+                sum <= cap,
+                "{sum} permits of tenant {tenant} are usable or in use at {}, with a cap of {cap}: {:?}",
+                self.now,
+                { self.usable_permits.iter().map(|node| node[tenant]).collect::<Vec<_>>() }
+            );
         }
     }
 
-    fn usable_now(&self, place: usize, tenant: usize) -> u32 {
-        let of = &self.places[place];
-        let in_hand = of.calls.iter().filter(|(of, until)| *of == tenant && *until > self.now).count() as u32;
-        let may = of.machine.as_ref().map_or(0, |_| of.allowance.cap(self.local(place), tenant).unwrap_or(0));
-        may.max(in_hand)
+    fn usable_now(&self, index: usize, tenant: usize) -> u32 {
+        let node = &self.nodes[index];
+        let in_flight = node
+            .calls
+            .iter()
+            .filter(|(call_tenant, ends_at)| *call_tenant == tenant && *ends_at > self.now)
+            .count() as u32;
+        let permitted = node
+            .machine
+            .as_ref()
+            .map_or(0, |_| node.allowance.cap(self.local_time(index), tenant).unwrap_or(0));
+        permitted.max(in_flight)
     }
 
     fn send(&mut self, from: usize, to: &Name, message: Message) {
-        self.seen.messages += 1;
-        if self.plan.fault_every == 0 {
-            self.seen.bytes += postcard::to_allocvec(&message).map_or(0, |bytes| bytes.len() as u64);
+        self.stats.messages += 1;
+        if self.scenario.fault_interval == 0 {
+            self.stats.bytes += postcard::to_allocvec(&message).map_or(0, |bytes| bytes.len() as u64);
         }
-        let Some(&to) = self.names.get(to) else { return };
-        let drawn = f64::from(self.random.next_u32()) / f64::from(u32::MAX);
-        if drawn < self.plan.loss || self.places[from].apart || self.places[to].apart {
+        let Some(&to) = self.indices_by_name.get(to) else { return };
+        let sample = f64::from(self.rng.next_u32()) / f64::from(u32::MAX);
+        if sample < self.scenario.loss_ratio
+            || self.nodes[from].is_partitioned
+            || self.nodes[to].is_partitioned
+        {
             return;
         }
-        let twice = drawn < self.plan.loss * 1.25;
-        let late = if twice { self.below(2 * self.plan.pace.lease) } else { 0 };
-        for late in [0, late].into_iter().take(1 + usize::from(twice)) {
-            self.order += 1;
-            let number = self.order;
-            self.letters.insert(number, (from, message.clone()));
-            let way = 1_000 + self.below(20_000);
-            self.push(way + late, What::Arrive { to, number });
+        let is_duplicated = sample < self.scenario.loss_ratio * 1.25;
+        let duplicate_delay =
+            if is_duplicated { self.random_below(2 * self.scenario.timing.lease) } else { 0 };
+        for delay in [0, duplicate_delay].into_iter().take(1 + usize::from(is_duplicated)) {
+            self.sequence += 1;
+            let message_id = self.sequence;
+            self.messages_in_transit.insert(message_id, (from, message.clone()));
+            let latency = 1_000 + self.random_below(20_000);
+            self.schedule(latency + delay, SimEvent::Deliver { to, message_id });
         }
     }
 
-    fn fault(&mut self) {
-        let place = self.below(self.plan.processes as u64) as usize;
-        let of = &mut self.places[place];
-        if of.machine.is_some() && !of.frozen && !of.apart {
-            of.since = self.now;
-            self.seen.faults += 1;
-            let lasts = SECOND / 4 + self.below(4 * self.plan.pace.lease);
-            match self.below(3) {
-                0 => self.kill(place),
-                1 => self.places[place].frozen = true,
-                _ => self.places[place].apart = true,
+    fn inject_fault(&mut self) {
+        let index = self.random_below(self.scenario.processes as u64) as usize;
+        let node = &mut self.nodes[index];
+        if node.machine.is_some() && !node.is_paused && !node.is_partitioned {
+            node.changed_at = self.now;
+            self.stats.faults += 1;
+            let duration = SECOND / 4 + self.random_below(4 * self.scenario.timing.lease);
+            match self.random_below(3) {
+                0 => self.kill(index),
+                1 => self.nodes[index].is_paused = true,
+                _ => self.nodes[index].is_partitioned = true,
             }
-            self.push(lasts, What::Heal(place));
+            self.schedule(duration, SimEvent::Recover(index));
         }
-        let every = self.plan.fault_every;
-        let after = every / 2 + self.below(every);
-        self.push(after, What::Fault);
+        let interval = self.scenario.fault_interval;
+        let after = interval / 2 + self.random_below(interval);
+        self.schedule(after, SimEvent::InjectFault);
     }
 }
--- a/quota/tests/fleet/sites.rs
+++ b/quota/tests/fleet/sites.rs
@@ -1,17 +1,17 @@
-//! Three sites that have nothing in common: eight banks, three shops of very different weight, and one without tenants.
+//! Tenants and caps of three different sites: several banks, shops of very different weight, and no tenants.
 
-/// Tenants with their portions, and caps.
+/// Tenants with their portions of the service, and their caps.
 #[derive(Clone, Debug, Default)]
 pub struct Site {
     pub tenants: Vec<(String, f64)>,
     pub caps: Vec<String>,
 }
 
-type Lines<T> = Vec<(&'static str, T)>;
+type NamedValues<T> = Vec<(&'static str, T)>;
 
-/// One of them; `scale` is what the least cap is made of.
+/// Returns a site by name, with caps that are multiples of `scale`.
 pub fn site(name: &str, scale: u32) -> Site {
-    let (tenants, caps): (Lines<f64>, Lines<u32>) = match name {
+    let (tenants, caps): (NamedValues<f64>, NamedValues<u32>) = match name {
         "banks" => (
             [0.3, 0.2, 0.15, 0.1, 0.1, 0.05, 0.05]
                 .iter()
--- a/quota/tests/ledger.rs
+++ b/quota/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! The holder's ledger and the processes' grants, word by word.
+//! Exchange of reports and grants between the ledger of a leader and the quotas of processes.
 #![expect(clippy::cast_possible_truncation, reason = "the counts of a test are small")]
 
 use flaxhead_quota::{
@@ -29,7 +29,7 @@
     Ballot { round, name: process(1).name, incarnation: 1 }
 }
 
-/// In hand and wanted, of the first tenant.
+/// Usage of the first tenant by calls in flight and demand.
 fn usage(in_hand: u32, wanted: u32) -> Usage {
     let of = TenantUsage {
         in_flight: in_hand,
@@ -59,7 +59,7 @@
         self.held[of].report(self.now, usage)
     }
 
-    /// A process says its word and is told what comes of it, a tenth of a second later.
+    /// Sends a report and applies the resulting grant a tenth of a second later.
     fn renew(&mut self, of: usize, usage: Usage) -> QuotaGrant {
         let word = self.word(of, usage);
         self.ledger.record_report(self.now, &process(of as u8 + 1), self.now, word);
@@ -86,7 +86,8 @@
     (0..3).for_each(|_| drop(fleet.renew(0, usage(0, 40))));
     let whole = fleet.cap(0);
     assert_eq!(whole, 35, "all but the other's own part");
-    // The other wants as much. The first is told to have less, and has as many in hand still.
+    // The second process wants as much. The first gets a lower grant, but has as many calls in flight as
+    // before.
     (0..3).for_each(|_| drop(fleet.renew(1, usage(0, 40))));
     assert_eq!(fleet.cap(1), 5);
     fleet.renew(0, usage(35, 40));
@@ -104,7 +105,7 @@
 #[test]
 fn a_word_that_comes_late_or_twice_does_not_undo_a_later_one() {
     let mut fleet = Fleet::new(vec![book(&["etna 40"], 2), book(&["etna 40"], 2)]);
-    // The first has nothing when it says so, and then begins as many as it may.
+    // The first report shows no calls in flight, and arrives after the process has used its whole grant.
     let (early, said) = (fleet.word(0, usage(0, 40)), fleet.now);
     (0..3).for_each(|_| drop(fleet.renew(0, usage(0, 40))));
     (0..3).for_each(|_| drop(fleet.renew(1, usage(0, 40))));
@@ -131,7 +132,7 @@
     fleet.now += SECOND;
     fleet.renew(1, usage(5, 40));
     assert_eq!(fleet.cap(1), 35);
-    // By its own clock the first has had its own part alone for long.
+    // The first process's grant has expired by its own clock, so it only has its guaranteed minimum.
     assert_eq!(fleet.cap(0), 5);
 }
 
@@ -145,7 +146,7 @@
     fleet.ledger =
         QuotaLedger::new(fleet.now, fleet.held[0].registry().clone(), pace(), next.clone(), true, &roster);
     let asked = fleet.now;
-    // Before the first has heard of the new holder, what it says may still be raised by the old one.
+    // A process that has not heard of the new leader may still apply grants of the previous one.
     let word = fleet.held[0].report(asked, usage(0, 40));
     fleet.ledger.record_report(asked, &process(1), asked, word);
     let leave = fleet.ledger.grant(asked, &process(1));
@@ -177,10 +178,10 @@
         fleet.renew(of, usage(0, if of == 2 { 40 } else { 0 }));
     }
     assert_eq!(fleet.cap(2), 6);
-    // Its leave is over: there is no part of its own.
+    // Without a slot, nothing is left after the grant has expired.
     fleet.now += 7 * SECOND;
     assert_eq!(fleet.cap(2), 0);
-    // Another process listens where the first did: one of the two has ended, and they have one seat.
+    // A process with the same address replaces the first one, so the two share one slot.
     let (again, now) = (Process { incarnation: 2, ..process(1) }, fleet.now);
     let mut held = LocalQuota::new(now, book(&["etna 8"], 2), pace());
     let word = held.report(now, usage(0, 0));
@@ -194,7 +195,7 @@
 
 #[test]
 fn where_settings_differ_the_lower_cap_holds_by_the_names_of_tenants_and_is_named() {
-    // The second has a lower cap, and its tenants in another order.
+    // The second process has a lower cap, and a different order of tenants.
     let terms = QuotaConfig { max_proxies: 2, caps: vec!["etna 8".to_owned()], ..QuotaConfig::default() };
     let other = TenantRegistry::new(&terms, [BANKS[1], BANKS[0]]).expect("terms");
     let mut fleet = Fleet::new(vec![book(&["etna 40"], 2), other]);
@@ -212,7 +213,7 @@
     let second = allowance.cap(now, 1).expect("a cap");
     assert_eq!((first + second, first), (8, 4), "{:?}", fleet.ledger.view(now));
     assert!(fleet.ledger.view(now).reasons.contains(&"caps differ at n2".to_owned()));
-    // It holds where nobody is heard any more.
+    // The lower minimum stays in effect after the grant has expired.
     fleet.now += 7 * SECOND;
     assert_eq!(fleet.cap(0), 1);
 }
@@ -240,13 +241,14 @@
     }
     let (now, all) = (fleet.now, |held: &mut LocalQuota, now| held.allowance(now));
     let (one, two) = (all(&mut fleet.held[0], now), all(&mut fleet.held[1], now));
-    // 90 calls: 56 for etna, at the one process that has any; 34 for iblea, at both.
+    // Capacity of 90 calls: 56 for etna, which only has calls at one process, and 34 for iblea, over both
+    // processes.
     let shares = |allowance: &flaxhead_quota::Allowance| -> Vec<u32> {
         allowance.tenants.iter().map(|units| units.fair_share).collect()
     };
     assert_eq!((shares(&one), shares(&two)), (vec![56, 17, 0], vec![0, 17, 0]));
     assert_eq!((one.total(now), two.total(now)), (Some(73), Some(17)));
-    // Nothing of that binds once it is not renewed.
+    // The total ends with the grant.
     assert_eq!(one.total(now + 7 * SECOND), None);
     for _ in 0..3 {
         fleet.renew(0, both(0, 90));
--- a/quota/tests/max_min.rs
+++ b/quota/tests/max_min.rs
@@ -1,10 +1,10 @@
-//! Divisions against a reference that is written differently: the exact level, found by halving over fractions, without
-//! any sorting or remainder.
+//! Allocations compared with a reference without sorting or rounding: bisection for the exact level of
+//! permits per weight.
 
 use flaxhead_quota::max_min::{allocate_by_weight, allocate_max_min, reallocate, reallocate_tenants, Demand};
 use proptest::prelude::*;
 
-/// What each would have if units could be split: everybody's wish, or least units, or its weight's part of one level.
+/// Returns the fair allocation in fractional permits.
 fn exact(total: u32, wants: &[Demand]) -> Vec<f64> {
     let least: f64 = wants.iter().map(|want| f64::from(want.minimum)).sum();
     let at = |level: f64, want: &Demand| {
@@ -62,8 +62,9 @@
         }
     }
 
-    /// Whatever was before, it ends within two units of the exact level (one for the whole unit, one for keeping), but for
-    /// what is lent; nobody that wants any is left with none, where there is one for each; the least units are kept.
+    /// Guards against hysteresis that keeps an unfair allocation. An allocation ends within two permits of
+    /// the fair level, one for rounding and one for the tolerance, apart from lent permits. Minimums are met,
+    /// and no claimant is left without a permit if there is one for each.
     #[test]
     fn keeps_a_division_only_while_it_is_good(
         total in 0u32..400,
@@ -100,7 +101,8 @@
         }
     }
 
-    /// A wish that moves by one call, up and down, moves at most a unit at those that had enough.
+    /// Guards against oscillation: a demand that alternates by one call moves no more permits after the first
+    /// change.
     #[test]
     fn a_swing_of_one_call_does_not_swing_what_is_granted(total in 40u32..400, wants in wants(), at in 0usize..14) {
         let at = at % wants.len();
@@ -132,7 +134,7 @@
     assert_eq!(allocate_max_min(10, &[want(1_000_000), want(1), want(1)]), [8, 1, 1]);
 }
 
-/// A unit that came to one of them while the other was not there goes back, though it is only one.
+/// Guards against a lent permit that is never returned because it is within the tolerance.
 #[test]
 fn where_all_want_more_than_they_get_nobody_keeps_a_unit_of_another() {
     let want = |demand| Demand { weight: 1, minimum: 1, wanted: demand };
@@ -140,7 +142,7 @@
         reallocate_tenants(32, &[want(60), want(40), Demand { minimum: 0, ..want(0) }], &[17, 15, 0]),
         [16, 16, 0]
     );
-    // Where one has enough, its wish moves from call to call, and one unit is left where it is.
+    // The second has enough, so its demand changes by single calls and the permit stays.
     assert_eq!(reallocate_tenants(32, &[want(60), want(14)], &[17, 15]), [17, 15]);
 }
 
--- a/quota/tests/model/main.rs
+++ b/quota/tests/model/main.rs
@@ -1,8 +1,8 @@
-//! Three voters and a cap of two calls: one is the part of whoever has the one seat, the other is granted. The voters
-//! are the proxies that want them, or two proxies beside them are. Checked exhaustively on the real machines over every
-//! place at which a message is lost or comes again later, a process crashes and forgets, freezes for longer than its
-//! lease, or is cut off in one direction or both. A step is a sixth of a lease in which all that is sent arrives, but
-//! for what the fault takes.
+//! Exhaustive model check of the protocol's state machines with three voters and a cap of two calls. One
+//! permit is the guaranteed minimum of the process with the only slot, the other is granted. In some setups
+//! two proxies beside the voters have the calls. Messages are lost or arrive late, and processes crash
+//! without state, pause for longer than a lease or are partitioned in one or both directions. A step is a
+//! sixth of a lease, in which all messages arrive that no fault affects.
 
 mod world;
 
@@ -53,7 +53,7 @@
 fn check_from(fleet: Fleet) -> (usize, Vec<&'static str>) {
     let broken = fleet.broken;
     let threads = std::thread::available_parallelism().map_or(1, usize::from).min(4);
-    // All is walked through, unless a rule is out and that is seen.
+    // The search covers all states, unless a mutation is expected to be detected.
     let until = match broken {
         Broken::Nothing => HasDiscoveries::All,
         _ => HasDiscoveries::AnyOf([NOTHING_WRONG].into()),
@@ -89,9 +89,9 @@
     assert!(found.is_empty() && states > 10_000, "{states} {found:?}");
 }
 
-/// Rules that can be taken out without the check seeing it.
+/// Returns the mutations that the check does not detect.
 fn missed(site: Site) -> Vec<Broken> {
-    // Calls that still run when the units have come from the one proxy to the other.
+    // Calls that are still in flight when the permits have moved to the other proxy.
     let long = Site { call: 10, ..site };
     let rules = [
         (Broken::Confirmed, 1, true),
@@ -116,7 +116,8 @@
     assert_eq!(missed(VOTERS_ALONE), []);
 }
 
-/// Two faults befall the holder and the proxy that has calls first; all others' are walked through above.
+/// Two faults affect only the leader and the proxy with the first calls; all other pairs are covered with the
+/// voters alone.
 #[test]
 fn beside_the_voters_two_proxies_never_pass_the_cap_and_get_all_of_it_back() {
     let one = Fleet::new(TWO_BESIDE, Broken::Nothing, 1, true);
@@ -133,7 +134,8 @@
     assert_eq!(missed(TWO_BESIDE), []);
 }
 
-/// All voters forget in one step, while two proxies live on that were granted what there is.
+/// Returns a fleet whose voters lose their state in the same step, while two proxies hold grants of all
+/// permits.
 fn after_all_voters_forgot(broken: Broken, faults: u8) -> Fleet {
     let mut fleet = Fleet::new(PARTS_FOR_ALL, broken, faults, true);
     let mut world = fleet.first.clone();
--- a/quota/tests/model/world.rs
+++ b/quota/tests/model/world.rs
@@ -1,4 +1,4 @@
-//! The processes, what is on the way between them, and what goes wrong; a step at a time.
+//! Processes, messages and faults of the model, in steps.
 #![expect(clippy::cast_possible_truncation, reason = "the counts of a test are small")]
 
 use flaxhead_lease::{Ballot, NoCommand, Presence, RecoveryState, Voters};
@@ -13,85 +13,87 @@
 pub const VOTERS: usize = 3;
 pub const LEASE: Micros = 600;
 pub const STEP: Micros = 100;
-/// Steps of a fault that lasts: longer than a lease, and than the silence of a restarted voter.
+/// Duration of a lasting fault: longer than a lease, and than the time for which a restarted voter stays
+/// silent.
 pub const LASTS: u8 = 13;
-/// Steps in which faults may begin, and those after which the whole cap must be in use again.
+/// Steps in which faults may begin, and steps after which the whole cap must be usable again.
 pub const FAULTY: u8 = 10;
 pub const ENDS: u8 = 80;
-/// The step from which on the second proxy has calls, and the first has none.
+/// Step from which the second proxy has calls and the first has none.
 pub const MOVES: u8 = 7;
-/// A rule that is taken out, to see that the check sees it.
+/// Protocol rule that is disabled, to show that the check detects it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Broken {
     Nothing,
-    /// A lowered grant is taken for confirmed once it was told, whatever the process says that it has.
+    /// Reports confirm a lowered grant before the process has applied it.
     Confirmed,
-    /// Calls in hand are not told.
+    /// Reports show no calls in flight.
     InHand,
-    /// A leave that comes late counts like the newest.
+    /// Delayed grants are applied like the newest one.
     Fence,
-    /// A grant has no end.
+    /// Grants do not expire.
     Ends,
-    /// A new holder takes it that nobody has anything.
+    /// A new leader assumes that no process holds permits.
     Learns,
-    /// One that is not heard is taken to have ended.
+    /// Processes that are not heard of count as exited.
     KeepsUnheard,
-    /// Everybody has a seat.
+    /// Every process gets a slot.
     Seats,
-    /// Voters that have forgotten count as if they remembered.
+    /// Voters that have lost their state count as recovered.
     Forgotten,
 }
 
-/// What there is beside the processes.
+/// Model state besides the processes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Calls {
-    /// What the gates were told last.
+    /// Last allowance of each process.
     pub allowances: Vec<Allowance>,
-    /// Calls in hand: of whom, and until when.
+    /// Calls in flight as pairs of node and end step.
     pub calls: Vec<(usize, u8)>,
-    /// The last that began to hold, as far as that was seen.
+    /// Ballot of the leader in the last step.
     pub begun: Option<Ballot>,
 }
 
 pub type World = flaxhead_rig::World<QuotaApplication, Calls>;
 pub type Fault = flaxhead_rig::Fault<NoCommand>;
 
-/// Who takes part, and what there is for them.
+/// Processes and their limits.
 #[derive(Clone, Copy, Debug)]
 pub struct Site {
-    /// The voters come first; those after them only ask for leave.
+    /// Number of nodes: the voters first, then proxies that only request grants.
     pub nodes: usize,
-    /// Who has calls at first, and who has them from a step on.
+    /// Node that has calls at first, and node that has them from `DEMAND_MOVES_STEP` on.
     pub busy: [usize; 2],
     pub cap: u32,
-    /// Calls that each of them has in its time.
+    /// Calls in flight that the active node wants.
     pub wants: u32,
-    /// Processes that own parts are counted for.
+    /// Number of processes with a guaranteed minimum.
     pub seats: u32,
-    /// Steps that a call takes.
+    /// Duration of a call in steps.
     pub call: u8,
 }
 
-/// Three voters, which are proxies themselves: one unit is the part of whoever has the one seat, the other is granted.
+/// Three voters that are proxies themselves. One permit is the minimum of the process with the only slot, the
+/// other is granted.
 pub const VOTERS_ALONE: Site = Site { nodes: VOTERS, busy: [0, 1], cap: 2, wants: 2, seats: 1, call: 5 };
 /// Two proxies beside the voters have all calls.
 pub const TWO_BESIDE: Site = Site { nodes: VOTERS + 2, busy: [VOTERS, VOTERS + 1], ..VOTERS_ALONE };
-/// The same, with a part for each process and two units that are granted.
+/// Two proxies beside the voters, with a guaranteed minimum for each process and two permits to grant.
 pub const PARTS_FOR_ALL: Site = Site { cap: 7, wants: 3, seats: 5, ..TWO_BESIDE };
 
 pub struct Fleet {
     pub broken: Broken,
     pub site: Site,
-    /// Faults in one history.
+    /// Maximum number of faults in a history.
     pub faults: u8,
-    /// Faults fall between any two messages, not only between steps.
+    /// Whether faults occur between any two messages instead of only between steps.
     pub fine: bool,
-    /// Nodes that faults befall.
+    /// Nodes that faults affect.
     pub hit: Vec<usize>,
     pub first: World,
 }
 
-/// Of those that start at once the first by name has the one seat: a proxy beside the voters, where there are any.
+/// The first process by name gets the only slot, so proxies beside the voters sort before them.
 fn name(node: usize) -> Name {
     let kind = if node < VOTERS { "n" } else { "a" };
     Name::new(&format!("{kind}{node}")).expect("a name")
@@ -140,14 +142,14 @@
         for _ in 0..40 {
             world = fleet.run(&world, Fault::Nothing).world;
         }
-        // Three that start at once, where nobody remembers anything, each take the one seat until a holder has answered.
+        // If no process has any state, all three take the only slot until a leader answers.
         let early = (site.seats == 1).then_some("more have a seat than there are");
         assert!(world.violation.take() == early && usable(&world) == site.cap, "{world:?}");
         (fleet.first, fleet.broken) = (world, broken);
         fleet
     }
 
-    /// Faults befall none but the one that holds at first, and the one that has calls at first.
+    /// Restricts faults to the first leader and the node that has calls first.
     pub fn spare_others(mut self) -> Fleet {
         let holds = |node: &usize| self.first.nodes[*node].leading_ballot(now(self.first.step)).is_some();
         let is_hit = |node: &usize| holds(node) || *node == self.site.busy[0];
@@ -170,7 +172,7 @@
         Facts { members: world.members(of, presence), participates: true, application: Vec::new() }
     }
 
-    /// Calls that a process has: as many as it may, up to two, in its time.
+    /// Number of calls in flight that a node wants in this step.
     fn wants(&self, world: &World, node: usize) -> u32 {
         let before = self.first.step == 0 || world.step < self.first.step + MOVES;
         let busy = self.site.busy[usize::from(!before)];
@@ -188,7 +190,7 @@
         }
     }
 
-    /// What a broken rule makes of a message.
+    /// Applies the mutation to a message.
     fn tampered(&self, world: &World, to: usize, mut message: Message) -> Message {
         match (&mut message, self.broken) {
             (Message::Renew(renewal), Broken::Confirmed) => {
@@ -289,7 +291,7 @@
     fn crash(&self, world: &mut World, node: usize) {
         let fresh = machine(&self.site, node, world);
         (world.nodes[node], world.model.allowances[node]) = (fresh, Allowance::default());
-        // What it had in hand is gone with it.
+        // The calls in flight are lost with the process.
         world.model.calls.retain(|(who, _)| *who != node);
         world.model.allowances[node] = world.nodes[node].application_mut().allowance(now(world.step));
     }
@@ -298,7 +300,7 @@
         match found {}
     }
 
-    /// Calls that waited for it begin.
+    /// Waiting calls start before any message arrives.
     fn resume(&self, world: &mut World, node: usize) {
         self.begin_calls(world, node);
         self.judge(world);
@@ -314,7 +316,7 @@
     world.model.calls.iter().filter(|(who, until)| *who == node && *until > world.step).count() as u32
 }
 
-/// What a gate lets in now.
+/// Permits that the admission controller of a node has now.
 pub fn may(world: &World, broken: Broken, node: usize) -> u32 {
     let allowance = &world.model.allowances[node];
     if broken == Broken::Ends {
--- a/quota/tests/restarts.rs
+++ b/quota/tests/restarts.rs
@@ -1,5 +1,5 @@
-//! Fleets in virtual time whose processes go by disks: all are killed and started again, with what was there, without it,
-//! or with what was there before. At every step the sum of all that may be used is held against each cap.
+//! Simulated restarts of whole fleets with current, lost or outdated persistent state, checked against the
+//! caps throughout.
 #![expect(clippy::cast_possible_truncation, reason = "the counts of a test are small")]
 
 mod fleet;
@@ -8,143 +8,166 @@
 use flaxhead_quota::{
     Context, Effect, Facts, Machine, Message, Name, Process, QuotaApplication, QuotaTiming,
 };
-use fleet::{site, Fleet, Mode, Plan, SECOND};
+use fleet::{site, Fleet, Mode, Scenario, SECOND};
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-const ALL: usize = 8;
+const NODE_COUNT: usize = 8;
 const LEASE: u64 = 6 * SECOND;
 
-/// Eight that go by disks and want more than any cap, and have all of it.
-fn settled(seed: u64, loss: f64) -> Fleet {
-    let mut fleet = Fleet::new(Plan {
-        processes: ALL,
+/// Returns a fleet with persistent storage and unmet demand, in which all permits are granted.
+fn fully_granted_fleet(seed: u64, loss_ratio: f64) -> Fleet {
+    let mut fleet = Fleet::new(Scenario {
+        processes: NODE_COUNT,
         voters: 3,
-        proxies_most: ALL as u32,
-        site: site("banks", 4 * ALL as u32),
-        hosts: 2 * ALL,
-        host_calls: 8,
-        pace: QuotaTiming { lease: LEASE, max_call_duration: 10 * SECOND, autonomy_timeout: 15 * SECOND },
-        call: SECOND,
-        long_calls: true,
-        tick: SECOND / 20,
-        fault_every: 0,
-        shift_every: 0,
-        loss,
-        mode: Mode::Settled,
+        max_proxies: NODE_COUNT as u32,
+        site: site("banks", 4 * NODE_COUNT as u32),
+        hosts: 2 * NODE_COUNT,
+        calls_per_host: 8,
+        timing: QuotaTiming { lease: LEASE, max_call_duration: 10 * SECOND, autonomy_timeout: 15 * SECOND },
+        call_duration: SECOND,
+        has_long_calls: true,
+        call_interval: SECOND / 20,
+        fault_interval: 0,
+        demand_change_interval: 0,
+        loss_ratio,
+        mode: Mode::Coordinated,
         seed,
     });
-    (0..ALL).for_each(|place| fleet.kill(place));
-    (0..ALL).for_each(|place| fleet.launch_with(place, None));
-    for place in 0..ALL {
-        capped(&fleet).iter().for_each(|(tenant, _)| fleet.want(place, *tenant, 40));
+    (0..NODE_COUNT).for_each(|node| fleet.kill(node));
+    (0..NODE_COUNT).for_each(|node| fleet.start_with_state(node, None));
+    for node in 0..NODE_COUNT {
+        capped_tenants(&fleet).iter().for_each(|(tenant, _)| fleet.set_demand(node, *tenant, 40));
     }
-    assert!(whole_after(&mut fleet) < 60 * SECOND);
+    assert!(time_until_fully_granted(&mut fleet) < 60 * SECOND);
     fleet
 }
 
-fn capped(fleet: &Fleet) -> Vec<(usize, u32)> {
-    fleet.book().tenants.iter().enumerate().filter_map(|(at, tenant)| Some((at, tenant.cap?))).collect()
+fn capped_tenants(fleet: &Fleet) -> Vec<(usize, u32)> {
+    fleet
+        .registry()
+        .tenants
+        .iter()
+        .enumerate()
+        .filter_map(|(index, tenant)| Some((index, tenant.cap?)))
+        .collect()
 }
 
-/// How long it takes until all of each cap may be used.
-fn whole_after(fleet: &mut Fleet) -> u64 {
-    let since = fleet.now;
-    let whole = |fleet: &Fleet| capped(fleet).iter().all(|(tenant, cap)| fleet.allowed(*tenant) == *cap);
-    while !whole(fleet) && fleet.now < since + 60 * SECOND {
-        fleet.play(SECOND / 50);
+/// Returns the time until all permits of each cap may be used, at most 60 s.
+fn time_until_fully_granted(fleet: &mut Fleet) -> u64 {
+    let started_at = fleet.now;
+    let is_fully_granted =
+        |fleet: &Fleet| capped_tenants(fleet).iter().all(|(tenant, cap)| fleet.total_usable(*tenant) == *cap);
+    while !is_fully_granted(fleet) && fleet.now < started_at + 60 * SECOND {
+        fleet.run(SECOND / 50);
     }
-    fleet.now - since
+    fleet.now - started_at
 }
 
-/// Kills these at once and starts them a second later with what a place finds; how long until caps are whole.
-fn again(fleet: &mut Fleet, places: std::ops::Range<usize>, keeps: impl Fn(usize) -> bool) -> u64 {
-    // The voters are told that all is known with the next renewal of the lease.
-    fleet.play(2 * LEASE);
-    let found: Vec<_> = (0..ALL).map(|place| fleet.memory(place).filter(|_| keeps(place))).collect();
-    places.clone().for_each(|place| fleet.kill(place));
-    fleet.play(SECOND);
-    places.for_each(|place| fleet.launch_with(place, found[place].clone()));
-    whole_after(fleet)
+/// Restarts `nodes` at the same time, with their persistent state where `keeps_state` is true. Returns the
+/// time until all permits are granted again.
+fn restart(fleet: &mut Fleet, nodes: std::ops::Range<usize>, keeps_state: impl Fn(usize) -> bool) -> u64 {
+    // Voters learn with the next renewal that the state is complete.
+    fleet.run(2 * LEASE);
+    let found: Vec<_> =
+        (0..NODE_COUNT).map(|node| fleet.persistent_state(node).filter(|_| keeps_state(node))).collect();
+    nodes.clone().for_each(|node| fleet.kill(node));
+    fleet.run(SECOND);
+    nodes.for_each(|node| fleet.start_with_state(node, found[node].clone()));
+    time_until_fully_granted(fleet)
 }
 
-/// Without the disks it is that silence, then a lease and the longest call.
+/// Guards against a recovery that waits for a lease and the longest call, which is only needed without the
+/// state.
 #[test]
-fn with_a_majority_of_the_voters_disks_caps_are_whole_once_a_lease_of_silence_is_over() {
+fn with_the_state_of_most_voters_all_permits_return_within_two_leases() {
     for seed in 1..=5 {
-        let mut fleet = settled(seed, 0.0);
-        let kept = again(&mut fleet, 0..ALL, |_| true);
-        let but_one_killed = again(&mut fleet, 0..ALL - 1, |_| true);
-        let one_lost = again(&mut fleet, 0..ALL, |place| place != 1);
-        let lost = again(&mut fleet, 0..ALL, |_| false);
-        println!("{:?}", [kept, but_one_killed, one_lost, lost].map(|took| took / (SECOND / 10)));
-        // No lease is waited for after the silence of one, as long as bids come through at once or twice.
-        assert!([kept, but_one_killed, one_lost].iter().all(|took| *took < 2 * LEASE), "seed {seed}");
-        assert!(lost > 22 * SECOND, "seed {seed}");
+        let mut fleet = fully_granted_fleet(seed, 0.0);
+        let with_state = restart(&mut fleet, 0..NODE_COUNT, |_| true);
+        let all_but_one_restarted = restart(&mut fleet, 0..NODE_COUNT - 1, |_| true);
+        let with_one_state_lost = restart(&mut fleet, 0..NODE_COUNT, |node| node != 1);
+        let with_all_states_lost = restart(&mut fleet, 0..NODE_COUNT, |_| false);
+        println!(
+            "{:?}",
+            [with_state, all_but_one_restarted, with_one_state_lost, with_all_states_lost]
+                .map(|elapsed| elapsed / (SECOND / 10))
+        );
+        // The restarted leader waits for silence only, unless several elections fail.
+        assert!(
+            [with_state, all_but_one_restarted, with_one_state_lost]
+                .iter()
+                .all(|elapsed| *elapsed < 2 * LEASE),
+            "seed {seed}"
+        );
+        assert!(with_all_states_lost > 22 * SECOND, "seed {seed}");
     }
 }
 
-/// Whatever part of it is there: none of the judge's sums is over a cap, and all is given in the end.
+/// Guards against caps exceeded, or permits lost for good, by restarts with partly lost state.
 #[test]
-fn through_restarts_with_some_of_the_disks_and_lost_messages_no_cap_is_passed() {
+fn restarts_with_partly_lost_state_and_lost_messages_never_exceed_a_cap() {
     for seed in 1..=12_usize {
-        let mut fleet = settled(seed as u64, 0.1);
+        let mut fleet = fully_granted_fleet(seed as u64, 0.1);
         let first = seed % 3;
         for round in 0..4 {
-            let took = again(&mut fleet, first..ALL - round % 2, |place| (place + seed + round) % 3 > 0);
-            assert!(took < 60 * SECOND, "seed {seed}, round {round}");
+            let elapsed =
+                restart(&mut fleet, first..NODE_COUNT - round % 2, |node| (node + seed + round) % 3 > 0);
+            assert!(elapsed < 60 * SECOND, "seed {seed}, round {round}");
         }
-        assert_eq!(fleet.seen.over, 0);
+        assert_eq!(fleet.stats.cap_violations, 0);
     }
 }
 
-/// Why a process that is started again never spends a grant that its disk might hold, though its time is not over: it may
-/// have been lowered since, or given to another as the process before was known to have ended.
+/// Shows why grants are not persisted: a stored grant may have been lowered, or given to another process,
+/// while it is still valid by its time.
 #[test]
-fn a_grant_as_it_was_within_the_same_lease_may_be_others_by_now() {
-    let mut fleet = settled(1, 0.0);
-    let (tenant, cap) = capped(&fleet)[0];
-    let had = |fleet: &Fleet| fleet.usable_at(ALL - 1, tenant);
-    let (written, before) = (fleet.now, had(&fleet));
-    fleet.want(ALL - 1, tenant, 0);
-    while had(&fleet) == before || fleet.allowed(tenant) < cap {
-        fleet.play(SECOND / 50);
+fn a_stored_grant_may_belong_to_another_process_within_its_lease() {
+    let mut fleet = fully_granted_fleet(1, 0.0);
+    let (tenant, cap) = capped_tenants(&fleet)[0];
+    let usable = |fleet: &Fleet| fleet.usable_at(NODE_COUNT - 1, tenant);
+    let (stored_at, stored_permits) = (fleet.now, usable(&fleet));
+    fleet.set_demand(NODE_COUNT - 1, tenant, 0);
+    while usable(&fleet) == stored_permits || fleet.total_usable(tenant) < cap {
+        fleet.run(SECOND / 50);
     }
-    assert!(fleet.now < written + LEASE, "its time is not over");
-    let memory = fleet.memory(ALL - 1);
-    fleet.kill(ALL - 1);
-    fleet.launch_with(ALL - 1, memory);
-    assert!(fleet.allowed(tenant) + before > cap, "what was written then would be over the cap now");
+    assert!(fleet.now < stored_at + LEASE, "the stored grant has not expired");
+    let state = fleet.persistent_state(NODE_COUNT - 1);
+    fleet.kill(NODE_COUNT - 1);
+    fleet.start_with_state(NODE_COUNT - 1, state);
+    assert!(fleet.total_usable(tenant) + stored_permits > cap, "the stored grant would exceed the cap");
 }
 
-/// Voters that remember ask nobody once their silence is over: they must not all bid then, in one moment.
+/// Guards against voters that all start an election at the same moment after a common restart.
 #[test]
-fn voters_that_remember_and_start_together_bid_one_after_the_other() {
-    let mut fleet = settled(1, 0.0);
-    fleet.play(2 * LEASE);
-    let voters: Vec<Name> = (0..3).map(|place| Name::new(&format!("p{place:03}")).expect("a name")).collect();
-    let pace = QuotaTiming { lease: LEASE, max_call_duration: 10 * SECOND, autonomy_timeout: 15 * SECOND };
+fn voters_with_state_that_start_together_attempt_elections_one_at_a_time() {
+    let mut fleet = fully_granted_fleet(1, 0.0);
+    fleet.run(2 * LEASE);
+    let voters: Vec<Name> =
+        (0..3).map(|node| Name::new(&format!("p{node:03}")).expect("valid name")).collect();
+    let timing = QuotaTiming { lease: LEASE, max_call_duration: 10 * SECOND, autonomy_timeout: 15 * SECOND };
     let (facts, mut random) = (Facts { participates: true, ..Facts::default() }, Pcg64::seed_from_u64(3));
-    let mut bids = |place: usize| {
-        let at = SocketAddr::from(([10, 0, 0, place as u8], 7_946));
-        let me = Process { name: voters[place].clone(), incarnation: 99, address: at };
-        let shares = QuotaApplication::new(0, fleet.book().clone(), pace.clone());
-        let list = Voters::new(voters.clone(), Vec::new()).expect("voters");
-        let found = fleet.memory(place).filter(|memory| memory.is_recovered);
-        assert!(found.is_some(), "it is sure");
-        let mut machine =
-            Machine::new(QuotaApplication::config(&pace), shares, list, me, 0).with_disk(0, found, SECOND);
+    let mut first_election_attempt = |node: usize| {
+        let node_address = SocketAddr::from(([10, 0, 0, node as u8], 7_946));
+        let process = Process { name: voters[node].clone(), incarnation: 99, address: node_address };
+        let quota = QuotaApplication::new(0, fleet.registry().clone(), timing.clone());
+        let voter_set = Voters::new(voters.clone(), Vec::new()).expect("valid voters");
+        let found = fleet.persistent_state(node).filter(|state| state.is_recovered);
+        assert!(found.is_some(), "the state is recovered");
+        let mut machine = Machine::new(QuotaApplication::config(&timing), quota, voter_set, process, 0)
+            .with_disk(0, found, SECOND);
         let mut steps = std::iter::once(0).chain((LEASE..3 * LEASE).step_by(1_000));
-        let bid = |now: &u64| {
-            let mut out = Vec::new();
-            machine.tick(&mut Context { now: *now, facts: &facts, random: &mut random }, &mut out);
-            out.iter().any(|of| matches!(of, Effect::Send { message: Message::Prepare { .. }, .. }))
+        let is_election_attempt = |now: &u64| {
+            let mut effects = Vec::new();
+            machine.tick(&mut Context { now: *now, facts: &facts, random: &mut random }, &mut effects);
+            effects
+                .iter()
+                .any(|effect| matches!(effect, Effect::Send { message: Message::Prepare { .. }, .. }))
         };
-        steps.find(bid)
+        steps.find(is_election_attempt)
     };
-    let first: BTreeSet<u64> = (0..3).filter_map(&mut bids).collect();
-    assert_eq!(first.len(), 3, "{first:?}");
-    assert!(first.iter().all(|at| *at > LEASE && *at < LEASE + LEASE / 3), "{first:?}");
+    let attempts: BTreeSet<u64> = (0..3).filter_map(&mut first_election_attempt).collect();
+    assert_eq!(attempts.len(), 3, "{attempts:?}");
+    assert!(attempts.iter().all(|time| *time > LEASE && *time < LEASE + LEASE / 3), "{attempts:?}");
 }
--- a/quota/tests/wire_format.rs
+++ b/quota/tests/wire_format.rs
@@ -1,5 +1,5 @@
-//! The bytes of what a process and the lease holder exchange over tenant quotas. postcard encodes fields and variants by
-//! position, so a reordered variant or an inserted field changes the protocol: these bytes must not change.
+//! Encoded bytes of the reports and grants of tenant quotas. postcard encodes fields and variants by
+//! position, so these bytes must not change.
 
 use flaxhead_lease::{
     LeaseGrant, Message, PersistentState, Promise, Renewal, Roster, Version, Versioned, VoterSetHashes,
@@ -111,7 +111,7 @@
     assert_eq!(actual.to_vec(), expected);
 }
 
-/// Processes tell by the digest whether their settings agree: two builds must come to the same number.
+/// Guards against builds that compute different digests of the same configuration.
 #[test]
 fn the_digest_of_the_settings_keeps_its_value() {
     assert_eq!(book().digest, EXPECTED_DIGEST);
