--- a/quota/tests/ledger.rs
+++ b/quota/tests/ledger.rs
@@ -10,18 +10,18 @@
 const SECOND: Micros = 1_000_000;
 const BANKS: [(&str, f64); 2] = [("etna", 0.5), ("iblea", 0.3)];
 
-fn pace() -> QuotaTiming {
+fn timing() -> QuotaTiming {
     QuotaTiming { lease: 6 * SECOND, max_call_duration: 10 * SECOND, autonomy_timeout: 15 * SECOND }
 }
 
-fn book(caps: &[&str], proxies_most: u32) -> TenantRegistry {
+fn registry(caps: &[&str], max_proxy_count: u32) -> TenantRegistry {
     let caps = caps.iter().map(|cap| (*cap).to_owned()).collect();
-    TenantRegistry::new(&QuotaConfig { max_proxies: proxies_most, caps, ..QuotaConfig::default() }, BANKS)
-        .expect("terms")
+    TenantRegistry::new(&QuotaConfig { max_proxies: max_proxy_count, caps, ..QuotaConfig::default() }, BANKS)
+        .expect("valid config")
 }
 
 fn process(number: u8) -> Process {
-    let name = Name::new(&format!("n{number}")).expect("a name");
+    let name = Name::new(&format!("n{number}")).expect("valid name");
     Process { name, incarnation: 1, address: SocketAddr::from(([127, 0, 0, number], 7_946)) }
 }
 
@@ -30,62 +30,63 @@
 }
 
 /// Usage of the first tenant by calls in flight and demand.
-fn usage(in_hand: u32, wanted: u32) -> Usage {
-    let of = TenantUsage {
-        in_flight: in_hand,
-        peak: wanted.max(in_hand),
-        queued: wanted.saturating_sub(in_hand),
+fn usage(calls: u32, wanted: u32) -> Usage {
+    let tenant_usage = TenantUsage {
+        in_flight: calls,
+        peak: wanted.max(calls),
+        queued: wanted.saturating_sub(calls),
         rejected: 0,
     };
-    Usage { tenants: vec![of], ..Usage::default() }
+    Usage { tenants: vec![tenant_usage], ..Usage::default() }
 }
 
 struct Fleet {
     ledger: QuotaLedger,
-    held: Vec<LocalQuota>,
+    local_quotas: Vec<LocalQuota>,
     now: Micros,
 }
 
 impl Fleet {
-    fn new(books: Vec<TenantRegistry>) -> Fleet {
+    fn new(registries: Vec<TenantRegistry>) -> Fleet {
         let now = 100 * SECOND;
-        let ledger = QuotaLedger::new(now, books[0].clone(), pace(), ballot(1), true, []);
-        let held = books.into_iter().map(|book| LocalQuota::new(now, book, pace())).collect();
-        Fleet { ledger, held, now }
+        let ledger = QuotaLedger::new(now, registries[0].clone(), timing(), ballot(1), true, []);
+        let local_quotas =
+            registries.into_iter().map(|registry| LocalQuota::new(now, registry, timing())).collect();
+        Fleet { ledger, local_quotas, now }
     }
 
-    fn word(&mut self, of: usize, usage: Usage) -> QuotaReport {
-        self.held[of].observe_fence(&ballot(1));
-        self.held[of].report(self.now, usage)
+    fn make_report(&mut self, index: usize, usage: Usage) -> QuotaReport {
+        self.local_quotas[index].observe_fence(&ballot(1));
+        self.local_quotas[index].report(self.now, usage)
     }
 
     /// Sends a report and applies the resulting grant a tenth of a second later.
-    fn renew(&mut self, of: usize, usage: Usage) -> QuotaGrant {
-        let word = self.word(of, usage);
-        self.ledger.record_report(self.now, &process(of as u8 + 1), self.now, word);
-        self.leave(of)
+    fn renew(&mut self, index: usize, usage: Usage) -> QuotaGrant {
+        let report = self.make_report(index, usage);
+        self.ledger.record_report(self.now, &process(index as u8 + 1), self.now, report);
+        self.request_grant(index)
     }
 
-    fn leave(&mut self, of: usize) -> QuotaGrant {
-        let asked = self.now;
+    fn request_grant(&mut self, index: usize) -> QuotaGrant {
+        let requested_at = self.now;
         self.now += SECOND / 10;
-        let leave = self.ledger.grant(self.now, &process(of as u8 + 1));
-        self.held[of].apply_grant(&ballot(1), asked + pace().lease, leave.clone());
-        leave
+        let grant = self.ledger.grant(self.now, &process(index as u8 + 1));
+        self.local_quotas[index].apply_grant(&ballot(1), requested_at + timing().lease, grant.clone());
+        grant
     }
 
-    fn cap(&mut self, of: usize) -> u32 {
+    fn cap(&mut self, index: usize) -> u32 {
         let now = self.now;
-        self.held[of].allowance(now).cap(now, 0).expect("a cap")
+        self.local_quotas[index].allowance(now).cap(now, 0).expect("a cap")
     }
 }
 
 #[test]
-fn units_move_only_once_the_lowered_grant_is_confirmed_and_its_calls_are_over() {
-    let mut fleet = Fleet::new(vec![book(&["etna 40"], 2), book(&["etna 40"], 2)]);
+fn permits_move_after_the_lowered_grant_is_confirmed_and_its_calls_have_ended() {
+    let mut fleet = Fleet::new(vec![registry(&["etna 40"], 2), registry(&["etna 40"], 2)]);
     (0..3).for_each(|_| drop(fleet.renew(0, usage(0, 40))));
-    let whole = fleet.cap(0);
-    assert_eq!(whole, 35, "all but the other's own part");
+    let first_cap = fleet.cap(0);
+    assert_eq!(first_cap, 35, "all but the guaranteed minimum of the other process");
     // The second process wants as much. The first gets a lower grant, but has as many calls in flight as
     // before.
     (0..3).for_each(|_| drop(fleet.renew(1, usage(0, 40))));
@@ -96,37 +97,38 @@
     assert_eq!(fleet.cap(1), 5, "not confirmed");
     fleet.renew(0, usage(32, 40));
     fleet.renew(1, usage(5, 40));
-    assert_eq!(fleet.cap(1), 8, "what is in hand beyond the grant counts");
+    assert_eq!(fleet.cap(1), 8, "calls in flight beyond the grant count");
     fleet.renew(0, usage(20, 40));
     fleet.renew(1, usage(8, 40));
     assert_eq!((fleet.cap(0), fleet.cap(1)), (20, 20));
 }
 
 #[test]
-fn a_word_that_comes_late_or_twice_does_not_undo_a_later_one() {
-    let mut fleet = Fleet::new(vec![book(&["etna 40"], 2), book(&["etna 40"], 2)]);
+fn a_delayed_or_repeated_report_does_not_replace_a_later_one() {
+    let mut fleet = Fleet::new(vec![registry(&["etna 40"], 2), registry(&["etna 40"], 2)]);
     // The first report shows no calls in flight, and arrives after the process has used its whole grant.
-    let (early, said) = (fleet.word(0, usage(0, 40)), fleet.now);
+    let (early_report, reported_at) = (fleet.make_report(0, usage(0, 40)), fleet.now);
     (0..3).for_each(|_| drop(fleet.renew(0, usage(0, 40))));
     (0..3).for_each(|_| drop(fleet.renew(1, usage(0, 40))));
     (0..2).for_each(|_| drop(fleet.renew(0, usage(35, 40))));
     assert_eq!(fleet.cap(0), 20);
-    fleet.ledger.record_report(fleet.now, &process(1), said, early);
+    fleet.ledger.record_report(fleet.now, &process(1), reported_at, early_report);
     fleet.renew(1, usage(5, 40));
-    assert_eq!(fleet.cap(1), 5, "what is in hand beyond the grant counts still");
+    assert_eq!(fleet.cap(1), 5, "calls in flight beyond the grant still count");
 }
 
 #[test]
-fn one_that_is_not_heard_keeps_its_units_until_leave_and_the_longest_call_are_over() {
-    let mut fleet = Fleet::new(vec![book(&["etna 40"], 2), book(&["etna 40"], 2)]);
+fn a_silent_process_keeps_its_permits_until_its_grant_and_longest_call_have_ended() {
+    let mut fleet = Fleet::new(vec![registry(&["etna 40"], 2), registry(&["etna 40"], 2)]);
     (0..3).for_each(|_| drop(fleet.renew(0, usage(0, 40))));
     let end = fleet.now + 16 * SECOND;
     while fleet.now < end {
         fleet.renew(1, usage(5, 40));
         assert_eq!(fleet.cap(1), 5, "at {}", fleet.now);
-        let of_others = fleet.ledger.view(fleet.now);
-        let granted = of_others.tenants[0].holders.iter().find(|row| row.name == "n1").expect("a row");
-        assert_eq!(granted.granted, 30);
+        let view = fleet.ledger.view(fleet.now);
+        let holder =
+            view.tenants[0].holders.iter().find(|holder| holder.name == "n1").expect("n1 holds permits");
+        assert_eq!(holder.granted, 30);
     }
     assert!(fleet.ledger.view(fleet.now).reasons.contains(&"not heard: n1".to_owned()));
     fleet.now += SECOND;
@@ -137,81 +139,87 @@
 }
 
 #[test]
-fn a_new_holder_gives_what_processes_state_and_no_more_until_all_have() {
-    let mut fleet = Fleet::new(vec![book(&["etna 40"], 2), book(&["etna 40"], 2)]);
+fn a_new_leader_only_confirms_reported_permits_until_all_processes_have_reported() {
+    let mut fleet = Fleet::new(vec![registry(&["etna 40"], 2), registry(&["etna 40"], 2)]);
     (0..3).for_each(|_| drop(fleet.renew(0, usage(0, 40))));
     (0..3).for_each(|_| drop(fleet.renew(1, usage(0, 40))));
     let roster = [process(1), process(2)];
-    let next = ballot(2);
-    fleet.ledger =
-        QuotaLedger::new(fleet.now, fleet.held[0].registry().clone(), pace(), next.clone(), true, &roster);
-    let asked = fleet.now;
+    let next_ballot = ballot(2);
+    fleet.ledger = QuotaLedger::new(
+        fleet.now,
+        fleet.local_quotas[0].registry().clone(),
+        timing(),
+        next_ballot.clone(),
+        true,
+        &roster,
+    );
+    let requested_at = fleet.now;
     // A process that has not heard of the new leader may still apply grants of the previous one.
-    let word = fleet.held[0].report(asked, usage(0, 40));
-    fleet.ledger.record_report(asked, &process(1), asked, word);
-    let leave = fleet.ledger.grant(asked, &process(1));
-    assert_eq!((leave.permits.clone(), leave.is_complete), (None, false));
-    fleet.held[0].apply_grant(&next, asked + pace().lease, leave);
+    let report = fleet.local_quotas[0].report(requested_at, usage(0, 40));
+    fleet.ledger.record_report(requested_at, &process(1), requested_at, report);
+    let grant = fleet.ledger.grant(requested_at, &process(1));
+    assert_eq!((grant.permits.clone(), grant.is_complete), (None, false));
+    fleet.local_quotas[0].apply_grant(&next_ballot, requested_at + timing().lease, grant);
     let stale =
         QuotaGrant { seq: 99, permits: Some(vec![35, 0, 0]), has_slot: true, ..QuotaGrant::default() };
-    assert!(!fleet.held[0].apply_grant(&ballot(1), asked + pace().lease, stale));
-    let word = fleet.held[0].report(asked + 1, usage(0, 40));
-    fleet.ledger.record_report(asked + 1, &process(1), asked + 1, word);
-    assert_eq!(fleet.ledger.grant(asked + 1, &process(1)).permits, Some(vec![30, 0, 0]));
-    assert!(fleet.ledger.learning_until(asked + 1).is_some());
-    fleet.held[1].observe_fence(&next);
-    let word = fleet.held[1].report(asked + 1, usage(0, 40));
-    fleet.ledger.record_report(asked + 1, &process(2), asked + 1, word);
-    assert_eq!(fleet.ledger.learning_until(asked + 1), None);
+    assert!(!fleet.local_quotas[0].apply_grant(&ballot(1), requested_at + timing().lease, stale));
+    let report = fleet.local_quotas[0].report(requested_at + 1, usage(0, 40));
+    fleet.ledger.record_report(requested_at + 1, &process(1), requested_at + 1, report);
+    assert_eq!(fleet.ledger.grant(requested_at + 1, &process(1)).permits, Some(vec![30, 0, 0]));
+    assert!(fleet.ledger.learning_until(requested_at + 1).is_some());
+    fleet.local_quotas[1].observe_fence(&next_ballot);
+    let report = fleet.local_quotas[1].report(requested_at + 1, usage(0, 40));
+    fleet.ledger.record_report(requested_at + 1, &process(2), requested_at + 1, report);
+    assert_eq!(fleet.ledger.learning_until(requested_at + 1), None);
 }
 
 #[test]
-fn one_too_many_has_no_seat_and_may_use_nothing_but_what_it_is_granted() {
-    let mut fleet = Fleet::new(vec![book(&["etna 8"], 2); 3]);
-    for of in [0, 1, 2, 0, 1, 2] {
-        fleet.renew(of, usage(0, 0));
+fn a_process_without_a_slot_may_only_use_granted_permits() {
+    let mut fleet = Fleet::new(vec![registry(&["etna 8"], 2); 3]);
+    for index in [0, 1, 2, 0, 1, 2] {
+        fleet.renew(index, usage(0, 0));
     }
-    let seats: Vec<Slot> = fleet.held.iter().map(LocalQuota::slot).collect();
-    assert_eq!(seats, [Slot::Assigned, Slot::Assigned, Slot::Denied]);
+    let slots: Vec<Slot> = fleet.local_quotas.iter().map(LocalQuota::slot).collect();
+    assert_eq!(slots, [Slot::Assigned, Slot::Assigned, Slot::Denied]);
     assert!(fleet.ledger.view(fleet.now).reasons.contains(&"no seat: n3".to_owned()));
-    for of in [2, 0, 1, 2, 0, 1, 2, 0, 1, 2] {
-        fleet.renew(of, usage(0, if of == 2 { 40 } else { 0 }));
+    for index in [2, 0, 1, 2, 0, 1, 2, 0, 1, 2] {
+        fleet.renew(index, usage(0, if index == 2 { 40 } else { 0 }));
     }
     assert_eq!(fleet.cap(2), 6);
     // Without a slot, nothing is left after the grant has expired.
     fleet.now += 7 * SECOND;
     assert_eq!(fleet.cap(2), 0);
     // A process with the same address replaces the first one, so the two share one slot.
-    let (again, now) = (Process { incarnation: 2, ..process(1) }, fleet.now);
-    let mut held = LocalQuota::new(now, book(&["etna 8"], 2), pace());
-    let word = held.report(now, usage(0, 0));
-    fleet.ledger.record_report(now, &again, now, word);
-    assert!(fleet.ledger.grant(now, &again).has_slot);
+    let (replacement, now) = (Process { incarnation: 2, ..process(1) }, fleet.now);
+    let mut local_quota = LocalQuota::new(now, registry(&["etna 8"], 2), timing());
+    let report = local_quota.report(now, usage(0, 0));
+    fleet.ledger.record_report(now, &replacement, now, report);
+    assert!(fleet.ledger.grant(now, &replacement).has_slot);
     assert!(!fleet.renew(2, usage(0, 0)).has_slot);
     fleet.ledger.remove_process(&process(1));
-    fleet.ledger.remove_process(&again);
+    fleet.ledger.remove_process(&replacement);
     assert!(fleet.renew(2, usage(0, 0)).has_slot);
 }
 
 #[test]
-fn where_settings_differ_the_lower_cap_holds_by_the_names_of_tenants_and_is_named() {
+fn with_differing_configurations_the_lower_cap_applies_by_tenant_name_and_is_reported() {
     // The second process has a lower cap, and a different order of tenants.
-    let terms = QuotaConfig { max_proxies: 2, caps: vec!["etna 8".to_owned()], ..QuotaConfig::default() };
-    let other = TenantRegistry::new(&terms, [BANKS[1], BANKS[0]]).expect("terms");
-    let mut fleet = Fleet::new(vec![book(&["etna 40"], 2), other]);
-    let second = |wanted: u32| {
-        let etna = usage(0, wanted).tenants[0];
-        Usage { tenants: vec![TenantUsage::default(), etna], ..Usage::default() }
+    let config = QuotaConfig { max_proxies: 2, caps: vec!["etna 8".to_owned()], ..QuotaConfig::default() };
+    let other_registry = TenantRegistry::new(&config, [BANKS[1], BANKS[0]]).expect("valid config");
+    let mut fleet = Fleet::new(vec![registry(&["etna 40"], 2), other_registry]);
+    let second_usage = |wanted: u32| {
+        let etna_usage = usage(0, wanted).tenants[0];
+        Usage { tenants: vec![TenantUsage::default(), etna_usage], ..Usage::default() }
     };
     for _ in 0..4 {
         fleet.renew(0, usage(0, 40));
-        fleet.renew(1, second(40));
+        fleet.renew(1, second_usage(40));
     }
-    let (now, first) = (fleet.now, fleet.cap(0));
-    let allowance = fleet.held[1].allowance(now);
+    let (now, first_cap) = (fleet.now, fleet.cap(0));
+    let allowance = fleet.local_quotas[1].allowance(now);
     assert_eq!(allowance.cap(now, 0), None, "iblea has no cap");
-    let second = allowance.cap(now, 1).expect("a cap");
-    assert_eq!((first + second, first), (8, 4), "{:?}", fleet.ledger.view(now));
+    let second_cap = allowance.cap(now, 1).expect("a cap");
+    assert_eq!((first_cap + second_cap, first_cap), (8, 4), "{:?}", fleet.ledger.view(now));
     assert!(fleet.ledger.view(now).reasons.contains(&"caps differ at n2".to_owned()));
     // The lower minimum stays in effect after the grant has expired.
     fleet.now += 7 * SECOND;
@@ -219,40 +227,48 @@
 }
 
 #[test]
-fn a_started_process_waits_for_a_seat_only_while_that_can_change_the_answer() {
-    let mut held = LocalQuota::new(0, book(&["etna 40"], 2), pace());
-    assert_eq!((held.allowance(0).cap(0, 0), held.next_change(0)), (Some(0), Some(15 * SECOND)));
-    assert_eq!(held.allowance(15 * SECOND).cap(15 * SECOND, 0), Some(5));
-    let mut held = LocalQuota::new(0, book(&["etna 40"], 2), pace());
-    held.assume_slot();
-    assert_eq!(held.allowance(1).cap(1, 0), Some(5));
+fn a_started_process_waits_for_a_slot_until_the_autonomy_timeout_or_loss_of_all_state() {
+    let mut local_quota = LocalQuota::new(0, registry(&["etna 40"], 2), timing());
+    assert_eq!(
+        (local_quota.allowance(0).cap(0, 0), local_quota.next_change(0)),
+        (Some(0), Some(15 * SECOND))
+    );
+    assert_eq!(local_quota.allowance(15 * SECOND).cap(15 * SECOND, 0), Some(5));
+    let mut local_quota = LocalQuota::new(0, registry(&["etna 40"], 2), timing());
+    local_quota.assume_slot();
+    assert_eq!(local_quota.allowance(1).cap(1, 0), Some(5));
 }
 
 #[test]
-fn hosts_are_shared_by_portion_and_what_one_leaves_is_lent() {
-    let terms = QuotaConfig { calls_per_host: 10, max_proxies: 2, ..QuotaConfig::default() };
-    let mut fleet = Fleet::new(vec![TenantRegistry::new(&terms, BANKS).expect("terms"); 2]);
+fn capacity_is_shared_by_portion_and_unused_shares_are_lent() {
+    let config = QuotaConfig { calls_per_host: 10, max_proxies: 2, ..QuotaConfig::default() };
+    let mut fleet = Fleet::new(vec![TenantRegistry::new(&config, BANKS).expect("valid config"); 2]);
     fleet.ledger.set_hosts(&[HostCapacity { ready: true, failing: false, warmth: 1_000, size: 10_000 }]);
-    let use_of = |wanted: u32| usage(0, wanted).tenants[0];
-    let both = |etna, iblea| Usage { tenants: vec![use_of(etna), use_of(iblea)], ..Usage::default() };
+    let usage_of = |wanted: u32| usage(0, wanted).tenants[0];
+    let usage_of_both =
+        |etna, iblea| Usage { tenants: vec![usage_of(etna), usage_of(iblea)], ..Usage::default() };
     for _ in 0..3 {
-        fleet.renew(0, both(90, 90));
-        fleet.renew(1, both(0, 90));
+        fleet.renew(0, usage_of_both(90, 90));
+        fleet.renew(1, usage_of_both(0, 90));
     }
-    let (now, all) = (fleet.now, |held: &mut LocalQuota, now| held.allowance(now));
-    let (one, two) = (all(&mut fleet.held[0], now), all(&mut fleet.held[1], now));
+    let (now, allowance_of) = (fleet.now, |local_quota: &mut LocalQuota, now| local_quota.allowance(now));
+    let (first_allowance, second_allowance) =
+        (allowance_of(&mut fleet.local_quotas[0], now), allowance_of(&mut fleet.local_quotas[1], now));
     // Capacity of 90 calls: 56 for etna, which only has calls at one process, and 34 for iblea, over both
     // processes.
-    let shares = |allowance: &flaxhead_quota::Allowance| -> Vec<u32> {
-        allowance.tenants.iter().map(|units| units.fair_share).collect()
+    let fair_shares = |allowance: &flaxhead_quota::Allowance| -> Vec<u32> {
+        allowance.tenants.iter().map(|tenant| tenant.fair_share).collect()
     };
-    assert_eq!((shares(&one), shares(&two)), (vec![56, 17, 0], vec![0, 17, 0]));
-    assert_eq!((one.total(now), two.total(now)), (Some(73), Some(17)));
+    assert_eq!(
+        (fair_shares(&first_allowance), fair_shares(&second_allowance)),
+        (vec![56, 17, 0], vec![0, 17, 0])
+    );
+    assert_eq!((first_allowance.total(now), second_allowance.total(now)), (Some(73), Some(17)));
     // The total ends with the grant.
-    assert_eq!(one.total(now + 7 * SECOND), None);
+    assert_eq!(first_allowance.total(now + 7 * SECOND), None);
     for _ in 0..3 {
-        fleet.renew(0, both(0, 90));
-        fleet.renew(1, both(0, 90));
+        fleet.renew(0, usage_of_both(0, 90));
+        fleet.renew(1, usage_of_both(0, 90));
     }
     let view = fleet.ledger.view(fleet.now);
     assert!(view.tenants[1].fair_share > Some(80), "{view:?}");
--- a/quota/tests/max_min.rs
+++ b/quota/tests/max_min.rs
@@ -5,60 +5,67 @@
 use proptest::prelude::*;
 
 /// Returns the fair allocation in fractional permits.
-fn exact(total: u32, wants: &[Demand]) -> Vec<f64> {
-    let least: f64 = wants.iter().map(|want| f64::from(want.minimum)).sum();
-    let at = |level: f64, want: &Demand| {
-        let most = f64::from(want.wanted.max(want.minimum));
-        let (low, most) = if least >= f64::from(total) {
-            (0.0, f64::from(want.minimum))
+fn fair_allocation(total: u32, demands: &[Demand]) -> Vec<f64> {
+    let minimums: f64 = demands.iter().map(|demand| f64::from(demand.minimum)).sum();
+    let permits_at = |level: f64, demand: &Demand| {
+        let max = f64::from(demand.wanted.max(demand.minimum));
+        let (low, max) = if minimums >= f64::from(total) {
+            (0.0, f64::from(demand.minimum))
         } else {
-            (f64::from(want.minimum), most)
+            (f64::from(demand.minimum), max)
         };
-        (level * want.weight.max(1) as f64).clamp(low, most)
+        (level * demand.weight.max(1) as f64).clamp(low, max)
     };
     let (mut low, mut high) = (0.0, f64::from(u32::MAX));
     for _ in 0..200 {
-        let middle = (low + high) / 2.0;
-        let sum: f64 = wants.iter().map(|want| at(middle, want)).sum();
+        let level = (low + high) / 2.0;
+        let sum: f64 = demands.iter().map(|demand| permits_at(level, demand)).sum();
         if sum > f64::from(total) {
-            high = middle
+            high = level
         } else {
-            low = middle
+            low = level
         }
     }
-    wants.iter().map(|want| at(low, want)).collect()
+    demands.iter().map(|demand| permits_at(low, demand)).collect()
 }
 
-fn wants() -> impl Strategy<Value = Vec<Demand>> {
-    let want = (1u64..2_000, 0u32..6, 0u32..60);
-    let want = want.prop_map(|(weight, least, demand)| Demand { weight, minimum: least, wanted: demand });
-    proptest::collection::vec(want, 1..14)
+fn demands() -> impl Strategy<Value = Vec<Demand>> {
+    let fields = (1u64..2_000, 0u32..6, 0u32..60);
+    let demand = fields.prop_map(|(weight, min_permits, wanted_permits)| Demand {
+        weight,
+        minimum: min_permits,
+        wanted: wanted_permits,
+    });
+    proptest::collection::vec(demand, 1..14)
 }
 
-fn sum(units: &[u32]) -> u32 {
-    units.iter().sum()
+fn sum(permits: &[u32]) -> u32 {
+    permits.iter().sum()
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 2_000, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn fills_to_within_a_unit_of_the_exact_level(total in 0u32..400, wants in wants()) {
-        let units = allocate_max_min(total, &wants);
-        for ((units, exact), want) in units.iter().zip(exact(total, &wants)).zip(&wants) {
-            prop_assert!((f64::from(*units) - exact).abs() < 1.0 + 1e-6, "{units} for {exact}, {want:?}");
-            prop_assert!(*units <= want.wanted.max(want.minimum));
+    fn permits_are_within_one_of_the_fair_allocation(total in 0u32..400, demands in demands()) {
+        let permits = allocate_max_min(total, &demands);
+        for ((permits, fair), demand) in permits.iter().zip(fair_allocation(total, &demands)).zip(&demands) {
+            prop_assert!((f64::from(*permits) - fair).abs() < 1.0 + 1e-6, "{permits} instead of {fair}, {demand:?}");
+            prop_assert!(*permits <= demand.wanted.max(demand.minimum));
         }
-        let wanted = wants.iter().map(|want| want.wanted.max(want.minimum)).sum::<u32>();
-        prop_assert_eq!(sum(&units), total.min(wanted));
+        let total_wanted = demands.iter().map(|demand| demand.wanted.max(demand.minimum)).sum::<u32>();
+        prop_assert_eq!(sum(&permits), total.min(total_wanted));
     }
 
     #[test]
-    fn gives_all_units_and_all_that_is_wanted_where_there_is_enough(total in 0u32..900, wants in wants()) {
-        let units = reallocate(total, &wants, &[]);
-        prop_assert_eq!(sum(&units), total);
-        if wants.iter().map(|want| want.wanted.max(want.minimum)).sum::<u32>() <= total {
-            prop_assert!(units.iter().zip(&wants).all(|(units, want)| *units >= want.wanted.max(want.minimum)));
+    fn all_permits_are_allocated_and_all_demands_met_if_possible(total in 0u32..900, demands in demands()) {
+        let permits = reallocate(total, &demands, &[]);
+        prop_assert_eq!(sum(&permits), total);
+        if demands.iter().map(|demand| demand.wanted.max(demand.minimum)).sum::<u32>() <= total {
+            prop_assert!(permits
+                .iter()
+                .zip(&demands)
+                .all(|(permits, demand)| *permits >= demand.wanted.max(demand.minimum)));
         }
     }
 
@@ -66,88 +73,92 @@
     /// the fair level, one for rounding and one for the tolerance, apart from lent permits. Minimums are met,
     /// and no claimant is left without a permit if there is one for each.
     #[test]
-    fn keeps_a_division_only_while_it_is_good(
+    fn a_previous_allocation_is_kept_only_within_the_tolerance(
         total in 0u32..400,
-        wants in wants(),
+        demands in demands(),
         near in proptest::collection::vec(0u32..3, 14),
-        far in proptest::option::of(0u32..100),
+        far_factor in proptest::option::of(0u32..100),
     ) {
-        let near = allocate_max_min(total, &wants).into_iter().zip(near).map(|(units, by)| (units + by).saturating_sub(1));
-        let old: Vec<u32> = near.map(|units| far.map_or(units, |far| far * units % 97)).collect();
-        let units = reallocate(total, &wants, &old);
-        prop_assert_eq!(sum(&units), total);
-        let enough = sum(&allocate_max_min(total, &wants)) < total;
-        let least: u32 = wants.iter().map(|want| want.minimum.max(want.wanted.min(1))).sum();
-        for ((units, exact), want) in units.iter().zip(exact(total, &wants)).zip(&wants) {
-            prop_assert!(f64::from(*units) > exact - 2.0 - 1e-6, "{units} for {exact}, {want:?}");
-            if !enough {
-                prop_assert!(f64::from(*units) < exact + 3.0 + 1e-6, "{units} for {exact}, {want:?}");
+        let near = allocate_max_min(total, &demands)
+            .into_iter()
+            .zip(near)
+            .map(|(permits, offset)| (permits + offset).saturating_sub(1));
+        let previous: Vec<u32> =
+            near.map(|permits| far_factor.map_or(permits, |factor| factor * permits % 97)).collect();
+        let permits = reallocate(total, &demands, &previous);
+        prop_assert_eq!(sum(&permits), total);
+        let is_demand_met = sum(&allocate_max_min(total, &demands)) < total;
+        let total_minimum: u32 = demands.iter().map(|demand| demand.minimum.max(demand.wanted.min(1))).sum();
+        for ((permits, fair), demand) in permits.iter().zip(fair_allocation(total, &demands)).zip(&demands) {
+            prop_assert!(f64::from(*permits) > fair - 2.0 - 1e-6, "{permits} instead of {fair}, {demand:?}");
+            if !is_demand_met {
+                prop_assert!(f64::from(*permits) < fair + 3.0 + 1e-6, "{permits} instead of {fair}, {demand:?}");
             }
-            if allocate_max_min(total, &wants).iter().all(|units| *units >= 1) && least <= total {
-                prop_assert!(*units >= want.minimum.max(want.wanted.min(1)), "{units}, {want:?}");
+            if allocate_max_min(total, &demands).iter().all(|permits| *permits >= 1) && total_minimum <= total {
+                prop_assert!(*permits >= demand.minimum.max(demand.wanted.min(1)), "{permits}, {demand:?}");
             }
         }
     }
 
     #[test]
-    fn steady_demand_moves_nothing(
+    fn steady_demand_moves_no_permits(
         total in 0u32..400,
-        wants in wants(),
-        old in proptest::collection::vec(0u32..100, 14),
+        demands in demands(),
+        previous in proptest::collection::vec(0u32..100, 14),
     ) {
         for reallocate in [reallocate, reallocate_tenants] {
-            let first = reallocate(total, &wants, &old);
-            prop_assert_eq!(reallocate(total, &wants, &first), first);
+            let first = reallocate(total, &demands, &previous);
+            prop_assert_eq!(reallocate(total, &demands, &first), first);
         }
     }
 
     /// Guards against oscillation: a demand that alternates by one call moves no more permits after the first
     /// change.
     #[test]
-    fn a_swing_of_one_call_does_not_swing_what_is_granted(total in 40u32..400, wants in wants(), at in 0usize..14) {
-        let at = at % wants.len();
-        let mut higher = wants.clone();
-        higher[at].wanted += 1;
+    fn an_alternating_demand_does_not_move_permits(total in 40u32..400, demands in demands(), claimant in 0usize..14) {
+        let claimant = claimant % demands.len();
+        let mut higher = demands.clone();
+        higher[claimant].wanted += 1;
         for reallocate in [reallocate, reallocate_tenants] {
-            let settled = reallocate(total, &higher, &reallocate(total, &wants, &[]));
-            let mut units = settled.clone();
+            let settled = reallocate(total, &higher, &reallocate(total, &demands, &[]));
+            let mut permits = settled.clone();
             for _ in 0..3 {
-                for wants in [&wants, &higher] {
-                    units = reallocate(total, wants, &units);
-                    prop_assert_eq!(&units, &settled);
+                for demands in [&demands, &higher] {
+                    permits = reallocate(total, demands, &permits);
+                    prop_assert_eq!(&permits, &settled);
                 }
             }
         }
     }
 
     #[test]
-    fn the_same_wishes_get_the_same(total in 0u32..400, wants in wants()) {
-        prop_assert_eq!(allocate_max_min(total, &wants), allocate_max_min(total, &wants));
-        let weights: Vec<u64> = wants.iter().map(|want| want.weight).collect();
+    fn equal_demands_get_equal_allocations(total in 0u32..400, demands in demands()) {
+        prop_assert_eq!(allocate_max_min(total, &demands), allocate_max_min(total, &demands));
+        let weights: Vec<u64> = demands.iter().map(|demand| demand.weight).collect();
         prop_assert_eq!(sum(&allocate_by_weight(total, &weights)), total);
     }
 }
 
 #[test]
-fn a_tenant_of_the_least_weight_is_not_shut_out() {
-    let want = |weight| Demand { weight, minimum: 1, wanted: 50 };
-    assert_eq!(allocate_max_min(10, &[want(1_000_000), want(1), want(1)]), [8, 1, 1]);
+fn a_tenant_with_a_tiny_weight_gets_its_minimum() {
+    let demand = |weight| Demand { weight, minimum: 1, wanted: 50 };
+    assert_eq!(allocate_max_min(10, &[demand(1_000_000), demand(1), demand(1)]), [8, 1, 1]);
 }
 
 /// Guards against a lent permit that is never returned because it is within the tolerance.
 #[test]
-fn where_all_want_more_than_they_get_nobody_keeps_a_unit_of_another() {
-    let want = |demand| Demand { weight: 1, minimum: 1, wanted: demand };
+fn lent_permits_return_when_all_tenants_are_short() {
+    let demand = |wanted_permits| Demand { weight: 1, minimum: 1, wanted: wanted_permits };
     assert_eq!(
-        reallocate_tenants(32, &[want(60), want(40), Demand { minimum: 0, ..want(0) }], &[17, 15, 0]),
+        reallocate_tenants(32, &[demand(60), demand(40), Demand { minimum: 0, ..demand(0) }], &[17, 15, 0]),
         [16, 16, 0]
     );
     // The second has enough, so its demand changes by single calls and the permit stays.
-    assert_eq!(reallocate_tenants(32, &[want(60), want(14)], &[17, 15]), [17, 15]);
+    assert_eq!(reallocate_tenants(32, &[demand(60), demand(14)], &[17, 15]), [17, 15]);
 }
 
 #[test]
-fn what_one_leaves_goes_to_the_others_by_weight() {
-    let want = |weight, demand| Demand { weight, minimum: 0, wanted: demand };
-    assert_eq!(allocate_max_min(40, &[want(500, 5), want(300, 90), want(200, 90)]), [5, 21, 14]);
+fn unclaimed_permits_are_divided_by_weight() {
+    let demand = |weight, wanted_permits| Demand { weight, minimum: 0, wanted: wanted_permits };
+    assert_eq!(allocate_max_min(40, &[demand(500, 5), demand(300, 90), demand(200, 90)]), [5, 21, 14]);
 }
--- a/quota/tests/wire_format.rs
+++ b/quota/tests/wire_format.rs
@@ -11,24 +11,24 @@
 use std::net::SocketAddr;
 
 fn hex(value: &impl serde::Serialize) -> String {
-    let bytes = postcard::to_allocvec(value).expect("it can be encoded");
+    let bytes = postcard::to_allocvec(value).expect("encodable value");
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
 fn name(text: &str) -> Name {
-    Name::new(text).expect("a name")
+    Name::new(text).expect("valid name")
 }
 
 fn ballot() -> Ballot {
     Ballot { round: 300, name: name("n1"), incarnation: 7 }
 }
 
-fn book() -> TenantRegistry {
-    let terms = QuotaConfig { max_proxies: 4, caps: vec!["a 40".to_owned()], ..QuotaConfig::default() };
-    TenantRegistry::new(&terms, [("a", 0.5), ("b", 0.25)]).expect("a good book")
+fn registry() -> TenantRegistry {
+    let config = QuotaConfig { max_proxies: 4, caps: vec!["a 40".to_owned()], ..QuotaConfig::default() };
+    TenantRegistry::new(&config, [("a", 0.5), ("b", 0.25)]).expect("valid config")
 }
 
-fn word(seat: Slot) -> QuotaReport {
+fn report(reported_slot: Slot) -> QuotaReport {
     let usage = Usage {
         tenants: vec![TenantUsage { in_flight: 1, peak: 2, queued: 3, rejected: 4 }],
         attempts: 500,
@@ -38,14 +38,14 @@
         grant_version: Some(GrantVersion { ballot: ballot(), seq: 8 }),
         granted: vec![9, 10],
         grant_left: 11,
-        slot: seat,
+        slot: reported_slot,
         usage,
         digest: 12,
-        config: Some(ReportedConfig { tenants: book().tenants, max_proxies: 4 }),
+        config: Some(ReportedConfig { tenants: registry().tenants, max_proxies: 4 }),
     }
 }
 
-fn leave() -> QuotaGrant {
+fn grant() -> QuotaGrant {
     QuotaGrant {
         seq: 1,
         permits: Some(vec![2, 3]),
@@ -59,7 +59,7 @@
     }
 }
 
-fn renewal(seat: Slot) -> Message<QuotaApplication> {
+fn renewal(slot: Slot) -> Message<QuotaApplication> {
     let process =
         Process { name: name("n2"), incarnation: 9, address: SocketAddr::from(([127, 0, 0, 2], 7_946)) };
     let (version, fence) = (Version { fence: None, seq: 0 }, Some(ballot()));
@@ -69,42 +69,42 @@
         has_complete_state: true,
         version,
         fence,
-        report: word(seat),
+        report: report(slot),
     }))
 }
 
 #[test]
-fn every_message_that_carries_quotas_keeps_its_bytes() {
+fn every_message_with_quotas_keeps_its_encoding() {
     let granted = Message::<QuotaApplication>::Granted(Box::new(LeaseGrant {
         ballot: ballot(),
         incarnation: 9,
         requested_at: 1_000,
         is_recovered: true,
-        grant: leave(),
+        grant: grant(),
     }));
-    let told = Versioned { version: Version { fence: None, seq: 1 }, state: () };
+    let versioned_state = Versioned { version: Version { fence: None, seq: 1 }, state: () };
     let promise = Promise::<QuotaApplication> {
         ballot: ballot(),
         incarnation: 9,
         recovery: flaxhead_lease::RecoveryState::Recovered,
         roster: Roster::default(),
-        state: told.clone(),
+        state: versioned_state.clone(),
     };
-    let memory = PersistentState::<QuotaApplication> {
+    let persistent_state = PersistentState::<QuotaApplication> {
         is_recovered: true,
         voter_sets: VoterSetHashes { current: 1, next: 2 },
         promised: None,
         fence: Some(ballot()),
         roster: Roster::default(),
-        state: told,
+        state: versioned_state,
     };
     let actual = [
-        ("Renew, Seat::Waits", hex(&renewal(Slot::Pending))),
-        ("Renew, Seat::Has", hex(&renewal(Slot::Assigned))),
-        ("Renew, Seat::Denied", hex(&renewal(Slot::Denied))),
+        ("Renew, Slot::Pending", hex(&renewal(Slot::Pending))),
+        ("Renew, Slot::Assigned", hex(&renewal(Slot::Assigned))),
+        ("Renew, Slot::Denied", hex(&renewal(Slot::Denied))),
         ("Granted", hex(&granted)),
         ("Promised", hex(&Message::<QuotaApplication>::Promised(Box::new(promise)))),
-        ("Memory", hex(&memory)),
+        ("PersistentState", hex(&persistent_state)),
     ];
     let expected: Vec<(&str, String)> =
         EXPECTED.iter().map(|(name, hex)| (*name, (*hex).to_owned())).collect();
@@ -113,26 +113,26 @@
 
 /// Guards against builds that compute different digests of the same configuration.
 #[test]
-fn the_digest_of_the_settings_keeps_its_value() {
-    assert_eq!(book().digest, EXPECTED_DIGEST);
+fn the_config_digest_keeps_its_value() {
+    assert_eq!(registry().digest, EXPECTED_DIGEST);
 }
 
 const EXPECTED_DIGEST: u64 = 11994531451941268802;
 
 const EXPECTED: &[(&str, &str)] = &[
     (
-        "Renew, Seat::Waits",
+        "Renew, Slot::Pending",
         "08026e3209007f0000028a3ee80701000001ac02026e310701ac02026e31070802090a0b000101020304f403060c01030161a0c21e012802016290a10f0000066f746865727390a10f000004",
     ),
     (
-        "Renew, Seat::Has",
+        "Renew, Slot::Assigned",
         "08026e3209007f0000028a3ee80701000001ac02026e310701ac02026e31070802090a0b010101020304f403060c01030161a0c21e012802016290a10f0000066f746865727390a10f000004",
     ),
     (
-        "Renew, Seat::Denied",
+        "Renew, Slot::Denied",
         "08026e3209007f0000028a3ee80701000001ac02026e310701ac02026e31070802090a0b020101020304f403060c01030161a0c21e012802016290a10f0000066f746865727390a10f000004",
     ),
     ("Granted", "0bac02026e310709e80701010102020301010402050601070801090a"),
     ("Promised", "01ac02026e310709030000000001"),
-    ("Memory", "0101020001ac02026e31070000000001"),
+    ("PersistentState", "0101020001ac02026e31070000000001"),
 ];
