--- a/quota/src/capacity/tests.rs
+++ b/quota/src/capacity/tests.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn counts_size_and_warmth_of_hosts_that_can_be_used() {
+fn capacity_counts_the_size_and_warm_up_of_usable_hosts() {
     let config = QuotaConfig { calls_per_host: 8, ..QuotaConfig::default() };
     let registry = TenantRegistry::new(&config, []).unwrap();
     let hosts = [
@@ -22,12 +22,12 @@
     assert_eq!(fleet_capacity(&registry, &hosts, 500), Some(7));
     assert_eq!(fleet_capacity(&registry, &hosts[2..], 1_000), Some(1));
     assert_eq!(fleet_capacity(&registry, &[], 1_000), None);
-    let off = TenantRegistry::new(&QuotaConfig::default(), []).unwrap();
-    assert_eq!(fleet_capacity(&off, &hosts, 1_000), None);
+    let disabled = TenantRegistry::new(&QuotaConfig::default(), []).unwrap();
+    assert_eq!(fleet_capacity(&disabled, &hosts, 1_000), None);
 }
 
 #[test]
-fn learns_down_to_a_quarter_and_back_to_the_whole() {
+fn learned_ratio_falls_to_a_quarter_and_recovers() {
     let mut learned = LearnedCapacity::new(0);
     for second in 1..40 {
         learned.record(second * REPORT_WINDOW, 100, 50);
--- a/quota/tests/admission.rs
+++ b/quota/tests/admission.rs
@@ -13,40 +13,38 @@
 
 #[derive(Clone, Debug)]
 enum Event {
-    Ask { tenant: usize, class: usize },
-    End(usize),
-    Copy(usize),
-    Leave(usize),
-    Allow(Allowance, bool),
-    Time(u64),
+    Request { tenant: usize, class: usize },
+    Release(usize),
+    AcquireHedge(usize),
+    Cancel(usize),
+    SetAllowance(Allowance, bool),
+    AdvanceTime(u64),
 }
 
 fn allowance() -> impl Strategy<Value = Allowance> {
-    let units = (proptest::option::of(0_u32..5), 0_u32..5).prop_map(|(cap, share)| TenantAllowance {
-        cap,
-        guaranteed: cap,
-        fair_share: share,
-    });
-    let tenants = proptest::collection::vec(units, TENANTS);
-    (tenants, proptest::option::of(1_u32..10)).prop_map(|(tenants, all)| Allowance {
+    let tenant_allowance = (proptest::option::of(0_u32..5), 0_u32..5)
+        .prop_map(|(cap, share)| TenantAllowance { cap, guaranteed: cap, fair_share: share });
+    let tenants = proptest::collection::vec(tenant_allowance, TENANTS);
+    (tenants, proptest::option::of(1_u32..10)).prop_map(|(tenants, max_total)| Allowance {
         tenants,
-        total: all,
+        total: max_total,
         expires_at: None,
     })
 }
 
 fn event() -> impl Strategy<Value = Event> {
     prop_oneof![
-        12 => (0..TENANTS + 1, 0_usize..2).prop_map(|(tenant, class)| Event::Ask { tenant, class }),
-        8 => any::<usize>().prop_map(Event::End),
-        2 => any::<usize>().prop_map(Event::Copy),
-        1 => any::<usize>().prop_map(Event::Leave),
-        1 => (allowance(), any::<bool>()).prop_map(|(allowance, more)| Event::Allow(allowance, more)),
-        3 => (0_u64..200).prop_map(Event::Time),
+        12 => (0..TENANTS + 1, 0_usize..2).prop_map(|(tenant, class)| Event::Request { tenant, class }),
+        8 => any::<usize>().prop_map(Event::Release),
+        2 => any::<usize>().prop_map(Event::AcquireHedge),
+        1 => any::<usize>().prop_map(Event::Cancel),
+        1 => (allowance(), any::<bool>())
+            .prop_map(|(allowance, expects_more)| Event::SetAllowance(allowance, expects_more)),
+        3 => (0_u64..200).prop_map(Event::AdvanceTime),
     ]
 }
 
-fn rules() -> AdmissionConfig {
+fn config() -> AdmissionConfig {
     let classes = vec![
         ClassTiming { latency_objective: 100, deadline: 1_000 },
         ClassTiming { latency_objective: 900, deadline: 1_000 },
@@ -55,178 +53,201 @@
 }
 
 /// Admission controller with a reference model of its state.
-struct Play {
-    gate: AdmissionController,
+struct Harness {
+    controller: AdmissionController,
     now: u64,
     allowance: Allowance,
     /// Tenants of the calls in flight.
-    out: Vec<usize>,
+    in_flight_tenants: Vec<usize>,
     /// Queued calls with their tenant and queue timeout.
-    waiting: BTreeMap<QueuedCall, (usize, u64)>,
+    queued: BTreeMap<QueuedCall, (usize, u64)>,
     /// Deficit of each tenant among those below their share, and among those at or above it, in calls.
-    behind: [[f64; TENANTS]; 2],
-    asked: usize,
-    answered: usize,
+    deficits: [[f64; TENANTS]; 2],
+    requests: usize,
+    verdict_count: usize,
 }
 
-impl Play {
-    fn new(allowance: Allowance) -> Play {
-        let gate = AdmissionController::new(0, rules(), allowance.clone(), false);
-        let (out, waiting, behind) = Default::default();
-        Play { gate, now: 0, allowance, out, waiting, behind, asked: 0, answered: 0 }
+impl Harness {
+    fn new(allowance: Allowance) -> Harness {
+        let controller = AdmissionController::new(0, config(), allowance.clone(), false);
+        let (in_flight_tenants, queued, deficits) = Default::default();
+        Harness {
+            controller,
+            now: 0,
+            allowance,
+            in_flight_tenants,
+            queued,
+            deficits,
+            requests: 0,
+            verdict_count: 0,
+        }
     }
 
-    fn in_hand(&self, tenant: usize) -> u32 {
-        self.out.iter().filter(|out| **out == tenant).count() as u32
+    fn in_flight(&self, tenant: usize) -> u32 {
+        self.in_flight_tenants.iter().filter(|call_tenant| **call_tenant == tenant).count() as u32
     }
 
-    fn has_room(&self, tenant: usize) -> bool {
+    fn has_permit(&self, tenant: usize) -> bool {
         let cap = self.allowance.tenants[tenant].cap;
-        cap.is_none_or(|cap| self.in_hand(tenant) < cap) && self.all_free()
+        cap.is_none_or(|cap| self.in_flight(tenant) < cap) && self.is_below_total()
     }
 
-    fn all_free(&self) -> bool {
-        self.allowance.total.is_none_or(|all| (self.out.len() as u32) < all)
+    fn is_below_total(&self) -> bool {
+        self.allowance.total.is_none_or(|total| (self.in_flight_tenants.len() as u32) < total)
     }
 
-    fn waits(&self, tenant: usize) -> bool {
-        self.waiting.values().any(|(whose, _)| *whose == tenant)
+    fn is_queued(&self, tenant: usize) -> bool {
+        self.queued.values().any(|(call_tenant, _)| *call_tenant == tenant)
     }
 
     fn weight(&self, tenant: usize) -> f64 {
         f64::from(self.allowance.tenants[tenant].fair_share.max(1))
     }
 
-    fn is_above(&self, tenant: usize) -> bool {
-        self.in_hand(tenant) >= self.allowance.tenants[tenant].fair_share.max(1)
+    fn is_at_share(&self, tenant: usize) -> bool {
+        self.in_flight(tenant) >= self.allowance.tenants[tenant].fair_share.max(1)
     }
 
-    fn entered(&mut self, tenant: usize) -> Result<(), TestCaseError> {
-        prop_assert!(self.has_room(tenant), "tenant {tenant} past its units");
-        self.out.push(tenant);
+    fn record_admission(&mut self, tenant: usize) -> Result<(), TestCaseError> {
+        prop_assert!(self.has_permit(tenant), "tenant {tenant} exceeds its permits");
+        self.in_flight_tenants.push(tenant);
         Ok(())
     }
 
     /// Checks the order of admissions: tenants below their share come first, and no deficit exceeds one call.
-    fn reckon(&mut self, tenant: usize) -> Result<(), TestCaseError> {
+    fn check_order(&mut self, tenant: usize) -> Result<(), TestCaseError> {
         if self.allowance.total.is_none() {
             return Ok(());
         }
-        let able: Vec<usize> = (0..TENANTS).filter(|t| self.waits(*t) && self.has_room(*t)).collect();
-        let above = self.is_above(tenant);
-        prop_assert!(!above || able.iter().all(|t| self.is_above(*t)), "{tenant} before an owner");
-        let rivals: Vec<usize> = able.into_iter().filter(|t| self.is_above(*t) == above).collect();
-        let behind = &self.behind[usize::from(above)];
+        let eligible: Vec<usize> =
+            (0..TENANTS).filter(|t| self.is_queued(*t) && self.has_permit(*t)).collect();
+        let is_above_share = self.is_at_share(tenant);
+        prop_assert!(
+            !is_above_share || eligible.iter().all(|t| self.is_at_share(*t)),
+            "tenant {tenant} precedes a tenant below its share"
+        );
+        let group: Vec<usize> =
+            eligible.into_iter().filter(|t| self.is_at_share(*t) == is_above_share).collect();
+        let group_deficits = &self.deficits[usize::from(is_above_share)];
         // A tenant ahead of its share takes part until it has worked that off; other tenants that do not wait
         // accrue no deficit.
-        let takes_part = |t: &usize| rivals.contains(t) || behind[*t] < 0.0;
-        let all: f64 = (0..TENANTS).filter(takes_part).map(|t| self.weight(t)).sum();
+        let takes_part = |t: &usize| group.contains(t) || group_deficits[*t] < 0.0;
+        let total: f64 = (0..TENANTS).filter(takes_part).map(|t| self.weight(t)).sum();
         for t in 0..TENANTS {
-            let part = self.weight(t) / all;
-            let behind = &mut self.behind[usize::from(above)][t];
-            match rivals.contains(&t) {
-                true => *behind += part - f64::from(u8::from(t == tenant)),
-                false => *behind = (*behind + part).min(0.0),
+            let fraction = self.weight(t) / total;
+            let deficit = &mut self.deficits[usize::from(is_above_share)][t];
+            match group.contains(&t) {
+                true => *deficit += fraction - f64::from(u8::from(t == tenant)),
+                false => *deficit = (*deficit + fraction).min(0.0),
             }
-            prop_assert!(*behind <= 1.0 + 1e-6, "{t} is {behind} behind");
+            prop_assert!(*deficit <= 1.0 + 1e-6, "tenant {t} is {deficit} calls behind");
         }
         Ok(())
     }
 
-    fn heard(&mut self, verdicts: Verdicts) -> Result<(), TestCaseError> {
-        for QueuedVerdict { call: key, verdict } in verdicts {
-            let found = self.waiting.get(&key).copied();
-            prop_assert!(found.is_some(), "a verdict for one that does not wait");
-            let Some((tenant, until)) = found else { continue };
+    fn handle_verdicts(&mut self, verdicts: Verdicts) -> Result<(), TestCaseError> {
+        for QueuedVerdict { call: queued_call, verdict } in verdicts {
+            let found = self.queued.get(&queued_call).copied();
+            prop_assert!(found.is_some(), "verdict for a call that is not queued");
+            let Some((tenant, times_out_at)) = found else { continue };
             match verdict {
                 Verdict::Admitted => {
-                    let first = self.waiting.iter().find(|(_, (whose, _))| *whose == tenant);
-                    prop_assert_eq!(first.map(|(first, _)| *first), Some(key), "out of order");
-                    prop_assert!(self.now < until, "let in too late");
-                    self.reckon(tenant)?;
-                    self.entered(tenant)?;
+                    let first = self.queued.iter().find(|(_, (call_tenant, _))| *call_tenant == tenant);
+                    prop_assert_eq!(
+                        first.map(|(first, _)| *first),
+                        Some(queued_call),
+                        "admitted out of order"
+                    );
+                    prop_assert!(self.now < times_out_at, "admitted after its timeout");
+                    self.check_order(tenant)?;
+                    self.record_admission(tenant)?;
                 }
-                Verdict::Rejected { retry_after: after } => {
-                    let shut = self.allowance.tenants[tenant].cap == Some(0);
-                    prop_assert!(self.now >= until || shut, "given up though its turn may come");
-                    prop_assert!(after <= 400);
+                Verdict::Rejected { retry_after: delay } => {
+                    let is_blocked = self.allowance.tenants[tenant].cap == Some(0);
+                    prop_assert!(self.now >= times_out_at || is_blocked, "rejected before its timeout");
+                    prop_assert!(delay <= 400);
                 }
             }
-            self.waiting.remove(&key);
-            self.answered += 1;
+            self.queued.remove(&queued_call);
+            self.verdict_count += 1;
         }
         Ok(())
     }
 
-    fn ask(&mut self, tenant: usize, class: usize) -> Result<(), TestCaseError> {
-        self.asked += 1;
-        let asked = AdmissionRequest { tenant: Some(tenant), class, deadline: self.now + 1_000 };
+    fn request(&mut self, tenant: usize, class: usize) -> Result<(), TestCaseError> {
+        self.requests += 1;
+        let admission_request = AdmissionRequest { tenant: Some(tenant), class, deadline: self.now + 1_000 };
         let tenant = tenant.min(TENANTS - 1);
-        match self.gate.request(self.now, asked) {
+        match self.controller.request(self.now, admission_request) {
             AdmissionDecision::Decided(Verdict::Admitted) => {
-                prop_assert!(!self.waits(tenant), "past a line");
-                self.entered(tenant)?;
-                self.answered += 1;
+                prop_assert!(!self.is_queued(tenant), "admitted ahead of queued calls");
+                self.record_admission(tenant)?;
+                self.verdict_count += 1;
             }
-            AdmissionDecision::Decided(Verdict::Rejected { retry_after: after }) => {
-                prop_assert!(!self.has_room(tenant) && after <= 400);
-                self.answered += 1;
+            AdmissionDecision::Decided(Verdict::Rejected { retry_after: delay }) => {
+                prop_assert!(!self.has_permit(tenant) && delay <= 400);
+                self.verdict_count += 1;
             }
-            AdmissionDecision::Queued(key) => {
-                let kept = if class == 0 { 100 } else { 500 };
-                self.waiting.insert(key, (tenant, self.now + 1_000 - kept));
+            AdmissionDecision::Queued(call) => {
+                let reserved = if class == 0 { 100 } else { 500 };
+                self.queued.insert(call, (tenant, self.now + 1_000 - reserved));
             }
         }
         Ok(())
     }
 
-    fn pass_time(&mut self, span: u64) -> Result<(), TestCaseError> {
+    fn advance_time(&mut self, span: u64) -> Result<(), TestCaseError> {
         let mut verdicts = Verdicts::new();
         let end = self.now + span;
-        while let Some(due) = self.gate.next_due().filter(|due| *due <= end) {
+        while let Some(due) = self.controller.next_due().filter(|due| *due <= end) {
             self.now = due;
-            self.gate.tick(due, &mut verdicts);
-            self.heard(std::mem::take(&mut verdicts))?;
+            self.controller.tick(due, &mut verdicts);
+            self.handle_verdicts(std::mem::take(&mut verdicts))?;
         }
         self.now = end;
         Ok(())
     }
 
-    fn feed(&mut self, event: Event) -> Result<(), TestCaseError> {
+    fn apply(&mut self, event: Event) -> Result<(), TestCaseError> {
         let mut verdicts = Verdicts::new();
         match event {
-            Event::Ask { tenant, class } => self.ask(tenant, class)?,
-            Event::End(which) if !self.out.is_empty() => {
-                let tenant = self.out.swap_remove(which % self.out.len());
-                self.gate.release(self.now, Some(tenant), &mut verdicts);
+            Event::Request { tenant, class } => self.request(tenant, class)?,
+            Event::Release(choice) if !self.in_flight_tenants.is_empty() => {
+                let tenant = self.in_flight_tenants.swap_remove(choice % self.in_flight_tenants.len());
+                self.controller.release(self.now, Some(tenant), &mut verdicts);
             }
-            Event::Copy(which) if !self.out.is_empty() => {
-                let tenant = self.out[which % self.out.len()];
-                let room = self.has_room(tenant);
-                prop_assert_eq!(self.gate.acquire_extra(self.now, Some(tenant)), room);
-                if room {
-                    self.out.push(tenant);
+            Event::AcquireHedge(choice) if !self.in_flight_tenants.is_empty() => {
+                let tenant = self.in_flight_tenants[choice % self.in_flight_tenants.len()];
+                let has_permit_now = self.has_permit(tenant);
+                prop_assert_eq!(self.controller.acquire_extra(self.now, Some(tenant)), has_permit_now);
+                if has_permit_now {
+                    self.in_flight_tenants.push(tenant);
                 }
             }
-            Event::Leave(which) if !self.waiting.is_empty() => {
-                let key = *self.waiting.keys().nth(which % self.waiting.len()).expect("one");
-                self.waiting.remove(&key);
-                self.gate.cancel(key);
-                self.answered += 1;
+            Event::Cancel(choice) if !self.queued.is_empty() => {
+                let call = *self.queued.keys().nth(choice % self.queued.len()).expect("a queued call");
+                self.queued.remove(&call);
+                self.controller.cancel(call);
+                self.verdict_count += 1;
             }
-            Event::Allow(allowance, to_come) => {
+            Event::SetAllowance(allowance, expects_more) => {
                 self.allowance = allowance;
-                self.behind = Default::default();
-                self.gate.set_allowance(self.now, self.allowance.clone(), to_come, &mut verdicts);
+                self.deficits = Default::default();
+                self.controller.set_allowance(self.now, self.allowance.clone(), expects_more, &mut verdicts);
             }
-            Event::Time(span) => self.pass_time(span)?,
-            Event::End(_) | Event::Copy(_) | Event::Leave(_) => {}
+            Event::AdvanceTime(span) => self.advance_time(span)?,
+            Event::Release(_) | Event::AcquireHedge(_) | Event::Cancel(_) => {}
         }
-        self.heard(verdicts)?;
-        for (tenant, shown) in self.gate.stats().enumerate() {
-            let waiting = self.waiting.values().filter(|(whose, _)| *whose == tenant).count() as u32;
-            prop_assert_eq!((shown.in_flight, shown.queued), (self.in_hand(tenant), waiting));
-            prop_assert!(waiting == 0 || !self.has_room(tenant), "{} waits beside a free unit", tenant);
+        self.handle_verdicts(verdicts)?;
+        for (tenant, stats) in self.controller.stats().enumerate() {
+            let queued_count =
+                self.queued.values().filter(|(call_tenant, _)| *call_tenant == tenant).count() as u32;
+            prop_assert_eq!((stats.in_flight, stats.queued), (self.in_flight(tenant), queued_count));
+            prop_assert!(
+                queued_count == 0 || !self.has_permit(tenant),
+                "tenant {} has queued calls and a free permit",
+                tenant
+            );
         }
         Ok(())
     }
@@ -236,34 +257,40 @@
     #![proptest_config(ProptestConfig { cases: 400, ..ProptestConfig::default() })]
 
     #[test]
-    fn whatever_comes_the_gate_keeps_to_its_rules(
-        first in allowance(), events in proptest::collection::vec(event(), 1..200),
+    fn random_events_never_violate_the_admission_rules(
+        initial in allowance(), events in proptest::collection::vec(event(), 1..200),
     ) {
-        let mut play = Play::new(first);
+        let mut harness = Harness::new(initial);
         for event in events {
-            play.feed(event)?;
+            harness.apply(event)?;
         }
         // Every call has got its verdict after its deadline.
-        play.feed(Event::Time(10_000))?;
-        prop_assert!(play.waiting.is_empty());
-        prop_assert_eq!(play.asked, play.answered);
+        harness.apply(Event::AdvanceTime(10_000))?;
+        prop_assert!(harness.queued.is_empty());
+        prop_assert_eq!(harness.requests, harness.verdict_count);
     }
 
     /// Guards against starvation while all queues stay filled, for shares of any size.
     #[test]
-    fn among_those_that_wait_nobody_falls_behind(
-        shares in proptest::collection::vec(1_u32..60, TENANTS), ends in proptest::collection::vec(any::<usize>(), 1..400),
+    fn no_waiting_tenant_falls_more_than_one_call_behind(
+        shares in proptest::collection::vec(1_u32..60, TENANTS),
+        releases in proptest::collection::vec(any::<usize>(), 1..400),
     ) {
-        let units = |share: &u32| TenantAllowance { fair_share: *share, ..TenantAllowance::default() };
-        let all = Some(shares.iter().sum::<u32>() / 2 + 1);
-        let mut play = Play::new(Allowance { tenants: shares.iter().map(units).collect(), total: all, expires_at: None });
-        for which in ends {
+        let tenant_allowance =
+            |share: &u32| TenantAllowance { fair_share: *share, ..TenantAllowance::default() };
+        let max_total = Some(shares.iter().sum::<u32>() / 2 + 1);
+        let mut harness = Harness::new(Allowance {
+            tenants: shares.iter().map(tenant_allowance).collect(),
+            total: max_total,
+            expires_at: None,
+        });
+        for choice in releases {
             for tenant in 0..TENANTS {
-                while play.gate.stats().nth(tenant).is_some_and(|shown| shown.queued < 2) {
-                    play.feed(Event::Ask { tenant, class: 0 })?;
+                while harness.controller.stats().nth(tenant).is_some_and(|stats| stats.queued < 2) {
+                    harness.apply(Event::Request { tenant, class: 0 })?;
                 }
             }
-            play.feed(Event::End(which))?;
+            harness.apply(Event::Release(choice))?;
         }
     }
 }
@@ -274,66 +301,76 @@
         total: None,
         expires_at: None,
     };
-    AdmissionController::new(0, AdmissionConfig { tenant_count: 1, ..rules() }, allowance, false)
+    AdmissionController::new(0, AdmissionConfig { tenant_count: 1, ..config() }, allowance, false)
 }
 
-fn ask(gate: &mut AdmissionController, now: u64) -> AdmissionDecision {
-    gate.request(now, AdmissionRequest { tenant: None, class: 0, deadline: now + 1_000 })
+fn request(controller: &mut AdmissionController, now: u64) -> AdmissionDecision {
+    controller.request(now, AdmissionRequest { tenant: None, class: 0, deadline: now + 1_000 })
 }
 
 #[test]
-fn a_call_whose_turn_cannot_come_in_time_is_turned_away_at_once() {
-    let mut gate = one_tenant(1);
-    assert_eq!(ask(&mut gate, 0), AdmissionDecision::Decided(Verdict::Admitted));
+fn a_call_that_cannot_be_admitted_in_time_is_rejected_at_once() {
+    let mut controller = one_tenant(1);
+    assert_eq!(request(&mut controller, 0), AdmissionDecision::Decided(Verdict::Admitted));
     // A permit was released every 400 us: the second call in the queue would be admitted after 800 us of its
     // 900 us, the third too late.
     for now in [400, 800, 1_200, 1_600] {
-        gate.release(now, None, &mut Verdicts::new());
-        assert_eq!(ask(&mut gate, now), AdmissionDecision::Decided(Verdict::Admitted));
+        controller.release(now, None, &mut Verdicts::new());
+        assert_eq!(request(&mut controller, now), AdmissionDecision::Decided(Verdict::Admitted));
     }
-    assert!(matches!(ask(&mut gate, 1_600), AdmissionDecision::Queued(_)));
-    let refused: Vec<AdmissionDecision> = (0..3).map(|_| ask(&mut gate, 1_600)).collect();
+    assert!(matches!(request(&mut controller, 1_600), AdmissionDecision::Queued(_)));
+    let decisions: Vec<AdmissionDecision> = (0..3).map(|_| request(&mut controller, 1_600)).collect();
     assert!(
-        matches!(refused[2], AdmissionDecision::Decided(Verdict::Rejected { retry_after: 400 })),
-        "{refused:?}"
+        matches!(decisions[2], AdmissionDecision::Decided(Verdict::Rejected { retry_after: 400 })),
+        "{decisions:?}"
     );
     // No permit was released for almost the whole deadline: the first queued call may still get the next one,
     // but none behind it.
-    let mut gate = one_tenant(1);
-    assert_eq!(ask(&mut gate, 0), AdmissionDecision::Decided(Verdict::Admitted));
-    assert!(matches!(ask(&mut gate, 850), AdmissionDecision::Queued(_)));
-    assert!(matches!(ask(&mut gate, 850), AdmissionDecision::Decided(Verdict::Rejected { .. })));
+    let mut controller = one_tenant(1);
+    assert_eq!(request(&mut controller, 0), AdmissionDecision::Decided(Verdict::Admitted));
+    assert!(matches!(request(&mut controller, 850), AdmissionDecision::Queued(_)));
+    assert!(matches!(request(&mut controller, 850), AdmissionDecision::Decided(Verdict::Rejected { .. })));
 }
 
 #[test]
-fn where_nothing_is_to_come_nobody_waits() {
-    let none = Allowance {
+fn no_call_is_queued_while_the_cap_is_zero_and_no_grant_is_expected() {
+    let blocked_allowance = Allowance {
         tenants: vec![TenantAllowance { cap: Some(0), guaranteed: Some(0), fair_share: 0 }],
         total: None,
         expires_at: None,
     };
-    let mut gate = one_tenant(0);
-    assert_eq!(ask(&mut gate, 0), AdmissionDecision::Decided(Verdict::Rejected { retry_after: 400 }));
-    gate.set_allowance(0, none.clone(), true, &mut Verdicts::new());
-    let AdmissionDecision::Queued(key) = ask(&mut gate, 0) else { panic!("it may still come") };
+    let mut controller = one_tenant(0);
+    assert_eq!(
+        request(&mut controller, 0),
+        AdmissionDecision::Decided(Verdict::Rejected { retry_after: 400 })
+    );
+    controller.set_allowance(0, blocked_allowance.clone(), true, &mut Verdicts::new());
+    let AdmissionDecision::Queued(queued_call) = request(&mut controller, 0) else {
+        panic!("a grant is expected")
+    };
     let mut verdicts = Verdicts::new();
-    gate.set_allowance(5, none, false, &mut verdicts);
-    assert_eq!(verdicts, [QueuedVerdict { call: key, verdict: Verdict::Rejected { retry_after: 400 } }]);
+    controller.set_allowance(5, blocked_allowance, false, &mut verdicts);
+    assert_eq!(
+        verdicts,
+        [QueuedVerdict { call: queued_call, verdict: Verdict::Rejected { retry_after: 400 } }]
+    );
 }
 
 #[test]
-fn once_the_allowance_is_over_the_own_part_alone_counts() {
-    let units = |cap, own| TenantAllowance { cap: Some(cap), guaranteed: Some(own), fair_share: 1 };
-    let allowance = Allowance { tenants: vec![units(3, 1)], total: Some(2), expires_at: Some(100) };
-    let mut gate =
-        AdmissionController::new(0, AdmissionConfig { tenant_count: 1, ..rules() }, allowance, false);
-    let answers = [ask(&mut gate, 0), ask(&mut gate, 0), ask(&mut gate, 0)];
-    assert_eq!(answers[..2], [AdmissionDecision::Decided(Verdict::Admitted); 2]);
-    assert!(matches!(answers[2], AdmissionDecision::Queued(_)) && gate.next_due() == Some(100));
+fn an_expired_allowance_leaves_the_guaranteed_minimum() {
+    let tenant_allowance =
+        |cap, guaranteed| TenantAllowance { cap: Some(cap), guaranteed: Some(guaranteed), fair_share: 1 };
+    let allowance =
+        Allowance { tenants: vec![tenant_allowance(3, 1)], total: Some(2), expires_at: Some(100) };
+    let mut controller =
+        AdmissionController::new(0, AdmissionConfig { tenant_count: 1, ..config() }, allowance, false);
+    let decisions = [request(&mut controller, 0), request(&mut controller, 0), request(&mut controller, 0)];
+    assert_eq!(decisions[..2], [AdmissionDecision::Decided(Verdict::Admitted); 2]);
+    assert!(matches!(decisions[2], AdmissionDecision::Queued(_)) && controller.next_due() == Some(100));
     let mut verdicts = Verdicts::new();
-    gate.release(100, None, &mut verdicts);
-    assert!(verdicts.is_empty() && !gate.acquire_extra(100, None), "one is in hand, and one is its own");
-    gate.release(100, None, &mut verdicts);
+    controller.release(100, None, &mut verdicts);
+    assert!(verdicts.is_empty() && !controller.acquire_extra(100, None), "the guaranteed minimum is in use");
+    controller.release(100, None, &mut verdicts);
     assert_eq!(verdicts.len(), 1);
-    assert_eq!((gate.usage()[0].peak, gate.usage()[0].in_flight), (3, 1));
+    assert_eq!((controller.usage()[0].peak, controller.usage()[0].in_flight), (3, 1));
 }
--- a/quota/tests/max_min.rs
+++ b/quota/tests/max_min.rs
@@ -50,7 +50,7 @@
     fn permits_are_within_one_of_the_fair_allocation(total in 0u32..400, demands in demands()) {
         let permits = allocate_max_min(total, &demands);
         for ((permits, fair), demand) in permits.iter().zip(fair_allocation(total, &demands)).zip(&demands) {
-            prop_assert!((f64::from(*permits) - fair).abs() < 1.0 + 1e-6, "{permits} instead of {fair}, {demand:?}");
+            prop_assert!((f64::from(*permits) - fair).abs() < 1.0 + 1e-6, "{permits} vs {fair}, {demand:?}");
             prop_assert!(*permits <= demand.wanted.max(demand.minimum));
         }
         let total_wanted = demands.iter().map(|demand| demand.wanted.max(demand.minimum)).sum::<u32>();
@@ -88,13 +88,13 @@
         let permits = reallocate(total, &demands, &previous);
         prop_assert_eq!(sum(&permits), total);
         let is_demand_met = sum(&allocate_max_min(total, &demands)) < total;
-        let total_minimum: u32 = demands.iter().map(|demand| demand.minimum.max(demand.wanted.min(1))).sum();
+        let minimums: u32 = demands.iter().map(|demand| demand.minimum.max(demand.wanted.min(1))).sum();
         for ((permits, fair), demand) in permits.iter().zip(fair_allocation(total, &demands)).zip(&demands) {
-            prop_assert!(f64::from(*permits) > fair - 2.0 - 1e-6, "{permits} instead of {fair}, {demand:?}");
+            prop_assert!(f64::from(*permits) > fair - 2.0 - 1e-6, "{permits} vs {fair}, {demand:?}");
             if !is_demand_met {
-                prop_assert!(f64::from(*permits) < fair + 3.0 + 1e-6, "{permits} instead of {fair}, {demand:?}");
+                prop_assert!(f64::from(*permits) < fair + 3.0 + 1e-6, "{permits} vs {fair}, {demand:?}");
             }
-            if allocate_max_min(total, &demands).iter().all(|permits| *permits >= 1) && total_minimum <= total {
+            if allocate_max_min(total, &demands).iter().all(|permits| *permits >= 1) && minimums <= total {
                 prop_assert!(*permits >= demand.minimum.max(demand.wanted.min(1)), "{permits}, {demand:?}");
             }
         }
@@ -115,7 +115,11 @@
     /// Guards against oscillation: a demand that alternates by one call moves no more permits after the first
     /// change.
     #[test]
-    fn an_alternating_demand_does_not_move_permits(total in 40u32..400, demands in demands(), claimant in 0usize..14) {
+    fn an_alternating_demand_does_not_move_permits(
+        total in 40u32..400,
+        demands in demands(),
+        claimant in 0usize..14,
+    ) {
         let claimant = claimant % demands.len();
         let mut higher = demands.clone();
         higher[claimant].wanted += 1;
