--- a/proxy/src/features/quota/mod.rs
+++ b/proxy/src/features/quota/mod.rs
@@ -94,7 +94,7 @@
 
 fn classes(config: &Config) -> Vec<ClassTiming> {
     let class = |class: &flaxhead_policy::Class| ClassTiming {
-        latency_objective: class.aim,
+        latency_objective: class.objective,
         deadline: class.deadline,
     };
     config.settings.classes.iter().map(class).collect()
--- a/quota/tests/fleet/mod.rs
+++ b/quota/tests/fleet/mod.rs
@@ -274,7 +274,7 @@
 
     /// Starts a process with persistent storage, which contains `found`.
     pub fn start_with_state(&mut self, index: usize, found: Option<PersistentState<QuotaApplication>>) {
-        self.start_machine(index, |machine, now| machine.with_disk(now, found, SECOND));
+        self.start_machine(index, |machine, now| machine.with_persistence(now, found, SECOND));
     }
 
     fn start_machine(&mut self, index: usize, configure: impl FnOnce(Machine, Micros) -> Machine) {
--- a/quota/tests/fleet/simulation.rs
+++ b/quota/tests/fleet/simulation.rs
@@ -94,8 +94,8 @@
         let mut context = Context { now: local_time, facts: &facts, random: &mut self.rng };
         handle(&mut machine, &mut context, &mut effects);
         // Writes to the simulated storage complete at once.
-        if let Some(mark) = machine.persistence_mark() {
-            machine.persisted(&mut context, mark, &mut effects);
+        if let Some(version) = machine.persistent_state_version() {
+            machine.state_persisted(&mut context, version, &mut effects);
         }
         let mut allowance = match self.scenario.mode {
             Mode::Coordinated => machine.application_mut().allowance(local_time),
--- a/quota/tests/restarts.rs
+++ b/quota/tests/restarts.rs
@@ -156,7 +156,7 @@
         let found = fleet.persistent_state(node).filter(|state| state.is_recovered);
         assert!(found.is_some(), "the state is recovered");
         let mut machine = Machine::new(QuotaApplication::config(&timing), quota, voter_set, process, 0)
-            .with_disk(0, found, SECOND);
+            .with_persistence(0, found, SECOND);
         let mut steps = std::iter::once(0).chain((LEASE..3 * LEASE).step_by(1_000));
         let is_election_attempt = |now: &u64| {
             let mut effects = Vec::new();
