--- a/quota/src/admission/fair_order.rs
+++ b/quota/src/admission/fair_order.rs
@@ -33,7 +33,7 @@
 
     /// Chooses the tenant of the next admitted call. `weight` returns the weight of a waiting tenant and
     /// `None` for others. A tenant that does not wait accrues no positive deficit, and works off a negative
-    /// one by its `idle` weight.
+    /// one by its `idle_weight`.
     pub fn next(
         &mut self,
         weight: impl Fn(usize) -> Option<f64>,
--- a/quota/src/admission/mod.rs
+++ b/quota/src/admission/mod.rs
@@ -39,7 +39,7 @@
     pub classes: Vec<ClassTiming>,
     /// Number of tenants, including the last one for calls with no tenant or an unknown one.
     pub tenant_count: usize,
-    /// Maximum arrival_number of queued calls per tenant.
+    /// Maximum number of queued calls per tenant.
     pub max_queue: usize,
     /// Longest Retry-After that clients respect; 0: Retry-After is not sent.
     pub max_retry_after: Micros,
--- a/quota/src/admission/queue.rs
+++ b/quota/src/admission/queue.rs
@@ -21,16 +21,16 @@
 
 #[derive(Clone, Debug, Default)]
 pub(super) struct TenantQueue {
-    /// Fair share of the total arrival_number of permits.
+    /// Fair share of the total number of permits.
     pub fair_share: u32,
     pub in_flight: u32,
     pub release_rate: ReleaseRate,
-    /// Queue timeout of each call by its arrival_number, in order of arrival.
+    /// Queue timeout of each call by its arrival number.
     queued: BTreeMap<u64, Micros>,
     pub admitted: u64,
     pub rejected: u64,
     pub denied_hedges: u64,
-    /// Peak of calls in flight and queued, and arrival_number of rejected calls, since the last usage report.
+    /// Peak of calls in flight and queued, and number of rejected calls, since the last usage report.
     peak: u32,
     rejected_since_report: u32,
 }
@@ -81,7 +81,7 @@
         self.in_flight.saturating_add(self.queued_count())
     }
 
-    /// Removes the first call. Returns its arrival_number and its queue timeout.
+    /// Removes the first call. Returns its arrival number and its queue timeout.
     pub fn pop(&mut self) -> Option<(u64, Micros)> {
         self.queued.pop_first()
     }
--- a/quota/src/capacity.rs
+++ b/quota/src/capacity.rs
@@ -51,7 +51,7 @@
         LearnedCapacity { ratio_per_mille: FULL_PER_MILLE, window_started_at: now, attempts: 0, rejected: 0 }
     }
 
-    /// Returns the learned ratio_per_mille of the configured capacity, in thousandths.
+    /// Returns the learned part of the configured capacity, in thousandths.
     pub fn ratio_per_mille(&self) -> u32 {
         self.ratio_per_mille
     }
--- a/quota/src/ledger/process_entry.rs
+++ b/quota/src/ledger/process_entry.rs
@@ -35,7 +35,7 @@
     pub last_report: Option<ReportVersion>,
     /// Time at which the last report arrived.
     pub last_report_at: Option<Micros>,
-    /// Whether the process has reported its permits after it stopped to apply grants of earlier leaders.
+    /// Whether the process has reported its permits after it stopped applying grants of earlier leaders.
     pub has_reported_permits: bool,
     /// Highest count of this leader's grants that the process has reported.
     confirmed_seq: u64,
--- a/quota/src/ledger/targets.rs
+++ b/quota/src/ledger/targets.rs
@@ -8,7 +8,7 @@
 
 /// Maximum number of allocations per lease.
 const MAX_ALLOCATIONS_PER_LEASE: Micros = 256;
-/// Minimum number of allocations per lease, to reclaim the permits of processes that have stopped to report.
+/// Minimum number of allocations per lease, to reclaim the permits of processes that have stopped reporting.
 const MIN_ALLOCATIONS_PER_LEASE: Micros = 4;
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
--- a/quota/src/local_quota.rs
+++ b/quota/src/local_quota.rs
@@ -40,7 +40,7 @@
 }
 
 impl LocalQuota {
-    /// Creates the state of a process that has just started_at, without any grant.
+    /// Creates the state of a process that has just started, without any grant.
     pub fn new(now: Micros, registry: TenantRegistry, timing: QuotaTiming) -> LocalQuota {
         LocalQuota {
             report_interval: timing.lease / INITIAL_REPORTS_PER_LEASE,
@@ -189,7 +189,7 @@
     }
 
     /// Time from which a report should be sent ahead of the lease renewal: one report interval after the last
-    /// report, or half of one if calls have started_at to queue since then.
+    /// report, or half of one if calls have started to queue since then.
     pub fn next_report_at(&self, usage: &Usage) -> Micros {
         let is_urgent = self.was_satisfied && has_unmet_demand(usage);
         let interval = if is_urgent { self.report_interval / 2 } else { self.report_interval };
--- a/quota/src/max_min/progressive_filling.rs
+++ b/quota/src/max_min/progressive_filling.rs
@@ -1,7 +1,7 @@
 //! Weighted max-min fairness in whole permits.
 //!
 //! Source: progressive filling, Bertsekas and Gallager, *Data Networks* (2nd edition, 1992), section 6.5.2.
-//! Permits unassigned over by rounding go to the largest remainders, and to the lower index where these are equal.
+//! Permits left over by rounding go to the largest remainders, and to the lower index where these are equal.
 //! All arithmetic is exact, in integers.
 
 /// Demand of one claimant: a tenant or a process.
@@ -28,7 +28,7 @@
     }
 }
 
-/// Permits unassigned to be divided by weight alone, and the total weight of the claimants that share them.
+/// Permits left to be divided by weight alone, and the total weight of the claimants that share them.
 struct Remainder {
     permits: u64,
     weight: u128,
@@ -72,7 +72,7 @@
     }
 }
 
-/// Allocates the full demand to claimants that want less than the level gives them. Returns what is unassigned for
+/// Allocates the full demand to claimants that want less than the level gives them. Returns what is left for
 /// the others.
 fn satisfy_smallest_demands(permits: u64, demands: &[Demand], allocated: &mut [Option<u32>]) -> Remainder {
     let mut unallocated: Vec<usize> =
--- a/quota/src/max_min/reallocation.rs
+++ b/quota/src/max_min/reallocation.rs
@@ -3,7 +3,7 @@
 use super::progressive_filling::{allocate_by_weight, allocate_max_min, Demand};
 
 /// Allocates all `total` permits: the demands by [`allocate_max_min`], and unclaimed permits by weight, so
-/// that a claimant whose demand rises has unclaimed permits at once. A claimant keeps its `previous` permits if
+/// that a claimant whose demand rises has spare permits at once. A claimant keeps its `previous` permits if
 /// they differ from its fair allocation by at most one, or, while there are unclaimed permits, if they cover
 /// its demand and half of its part of the unclaimed ones. Steady demand therefore moves no permit.
 pub fn reallocate(total: u32, demands: &[Demand], previous: &[u32]) -> Vec<u32> {
@@ -12,8 +12,8 @@
 
 /// Reallocates permits among tenants. If all permits are claimed and each tenant with a demand is short by at
 /// least two, a demand that changes by one moves no permit, so the exact allocation is used and lent permits
-/// return to their owners. This does not suit processes, whose demands change by more than one and which cannot
-/// use permits while those are moved.
+/// return to their owners. This does not suit processes: their demands change by more than one, and permits
+/// that are being moved between processes cannot be used by either.
 pub fn reallocate_tenants(total: u32, demands: &[Demand], previous: &[u32]) -> Vec<u32> {
     let exact = allocate_max_min(total, demands);
     let had_permits = |index: usize| previous.get(index).copied().unwrap_or(0) > 0;
--- a/quota/tests/fleet/mod.rs
+++ b/quota/tests/fleet/mod.rs
@@ -7,7 +7,7 @@
     clippy::cast_sign_loss,
     clippy::needless_pass_by_value,
     clippy::too_many_lines,
-    reason = "the counts and times of a simulation are small, and its steps are easier to read in one function"
+    reason = "the counts and times of a simulation are small, and its setup is one long function"
 )]
 
 mod simulation;
--- a/quota/tests/model/main.rs
+++ b/quota/tests/model/main.rs
@@ -4,41 +4,42 @@
 //! without state, pause for longer than a lease or are partitioned in one or both directions. A step is a
 //! sixth of a lease, in which all messages arrive that no fault affects.
 
-mod world;
+mod system;
 
 use flaxhead_rig::SystemModel as _;
 use stateright::{Checker, HasDiscoveries, Model, Property};
-use world::{
-    in_hand, now, usable, Broken, Fault, Fleet, Site, World, ENDS, PARTS_FOR_ALL, TWO_BESIDE, VOTERS,
-    VOTERS_ALONE,
+use system::{
+    in_flight, now, usable_permits, Fault, FleetModel, FleetState, Mutation, Topology, MINIMUM_FOR_ALL,
+    TOTAL_STEPS, VOTERS, VOTERS_ALONE, VOTERS_AND_TWO_PROXIES,
 };
 
-const NOTHING_WRONG: &str = "nothing is wrong";
+const INVARIANTS_HOLD: &str = "the invariants hold";
 
-impl Model for Fleet {
-    type State = World;
+impl Model for FleetModel {
+    type State = FleetState;
     type Action = Fault;
 
-    fn init_states(&self) -> Vec<World> {
-        vec![self.first.clone()]
+    fn init_states(&self) -> Vec<FleetState> {
+        vec![self.initial.clone()]
     }
 
-    fn actions(&self, world: &World, faults: &mut Vec<Fault>) {
-        flaxhead_rig::SystemModel::list_faults(self, world, faults);
+    fn actions(&self, state: &FleetState, faults: &mut Vec<Fault>) {
+        flaxhead_rig::SystemModel::list_faults(self, state, faults);
     }
 
-    fn next_state(&self, world: &World, fault: Fault) -> Option<World> {
-        Some(self.run_step(world, fault).world)
+    fn next_state(&self, state: &FleetState, fault: Fault) -> Option<FleetState> {
+        Some(self.run_step(state, fault).world)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always(NOTHING_WRONG, |_, world: &World| world.violation.is_none()),
+            Property::always(INVARIANTS_HOLD, |_, state: &FleetState| state.violation.is_none()),
             Property::always(
-                "the whole cap can be used once faults ended",
-                |fleet: &Fleet, world: &World| {
-                    world.step < fleet.first.step + ENDS || {
-                        usable(world) == fleet.site.cap && in_hand(world, fleet.site.busy[1]) > 0
+                "the whole cap is usable after the faults",
+                |fleet: &FleetModel, state: &FleetState| {
+                    state.step < fleet.initial.step + TOTAL_STEPS || {
+                        usable_permits(state) == fleet.topology.cap
+                            && in_flight(state, fleet.topology.active_nodes[1]) > 0
                     }
                 },
             ),
@@ -46,27 +47,32 @@
     }
 }
 
-fn check(site: Site, broken: Broken, faults: u8, fine: bool) -> (usize, Vec<&'static str>) {
-    check_from(Fleet::new(site, broken, faults, fine))
+fn check(
+    topology: Topology,
+    mutation: Mutation,
+    max_faults: u8,
+    between_messages: bool,
+) -> (usize, Vec<&'static str>) {
+    check_model(FleetModel::new(topology, mutation, max_faults, between_messages))
 }
 
-fn check_from(fleet: Fleet) -> (usize, Vec<&'static str>) {
-    let broken = fleet.broken;
+fn check_model(fleet: FleetModel) -> (usize, Vec<&'static str>) {
+    let mutation = fleet.mutation;
     let threads = std::thread::available_parallelism().map_or(1, usize::from).min(4);
     // The search covers all states, unless a mutation is expected to be detected.
-    let until = match broken {
-        Broken::Nothing => HasDiscoveries::All,
-        _ => HasDiscoveries::AnyOf([NOTHING_WRONG].into()),
+    let finish_condition = match mutation {
+        Mutation::None => HasDiscoveries::All,
+        _ => HasDiscoveries::AnyOf([INVARIANTS_HOLD].into()),
     };
-    let checker = fleet.checker().threads(threads).finish_when(until).spawn_bfs().join();
-    for (name, path) in checker.discoveries() {
-        if broken == Broken::Nothing {
+    let checker = fleet.checker().threads(threads).finish_when(finish_condition).spawn_bfs().join();
+    for (property, path) in checker.discoveries() {
+        if mutation == Mutation::None {
             let last = path.last_state().clone();
             let faults: Vec<Fault> = path.into_actions();
             let faults: Vec<(usize, &Fault)> =
                 faults.iter().enumerate().filter(|(_, a)| **a != Fault::Nothing).collect();
             println!(
-                "{name}: {faults:?}\n{:?}, {:?}, {:?}",
+                "{property}: {faults:?}\n{:?}, {:?}, {:?}",
                 last.violation, last.environment.allowances, last.environment.calls
             );
             last.nodes.iter().for_each(|node| println!("{:?}", node.status(now(last.step))));
@@ -76,84 +82,87 @@
 }
 
 #[test]
-fn one_fault_between_any_two_messages_never_passes_the_cap_and_all_of_it_comes_back() {
-    let (states, found) = check(VOTERS_ALONE, Broken::Nothing, 1, true);
+fn one_fault_between_any_two_messages_keeps_the_cap_and_all_permits_return() {
+    let (states, violated) = check(VOTERS_ALONE, Mutation::None, 1, true);
     println!("{states} states");
-    assert!(found.is_empty() && states > 10_000, "{states} {found:?}");
+    assert!(violated.is_empty() && states > 10_000, "{states} {violated:?}");
 }
 
 #[test]
-fn two_faults_between_any_two_steps_never_pass_the_cap_and_all_of_it_comes_back() {
-    let (states, found) = check(VOTERS_ALONE, Broken::Nothing, 2, false);
+fn two_faults_between_any_two_steps_keep_the_cap_and_all_permits_return() {
+    let (states, violated) = check(VOTERS_ALONE, Mutation::None, 2, false);
     println!("{states} states");
-    assert!(found.is_empty() && states > 10_000, "{states} {found:?}");
+    assert!(violated.is_empty() && states > 10_000, "{states} {violated:?}");
 }
 
 /// Returns the mutations that the check does not detect.
-fn missed(site: Site) -> Vec<Broken> {
+fn undetected_mutations(topology: Topology) -> Vec<Mutation> {
     // Calls that are still in flight when the permits have moved to the other proxy.
-    let long = Site { call: 10, ..site };
-    let rules = [
-        (Broken::Confirmed, 1, true),
-        (Broken::Fence, 1, true),
-        (Broken::Ends, 1, false),
-        (Broken::Learns, 2, false),
-        (Broken::KeepsUnheard, 1, false),
-        (Broken::Seats, 0, false),
+    let long_calls = Topology { call_steps: 10, ..topology };
+    let cases = [
+        (Mutation::AssumeConfirmed, 1, true),
+        (Mutation::AcceptStaleGrants, 1, true),
+        (Mutation::IgnoreExpiry, 1, false),
+        (Mutation::SkipLearning, 2, false),
+        (Mutation::TreatSilentAsExited, 1, false),
+        (Mutation::AssignSlotToAll, 0, false),
     ];
-    let mut missed = Vec::new();
-    let rules = rules.map(|(broken, faults, fine)| (site, broken, faults, fine));
-    for (site, broken, faults, fine) in rules.into_iter().chain([(long, Broken::InHand, 0, false)]) {
-        let (states, found) = check(site, broken, faults, fine);
-        println!("{broken:?}: {states} states, {found:?}");
-        missed.extend((!found.contains(&NOTHING_WRONG)).then_some(broken));
+    let mut undetected_mutations = Vec::new();
+    let cases = cases
+        .map(|(mutation, max_faults, between_messages)| (topology, mutation, max_faults, between_messages));
+    for (topology, mutation, max_faults, between_messages) in
+        cases.into_iter().chain([(long_calls, Mutation::HideCallsInFlight, 0, false)])
+    {
+        let (states, violated) = check(topology, mutation, max_faults, between_messages);
+        println!("{mutation:?}: {states} states, {violated:?}");
+        undetected_mutations.extend((!violated.contains(&INVARIANTS_HOLD)).then_some(mutation));
     }
-    missed
+    undetected_mutations
 }
 
 #[test]
-fn a_rule_that_is_taken_out_is_missed() {
-    assert_eq!(missed(VOTERS_ALONE), []);
+fn every_mutation_is_detected() {
+    assert_eq!(undetected_mutations(VOTERS_ALONE), []);
 }
 
 /// Two faults affect only the leader and the proxy with the first calls; all other pairs are covered with the
 /// voters alone.
 #[test]
-fn beside_the_voters_two_proxies_never_pass_the_cap_and_get_all_of_it_back() {
-    let one = Fleet::new(TWO_BESIDE, Broken::Nothing, 1, true);
-    let two = Fleet::new(TWO_BESIDE, Broken::Nothing, 2, false).spare_others();
-    for fleet in [one, two] {
-        let (states, found) = check_from(fleet);
+fn two_proxies_beside_the_voters_keep_the_cap_and_get_all_permits_back() {
+    let one_fault = FleetModel::new(VOTERS_AND_TWO_PROXIES, Mutation::None, 1, true);
+    let two_faults = FleetModel::new(VOTERS_AND_TWO_PROXIES, Mutation::None, 2, false).restrict_faults();
+    for fleet in [one_fault, two_faults] {
+        let (states, violated) = check_model(fleet);
         println!("{states} states");
-        assert!(found.is_empty() && states > 10_000, "{states} {found:?}");
+        assert!(violated.is_empty() && states > 10_000, "{states} {violated:?}");
     }
 }
 
 #[test]
-fn beside_the_voters_a_rule_that_is_taken_out_is_missed() {
-    assert_eq!(missed(TWO_BESIDE), []);
+fn every_mutation_is_detected_with_proxies_beside_the_voters() {
+    assert_eq!(undetected_mutations(VOTERS_AND_TWO_PROXIES), []);
 }
 
 /// Returns a fleet whose voters lose their state in the same step, while two proxies hold grants of all
 /// permits.
-fn after_all_voters_forgot(broken: Broken, faults: u8) -> Fleet {
-    let mut fleet = Fleet::new(PARTS_FOR_ALL, broken, faults, true);
-    let mut world = fleet.first.clone();
+fn fleet_after_voter_state_loss(mutation: Mutation, max_faults: u8) -> FleetModel {
+    let mut fleet = FleetModel::new(MINIMUM_FOR_ALL, mutation, max_faults, true);
+    let mut state = fleet.initial.clone();
     for voter in 0..VOTERS {
-        fleet.crash(&mut world, voter);
+        fleet.crash(&mut state, voter);
     }
-    fleet.first = world;
+    fleet.initial = state;
     fleet
 }
 
 #[test]
-fn what_proxies_were_granted_counts_where_all_voters_forgot() {
-    let (states, found) = check_from(after_all_voters_forgot(Broken::Nothing, 1));
+fn grants_of_proxies_count_after_all_voters_have_lost_their_state() {
+    let (states, violated) = check_model(fleet_after_voter_state_loss(Mutation::None, 1));
     println!("{states} states");
-    assert!(found.is_empty() && states > 10_000, "{states} {found:?}");
-    for rule in [Broken::Forgotten, Broken::Confirmed] {
-        let (states, found) = check_from(after_all_voters_forgot(rule, 1));
-        println!("{rule:?}: {states} states, {found:?}");
-        assert!(found.contains(&NOTHING_WRONG), "{rule:?}: {states} states");
+    assert!(violated.is_empty() && states > 10_000, "{states} {violated:?}");
+    for mutation in [Mutation::SkipRecovery, Mutation::AssumeConfirmed] {
+        let (states, violated) = check_model(fleet_after_voter_state_loss(mutation, 1));
+        println!("{mutation:?}: {states} states, {violated:?}");
+        assert!(violated.contains(&INVARIANTS_HOLD), "{mutation:?}: {states} states");
     }
 }
