--- a/quota/benches/shares.rs
+++ b/quota/benches/shares.rs
@@ -44,8 +44,8 @@
 /// Fair allocation by a scheduler with full knowledge of the demand.
 fn fair_allocation(fleet: &Fleet, capacity: u32) -> Vec<u32> {
     let tenants = fleet.registry().tenants.iter().enumerate();
-    let demands = tenants.map(|(tenant_index, tenant)| {
-        let demand = fleet.total_demand(tenant_index).min(tenant.cap.unwrap_or(u32::MAX));
+    let demands = tenants.map(|(index, tenant)| {
+        let demand = fleet.total_demand(index).min(tenant.cap.unwrap_or(u32::MAX));
         Demand { weight: tenant.weight, minimum: demand.min(1), wanted: demand }
     });
     allocate_max_min(capacity, &demands.collect::<Vec<_>>())
@@ -54,9 +54,8 @@
 /// Largest and mean relative deviation of calls in flight from the fair allocation, over tenants with a
 /// share, in percent.
 fn deviation(in_flight: &[f64], fair_allocation: &[u32]) -> (f64, f64) {
-    let relative = |(tenant_index, fair_allocation): (usize, &u32)| {
-        (*fair_allocation > 0)
-            .then(|| 100.0 * (in_flight[tenant_index] / f64::from(*fair_allocation) - 1.0).abs())
+    let relative = |(index, fair_allocation): (usize, &u32)| {
+        (*fair_allocation > 0).then(|| 100.0 * (in_flight[index] / f64::from(*fair_allocation) - 1.0).abs())
     };
     let deviations: Vec<f64> = fair_allocation.iter().enumerate().filter_map(relative).collect();
     (
@@ -91,41 +90,33 @@
     let mut fleet = Fleet::new(scenario);
     set_round_demands(&mut fleet, processes, 0);
     fleet.run(40 * SECOND);
-    let (mut after_1s, mut after_2s, mut after_4s, mut samples) =
-        (Vec::new(), Vec::new(), Vec::new(), Vec::new());
-    let (mut usage_ratios, mut load_ratios) = (Vec::new(), Vec::new());
-    let (mut worst_deviation, mut cap_violation_count) = (0.0_f64, 0);
+    let (mut at_1s, mut at_2s, mut at_4s, mut samples) = (Vec::new(), Vec::new(), Vec::new(), Vec::new());
+    let (mut usage, mut load) = (Vec::new(), Vec::new());
+    let (mut worst_deviation, mut violations) = (0.0_f64, 0);
     for round in 1..=rounds {
         set_round_demands(&mut fleet, processes, round);
         let fair = fair_allocation(&fleet, capacity);
         let allocated: u32 = fair.iter().sum();
         for step in 1..=4 * SECOND / STEP {
             fleet.run(STEP);
-            let in_flight: u32 = (0..fair.len()).map(|tenant_index| fleet.in_flight(tenant_index)).sum();
-            usage_ratios.push(f64::from(in_flight.min(allocated)) / f64::from(allocated));
-            load_ratios.push(f64::from(in_flight) / f64::from(capacity));
+            let in_flight: u32 = (0..fair.len()).map(|i| fleet.in_flight(i)).sum();
+            usage.push(f64::from(in_flight.min(allocated)) / f64::from(allocated));
+            load.push(f64::from(in_flight) / f64::from(capacity));
             let caps = fleet.registry().tenants.iter().enumerate();
-            cap_violation_count += u32::from(
-                caps.clone()
-                    .any(|(tenant_index, t)| t.cap.is_some_and(|cap| fleet.in_flight(tenant_index) > cap)),
-            );
+            violations +=
+                u32::from(caps.clone().any(|(i, t)| t.cap.is_some_and(|cap| fleet.in_flight(i) > cap)));
             // Calls in flight, averaged over the last four samples.
-            samples.push(
-                (0..fair.len())
-                    .map(|tenant_index| f64::from(fleet.in_flight(tenant_index)))
-                    .collect::<Vec<f64>>(),
-            );
+            samples.push((0..fair.len()).map(|i| f64::from(fleet.in_flight(i))).collect::<Vec<f64>>());
             samples.drain(..samples.len().saturating_sub(4));
-            let averages = (0..fair.len())
-                .map(|tenant_index| samples.iter().map(|sample| sample[tenant_index]).sum::<f64>() / 4.0);
+            let averages = (0..fair.len()).map(|i| samples.iter().map(|sample| sample[i]).sum::<f64>() / 4.0);
             let (largest, mean) = deviation(&averages.collect::<Vec<f64>>(), &fair);
             match step * STEP {
-                SECOND => after_1s.push(mean),
+                SECOND => at_1s.push(mean),
                 after if after == 2 * SECOND => {
                     worst_deviation = worst_deviation.max(largest);
-                    after_2s.push(mean);
+                    at_2s.push(mean);
                 }
-                after if after == 4 * SECOND => after_4s.push(mean),
+                after if after == 4 * SECOND => at_4s.push(mean),
                 _ => {}
             }
         }
@@ -134,14 +125,14 @@
     println!(
         "{processes} processes, {mode:?}: mean deviation from max-min fairness after 1 s {:.1}% (p90 {:.1}), after 2 s {:.1}% (p90 {:.1}, largest of one tenant {worst_deviation:.0}), after 4 s {:.1}%; \
          use of capacity {:.3}; maximum ratio of calls to capacity {:.2}; a cap exceeded in {:.1}% of the samples; run time {:.0} s",
-        mean(&after_1s),
-        percentile(&mut after_1s, 0.9),
-        mean(&after_2s),
-        percentile(&mut after_2s, 0.9),
-        mean(&after_4s),
-        mean(&usage_ratios),
-        load_ratios.iter().copied().fold(0.0, f64::max),
-        100.0 * f64::from(cap_violation_count) / usage_ratios.len() as f64,
+        mean(&at_1s),
+        percentile(&mut at_1s, 0.9),
+        mean(&at_2s),
+        percentile(&mut at_2s, 0.9),
+        mean(&at_4s),
+        mean(&usage),
+        load.iter().copied().fold(0.0, f64::max),
+        100.0 * f64::from(violations) / usage.len() as f64,
         started.elapsed().as_secs_f64()
     );
 }
@@ -201,13 +192,8 @@
 
 fn measure_restart(processes: usize, restart_count: usize, seed: u64) {
     let mut fleet = Fleet::new(scenario(processes, Mode::Coordinated, seed));
-    let capped: Vec<(usize, u32)> = fleet
-        .registry()
-        .tenants
-        .iter()
-        .enumerate()
-        .filter_map(|(tenant_index, t)| Some((tenant_index, t.cap?)))
-        .collect();
+    let capped: Vec<(usize, u32)> =
+        fleet.registry().tenants.iter().enumerate().filter_map(|(index, t)| Some((index, t.cap?))).collect();
     for node in 0..processes {
         capped.iter().for_each(|(tenant, _)| fleet.set_demand(node, *tenant, 40));
     }
@@ -221,11 +207,9 @@
         fleet.run(SECOND / 50);
         let usable = capped.iter().map(|(tenant, _)| fleet.total_usable(*tenant)).sum::<u32>();
         let elapsed_secs = (fleet.now - started_at) as f64 / 1e6;
-        let minimums = capped
-            .iter()
-            .map(|(tenant_index, _)| fleet.registry().tenants[*tenant_index].guaranteed)
-            .sum::<u32>()
-            * processes as u32;
+        let minimums =
+            capped.iter().map(|(index, _)| fleet.registry().tenants[*index].guaranteed).sum::<u32>()
+                * processes as u32;
         minimums_after = minimums_after.or((usable >= minimums).then_some(elapsed_secs));
         half_after = half_after.or((usable * 2 >= all_permits).then_some(elapsed_secs));
         all_after = all_after.or((usable == all_permits).then_some(elapsed_secs));
--- a/quota/src/application.rs
+++ b/quota/src/application.rs
@@ -129,7 +129,7 @@
     }
 
     fn higher_ballot_observed(&mut self, ballot: &Ballot) {
-        self.local.observe_fence(ballot);
+        self.local.observe_ballot(ballot);
     }
 
     fn state_lost(&mut self) {
--- a/quota/src/local_quota.rs
+++ b/quota/src/local_quota.rs
@@ -93,7 +93,7 @@
 
     /// Records the ballot of a leader, after which grants of lower ballots are ignored. The current grant
     /// stays valid until it expires.
-    pub fn observe_fence(&mut self, ballot: &Ballot) {
+    pub fn observe_ballot(&mut self, ballot: &Ballot) {
         if self.grant_version.as_ref().is_none_or(|version| version.ballot < *ballot) {
             self.grant_version = Some(GrantVersion { ballot: ballot.clone(), seq: 0 });
         }
--- a/quota/src/registry.rs
+++ b/quota/src/registry.rs
@@ -55,7 +55,7 @@
     #[error("margin_percent is {0}; it must be 0 to 99")]
     MarginPercent(u32),
     /// A line of `caps` is not a name and a number.
-    #[error("caps contains {0:?}; each entry must be a tenant name and a number of calls, such as \"{DEFAULT_TENANT} 10\"")]
+    #[error("caps contains {0:?}; each entry must be a tenant's name and a number of calls, such as \"{DEFAULT_TENANT} 10\"")]
     InvalidCap(String),
     /// A line of `caps` names a tenant that the settings do not have.
     #[error("caps names {tenant:?}, which the settings do not define; the defined tenants are {known}, where \"{DEFAULT_TENANT}\" is all other calls")]
@@ -77,7 +77,7 @@
     #[error("the settings have more than {MAX_TENANT_COUNT} tenants including \"{DEFAULT_TENANT}\", or a tenant name over {MAX_NAME_BYTES} bytes; remove the [shares] section")]
     TooManyTenants,
     /// A cap is lower than the number of processes, each of which needs a permit.
-    #[error("the cap of {tenant:?} is {cap}, but each of {proxies} proxies needs at least one permit; raise the cap or lower proxies_most")]
+    #[error("the cap of {tenant:?} is {cap}, but each of {proxies} proxies needs at least one permit; raise it, or lower proxies_most")]
     CapTooLow {
         /// Tenant of the cap.
         tenant: String,
--- a/quota/tests/ledger.rs
+++ b/quota/tests/ledger.rs
@@ -56,7 +56,7 @@
     }
 
     fn make_report(&mut self, index: usize, usage: Usage) -> QuotaReport {
-        self.local_quotas[index].observe_fence(&ballot(1));
+        self.local_quotas[index].observe_ballot(&ballot(1));
         self.local_quotas[index].report(self.now, usage)
     }
 
@@ -167,7 +167,7 @@
     fleet.ledger.record_report(requested_at + 1, &process(1), requested_at + 1, report);
     assert_eq!(fleet.ledger.grant(requested_at + 1, &process(1)).permits, Some(vec![30, 0, 0]));
     assert!(fleet.ledger.learning_until(requested_at + 1).is_some());
-    fleet.local_quotas[1].observe_fence(&next_ballot);
+    fleet.local_quotas[1].observe_ballot(&next_ballot);
     let report = fleet.local_quotas[1].report(requested_at + 1, usage(0, 40));
     fleet.ledger.record_report(requested_at + 1, &process(2), requested_at + 1, report);
     assert_eq!(fleet.ledger.learning_until(requested_at + 1), None);
--- a/quota/tests/model/main.rs
+++ b/quota/tests/model/main.rs
@@ -160,7 +160,7 @@
     let (states, violated) = check_model(fleet_after_voter_state_loss(Mutation::None, 1));
     println!("{states} states");
     assert!(violated.is_empty() && states > 10_000, "{states} {violated:?}");
-    for mutation in [Mutation::SkipRecovery, Mutation::AssumeConfirmed] {
+    for mutation in [Mutation::IgnoreLoss, Mutation::AssumeConfirmed] {
         let (states, violated) = check_model(fleet_after_voter_state_loss(mutation, 1));
         println!("{mutation:?}: {states} states, {violated:?}");
         assert!(violated.contains(&INVARIANTS_HOLD), "{mutation:?}: {states} states");
--- a/quota/tests/model/system.rs
+++ b/quota/tests/model/system.rs
@@ -40,7 +40,7 @@
     /// Every process gets a slot.
     AssignSlotToAll,
     /// Voters that have lost their state count as recovered.
-    SkipRecovery,
+    IgnoreLoss,
 }
 
 /// Model state besides the processes.
@@ -231,12 +231,10 @@
                 granted.grant.seq = granted.grant.seq.max(newest);
             }
             (Message::Granted(granted), Mutation::AssignSlotToAll) => granted.grant.has_slot = true,
-            (Message::VoterRecoveryResponse(response), Mutation::SkipRecovery) => {
+            (Message::VoterRecoveryResponse(response), Mutation::IgnoreLoss) => {
                 response.recovery = RecoveryState::Recovered;
             }
-            (Message::Promised(promise), Mutation::SkipRecovery) => {
-                promise.recovery = RecoveryState::Recovered
-            }
+            (Message::Promised(promise), Mutation::IgnoreLoss) => promise.recovery = RecoveryState::Recovered,
             _ => {}
         }
         message
