--- a/quota/src/application.rs
+++ b/quota/src/application.rs
@@ -23,7 +23,7 @@
 /// Facts from outside the protocol: members, and the capacity of the hosts.
 pub type Facts = flaxhead_lease::Facts<Vec<HostCapacity>>;
 
-/// One process's quotas, as an application of the lease protocol.
+/// Quotas of one process, as an application of the lease protocol.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct QuotaApplication {
     local: LocalQuota,
--- a/quota/src/ledger/process_entry.rs
+++ b/quota/src/ledger/process_entry.rs
@@ -60,14 +60,14 @@
     /// For a differing configuration: index of each of its tenants in the leader's registry, if the leader
     /// has the tenant.
     tenant_indices: Option<Vec<Option<usize>>>,
-    tenants: usize,
+    tenant_count: usize,
 }
 
 impl ProcessEntry {
     /// Compares the process's configuration with the leader's. Returns whether the order of tenants in its
     /// reports is known.
     pub fn identify_config(&mut self, registry: &TenantRegistry, report: &QuotaReport) -> bool {
-        self.tenants = registry.tenants.len();
+        self.tenant_count = registry.tenants.len();
         if report.digest == registry.digest {
             self.tenant_indices = None;
             return true;
@@ -91,7 +91,7 @@
     }
 
     fn in_leader_order<T: Copy + Default>(&self, process_values: &[T]) -> Vec<T> {
-        let mut leader_values = vec![T::default(); self.tenants];
+        let mut leader_values = vec![T::default(); self.tenant_count];
         for (index, value) in process_values.iter().enumerate() {
             let leader_index = match &self.tenant_indices {
                 None => Some(index),
@@ -155,7 +155,7 @@
         if now < self.reported_grant_expires_at {
             self.reported_grant.clone()
         } else {
-            vec![0; self.tenants]
+            vec![0; self.tenant_count]
         }
     }
 
