--- a/quota/benches/admission.rs
+++ b/quota/benches/admission.rs
@@ -1,5 +1,5 @@
-//! Time of the admission controller for a call from its request to the release of its permit, with free
-//! permits and with queues of all tenants.
+//! Time that the admission controller takes for one call, from its request to the release of its permit: with
+//! free permits, and with queued calls of all tenants.
 //!
 //! `cargo bench -p flaxhead-quota`
 #![expect(clippy::cast_possible_truncation, reason = "the counts of a benchmark are small")]
@@ -13,7 +13,8 @@
 use flaxhead_quota::{Allowance, TenantAllowance};
 use std::hint::black_box;
 
-/// Admission controller with its clock and the tenants of the calls in flight, in order of release.
+/// Admission controller with its current time, and with the tenants of the calls in flight in the order in
+/// which they end.
 struct Workload {
     controller: AdmissionController,
     now: u64,
@@ -59,7 +60,7 @@
         }
     }
 
-    /// Starts a call and ends the oldest one.
+    /// Requests admission of a new call, and ends the call that has been in flight for longest.
     fn run_call(&mut self, index: usize) {
         self.now += 50;
         self.request(index);
--- a/quota/benches/shares.rs
+++ b/quota/benches/shares.rs
@@ -1,6 +1,6 @@
-//! Simulated fleets of several sizes: speed and accuracy of fair shares after changes of demand, use of
-//! capacity, return of lent permits, messages, and time to recover after restarts, compared with fixed parts
-//! and with no limits.
+//! Measurements on simulated fleets of several sizes: how soon and how closely calls follow the fair shares
+//! after a change of demand, how soon lent permits return, how many messages are sent, and how soon permits
+//! are usable after restarts. Constant equal limits and no limits serve as comparisons.
 #![expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
@@ -41,7 +41,8 @@
     }
 }
 
-/// Fair allocation by a scheduler with full knowledge of the demand.
+/// Returns the fair share of each tenant for its demand, as a scheduler that knows all processes would
+/// allocate it.
 fn fair_allocation(fleet: &Fleet, capacity: u32) -> Vec<u32> {
     let tenants = fleet.registry().tenants.iter().enumerate();
     let demands = tenants.map(|(index, tenant)| {
@@ -51,8 +52,8 @@
     allocate_max_min(capacity, &demands.collect::<Vec<_>>())
 }
 
-/// Largest and mean relative deviation of calls in flight from the fair allocation, over tenants with a
-/// share, in percent.
+/// Returns the largest and the mean deviation of calls in flight from the fair allocation, in percent, over
+/// all tenants that are allocated permits.
 fn deviation(in_flight: &[f64], fair_allocation: &[u32]) -> (f64, f64) {
     let relative = |(index, fair_allocation): (usize, &u32)| {
         (*fair_allocation > 0).then(|| 100.0 * (in_flight[index] / f64::from(*fair_allocation) - 1.0).abs())
@@ -70,7 +71,9 @@
     values.get(rank).copied().unwrap_or(f64::NAN)
 }
 
-/// Sets each tenant's demand at one half of the processes. Each round uses other tenants and the other half.
+/// Sets the demand of a round. A quarter of the tenants, a different one in each round, has no demand. All
+/// other tenants have calls at one half of the processes, and change to the other half after two rounds. So
+/// permits have to move both between tenants and between processes.
 fn set_round_demands(fleet: &mut Fleet, processes: usize, round: usize) {
     for tenant in 0..fleet.registry().tenants.len() {
         let is_idle = (tenant + round).is_multiple_of(4);
@@ -105,7 +108,7 @@
             let caps = fleet.registry().tenants.iter().enumerate();
             violations +=
                 u32::from(caps.clone().any(|(i, t)| t.cap.is_some_and(|cap| fleet.in_flight(i) > cap)));
-            // Calls in flight, averaged over the last four samples.
+            // The deviation is calculated from the mean of the last four samples.
             samples.push((0..fair.len()).map(|i| f64::from(fleet.in_flight(i))).collect::<Vec<f64>>());
             samples.drain(..samples.len().saturating_sub(4));
             let averages = (0..fair.len()).map(|i| samples.iter().map(|sample| sample[i]).sum::<f64>() / 4.0);
@@ -137,7 +140,7 @@
     );
 }
 
-/// Measures how long a tenant needs to get back lent permits from a tenant that uses all capacity.
+/// Measures how soon a tenant gets its lent permits back while another tenant uses the whole capacity.
 fn measure_return_of_lent_permits(processes: usize, mode: Mode, rounds: usize) {
     let scenario = scenario(processes, mode, 2);
     let capacity = scenario.hosts as u32 * scenario.calls_per_host * 9 / 10;
@@ -149,7 +152,7 @@
     fleet.run(40 * SECOND);
     let mut elapsed_secs = Vec::new();
     for round in 0..rounds {
-        // Demand returns at all processes, at half of them, or at one.
+        // In turn, the demand of the owner returns at all processes, at half of them, and at one.
         let is_active = |node: usize| match round % 3 {
             0 => true,
             1 => node * 2 < processes,
--- a/quota/src/admission/fair_order.rs
+++ b/quota/src/admission/fair_order.rs
@@ -1,23 +1,24 @@
-//! Order in which tenants get permits that several of them wait for, by how far each is behind its share.
+//! Order in which tenants with queued calls get permits, by how far each is behind its share.
 //!
 //! As in deficit round robin (Shreedhar and Varghese, "Efficient fair queueing using deficit round robin",
-//! 1995), each tenant has a deficit that grows with its weight and shrinks by one with each admitted call.
-//! Round robin order can leave a tenant a quantum and a call behind. Here the next tenant is the one that
-//! would be a whole call behind the soonest, among those that are not ahead of their share (Tijdeman, "The
-//! chairman assignment problem", 1980; Baruah et al., "Proportionate progress", 1996). This bounds the
-//! deficit by one call.
+//! 1995), each tenant has a deficit, which grows in proportion to its weight and shrinks by one with each
+//! admitted call. Serving tenants in a fixed round can leave one of them behind by more than a call.
+//! Therefore the next tenant is the one whose deficit would reach a whole call first, among the tenants that
+//! are not ahead of their share (Tijdeman, "The chairman assignment problem", 1980; Baruah et al.,
+//! "Proportionate progress", 1996). This keeps all deficits at one call or less.
 
-/// Tolerance for rounding in comparisons, in calls.
+/// Differences up to this many calls are attributed to rounding.
 const ROUNDING_TOLERANCE_CALLS: f64 = 1e-9;
 
 struct Candidate {
     tenant: usize,
-    /// Deficit in calls.
+    /// Number of calls that the tenant is behind its share; negative: ahead of it.
     deficit: f64,
     weight: f64,
 }
 
-/// Deficits of tenants that wait for the same permits, in calls; positive: the tenant is behind its share.
+/// Deficit of each tenant among those that compete for the same permits, in calls; negative: the tenant is
+/// ahead of its share.
 #[derive(Clone, Debug)]
 pub(super) struct FairOrder(Vec<f64>);
 
@@ -26,14 +27,15 @@
         FairOrder(vec![0.0; tenants])
     }
 
-    /// Clears all deficits, which do not carry over to new weights.
+    /// Sets all deficits to 0, because deficits under other weights have no meaning.
     pub fn reset(&mut self) {
         self.0.fill(0.0);
     }
 
-    /// Chooses the tenant of the next admitted call. `weight` returns the weight of a waiting tenant and
-    /// `None` for others. A tenant that does not wait accrues no positive deficit, and works off a negative
-    /// one by its `idle_weight`.
+    /// Chooses the tenant whose queued call is admitted next; `None`: no tenant has queued calls. `weight`
+    /// returns the weight of a tenant that has queued calls, and `None` for other tenants. A tenant without
+    /// queued calls gains no positive deficit; a negative one moves towards 0 in proportion to its
+    /// `idle_weight`.
     pub fn next(
         &mut self,
         weight: impl Fn(usize) -> Option<f64>,
@@ -55,8 +57,8 @@
             deficits
                 .filter_map(|(tenant, &deficit)| Some(Candidate { tenant, deficit, weight: weight(tenant)? }))
         };
-        // If all waiting tenants are ahead of their shares, time is advanced to the point where the first of
-        // them is not.
+        // If all tenants with queued calls are ahead of their shares, the deficits grow until the first of
+        // these tenants is not.
         let time_ahead =
             |candidate: &Candidate| (-candidate.deficit / candidate.weight - 1.0 / total_weight).max(0.0);
         let skipped_time = candidates().map(|candidate| time_ahead(&candidate)).min_by(f64::total_cmp)?;
--- a/quota/src/admission/fair_order/tests.rs
+++ b/quota/src/admission/fair_order/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Guards against tenants that run more than one call ahead of their share, or fall more than one behind.
+/// Guards against an order in which a tenant gets a call more or less than its share at some moment.
 #[test]
 fn waiting_tenants_get_their_share_to_within_one_call_at_any_time() {
     for weights in
--- a/quota/src/admission/mod.rs
+++ b/quota/src/admission/mod.rs
@@ -1,7 +1,7 @@
-//! Admission control ahead of the load balancer, by the permits that a process may use for each tenant.
+//! Admission control ahead of the load balancer: new calls of a tenant are admitted, queued or rejected by
+//! the permits that the process may use for the tenant.
 //!
-//! It performs no I/O and reads no clock. Calls in flight are never aborted because of a quota; only new
-//! calls wait.
+//! It performs no I/O and reads no clock. Calls in flight are never aborted because of a quota.
 
 mod fair_order;
 mod queue;
@@ -15,48 +15,50 @@
 
 pub use queue::QueueStats;
 
-/// Time limits of a class.
+/// Latency objective and deadline of a class, which decide how long its calls may be queued.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClassTiming {
-    /// Latency within which a response earns the full priority weight.
+    /// Latency up to which a response earns the full priority weight of the class.
     pub latency_objective: Micros,
-    /// Time that clients wait in total.
+    /// Time from the start of a call to its client's timeout.
     pub deadline: Micros,
 }
 
 impl ClassTiming {
-    /// Part of the deadline reserved for the call itself: the latency objective, at most half of the
-    /// deadline. Queueing ends when only this much time is left.
+    /// Time before a call's deadline at which it leaves the queue, because it could no longer be answered in
+    /// time: the latency objective, but at most half of the deadline.
     fn reserved(&self) -> Micros {
         self.latency_objective.min(self.deadline / 2)
     }
 }
 
-/// Configuration of an admission controller.
+/// Classes, tenants and queue limits of an [`AdmissionController`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AdmissionConfig {
-    /// Classes in the order of the settings.
+    /// Classes in the order of the settings, as [`AdmissionRequest::class`] counts them.
     pub classes: Vec<ClassTiming>,
-    /// Number of tenants, including the last one for calls with no tenant or an unknown one.
+    /// Number of tenants, including the default tenant, which is the last one.
     pub tenant_count: usize,
-    /// Maximum number of queued calls per tenant.
+    /// Number of queued calls of one tenant above which its new calls are rejected.
     pub max_queue: usize,
-    /// Longest Retry-After that clients respect; 0: Retry-After is not sent.
+    /// Longest Retry-After that clients respect, as an upper limit for rejected calls; 0: no Retry-After is
+    /// sent.
     pub max_retry_after: Micros,
 }
 
-/// Call that requests admission.
+/// Properties of a new call that decide on its admission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AdmissionRequest {
-    /// Index of the tenant; `None` or an index out of range: the default tenant.
+    /// Index of the tenant in the settings; `None` or an index out of range: the default tenant.
     pub tenant: Option<usize>,
-    /// Index of the class.
+    /// Index of the class in [`AdmissionConfig::classes`]; a call with an index out of range may be queued
+    /// until its deadline.
     pub class: usize,
-    /// Time until which the client waits.
+    /// Time at which the client gives up on the call.
     pub deadline: Micros,
 }
 
-/// Handle of a queued call, ordered by arrival within its tenant.
+/// Handle of a queued call. Handles of one tenant are ordered by arrival of the calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct QueuedCall {
     tenant: usize,
@@ -64,76 +66,80 @@
 }
 
 impl QueuedCall {
-    /// Index of the tenant in the settings.
+    /// Returns the index in the settings of the tenant that the call belongs to.
     pub fn tenant(self) -> usize {
         self.tenant
     }
 }
 
-/// Final answer to a call. Each call gets exactly one, unless its client disconnects first.
+/// Admission or rejection of a call. Each call gets exactly one verdict, unless it is cancelled in the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// The call holds a permit, to be returned by [`AdmissionController::release`].
+    /// The call may start. Its permit has to be returned by [`AdmissionController::release`] when it ends.
     Admitted,
-    /// The call is rejected.
+    /// The call must not start: the queue is full, or no permit is expected before the queue timeout.
     Rejected {
-        /// Time after which the call may be retried.
+        /// Time after which the client may send the call again.
         retry_after: Micros,
     },
 }
 
-/// Immediate result of [`AdmissionController::request`].
+/// Result of [`AdmissionController::request`] for a new call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionDecision {
-    /// The verdict was reached at once.
+    /// The call is admitted or rejected immediately.
     Decided(Verdict),
-    /// The call waits in its tenant's queue for a later verdict.
+    /// The call is queued. Its verdict is returned by a later call of the controller.
     Queued(QueuedCall),
 }
 
-/// Verdict on a queued call.
+/// Verdict on a call that was queued before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QueuedVerdict {
-    /// Call that the verdict is for.
+    /// Handle that [`AdmissionController::request`] returned for the call.
     pub call: QueuedCall,
-    /// Final answer to the call.
+    /// Admission or rejection of the call.
     pub verdict: Verdict,
 }
 
-/// Verdicts on queued calls, in the order in which they were reached.
+/// Verdicts on queued calls, in the order in which the controller reached them.
 pub type Verdicts = Vec<QueuedVerdict>;
 
-/// Queue timeout of a call.
+/// Time at which a queued call is rejected, as its deadline comes too close.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct QueueTimeout {
     at: Micros,
     call: QueuedCall,
 }
 
-/// Admission controller with one queue per tenant. A call is admitted if its tenant's cap and the total both
-/// leave a permit for it. Otherwise it is queued, or rejected if it cannot be admitted in time.
+/// Admission controller with one queue per tenant. A call is admitted if a permit is free under both the cap
+/// of its tenant and the limit on all tenants together. Otherwise it is queued, or rejected if it cannot be
+/// admitted in time.
 #[derive(Clone, Debug)]
 pub struct AdmissionController {
     config: AdmissionConfig,
-    /// Time span over which releases are averaged: the longest deadline of any class.
+    /// Time over which releases of permits are averaged: the longest deadline of any class.
     rate_span: Micros,
     queues: Vec<TenantQueue>,
     allowance: Allowance,
-    /// Permits in use by all tenants.
+    /// Permits in use by all tenants together.
     in_flight: u32,
     release_rate: ReleaseRate,
-    /// Order among tenants below their fair share, and among tenants at or above it, which borrow permits.
+    /// Order among tenants that use fewer permits than their fair share, and among those that use as many or
+    /// more.
     below_share_order: FairOrder,
     above_share_order: FairOrder,
-    /// Queue timeouts of all queued calls, earliest first.
+    /// Timeouts of all queued calls, the earliest first.
     queue_timeouts: BTreeSet<QueueTimeout>,
     next_arrival_number: u64,
-    /// Whether a grant may follow soon. Calls of a tenant whose cap is 0 are then queued instead of rejected.
+    /// Whether the process waits for its slot to be decided. Meanwhile calls of a tenant with a cap of 0 are
+    /// queued instead of rejected.
     expects_more: bool,
 }
 
 impl AdmissionController {
-    /// Creates a controller with its first allowance. `expects_more` tells that a grant may follow soon.
+    /// Creates a controller that starts with `allowance`. `expects_more` tells that the allowance may be
+    /// raised soon, so that calls of a tenant with a cap of 0 are queued instead of rejected.
     pub fn new(
         now: Micros,
         config: AdmissionConfig,
@@ -159,8 +165,9 @@
         controller
     }
 
-    /// Replaces the allowance. `expects_more` tells that a grant may follow soon. If more calls are in flight
-    /// than the new allowance permits, none is admitted until enough have ended.
+    /// Replaces the allowance. `expects_more` has the same meaning as in [`AdmissionController::new`]. If
+    /// more calls are in flight than the new allowance permits, no call is admitted until enough of them have
+    /// ended.
     pub fn set_allowance(
         &mut self,
         now: Micros,
@@ -182,7 +189,7 @@
         self.admit_queued(now, verdicts);
     }
 
-    /// Decides on a new call: admits, queues or rejects it.
+    /// Decides on a new call, which is admitted, queued or rejected.
     pub fn request(&mut self, now: Micros, request: AdmissionRequest) -> AdmissionDecision {
         let tenant = self.queue_index(request.tenant);
         if self.has_permit(now, tenant) && self.queues[tenant].is_empty() {
@@ -203,14 +210,14 @@
         AdmissionDecision::Queued(call)
     }
 
-    /// Removes a queued call whose client has disconnected.
+    /// Removes a queued call whose client has disconnected. The call gets no verdict.
     pub fn cancel(&mut self, call: QueuedCall) {
         if let Some(at) = self.queues[call.tenant].remove(call.arrival_number) {
             self.queue_timeouts.remove(&QueueTimeout { at, call });
         }
     }
 
-    /// Acquires a permit for a hedged request, without waiting. Returns whether there was one.
+    /// Takes a permit for a hedged request, which is never queued. Returns whether a permit was free.
     pub fn acquire_extra(&mut self, now: Micros, tenant: Option<usize>) -> bool {
         let tenant = self.queue_index(tenant);
         let has_permit = self.has_permit(now, tenant);
@@ -222,7 +229,7 @@
         has_permit
     }
 
-    /// Returns a permit of a tenant, and admits queued calls.
+    /// Returns the permit of a call that has ended, and admits queued calls that fit now.
     pub fn release(&mut self, now: Micros, tenant: Option<usize>, verdicts: &mut Verdicts) {
         let tenant = self.queue_index(tenant);
         let queue = &mut self.queues[tenant];
@@ -233,45 +240,48 @@
         self.admit_queued(now, verdicts);
     }
 
-    /// Processes expired timeouts; to be called at [`AdmissionController::next_due`].
+    /// Rejects queued calls that have timed out, and applies the expiry of the allowance. To be called at
+    /// [`AdmissionController::next_due`].
     pub fn tick(&mut self, now: Micros, verdicts: &mut Verdicts) {
         self.admit_queued(now, verdicts);
     }
 
-    /// Next time at which [`AdmissionController::tick`] has something to do; `None`: no call is queued.
+    /// Returns when [`AdmissionController::tick`] has to be called: at the first timeout of a queued call, or
+    /// at the expiry of the allowance; `None`: no call is queued.
     pub fn next_due(&self) -> Option<Micros> {
         let times_out_at = self.queue_timeouts.first()?.at;
         Some(self.allowance.expires_at.map_or(times_out_at, |at| at.min(times_out_at)))
     }
 
-    /// Usage by tenant. Peaks and counts start at the last call of [`AdmissionController::usage_reported`].
+    /// Returns the usage by tenant. Peaks and numbers of rejected calls cover the time since the last call of
+    /// [`AdmissionController::usage_reported`].
     pub fn usage(&self) -> Vec<TenantUsage> {
         self.queues.iter().map(TenantQueue::usage).collect()
     }
 
-    /// Restarts the peaks and counts of [`AdmissionController::usage`], after a report.
+    /// Starts a new period for the peaks and the numbers of rejected calls of [`AdmissionController::usage`].
     pub fn usage_reported(&mut self) {
         self.queues.iter_mut().for_each(TenantQueue::usage_reported);
     }
 
-    /// Statistics by tenant for operators, in the order of the settings; the last is for calls with no tenant
-    /// or an unknown one.
+    /// Returns statistics by tenant for the status pages, in the order of the settings; the default tenant is
+    /// the last one.
     pub fn stats(&self) -> impl Iterator<Item = QueueStats> + '_ {
         self.queues.iter().map(TenantQueue::stats)
     }
 
-    /// Permits in use by all tenants.
+    /// Returns the permits in use by all tenants together.
     pub fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
-    /// Index of a tenant's queue.
+    /// Returns the index of a tenant's queue; the last queue is that of the default tenant.
     fn queue_index(&self, tenant: Option<usize>) -> usize {
         let last = self.queues.len() - 1;
         tenant.map_or(last, |tenant| tenant.min(last))
     }
 
-    /// Returns whether a permit is free for a tenant.
+    /// Returns whether a call of the tenant could start now, apart from queued calls before it.
     fn has_permit(&self, now: Micros, tenant: usize) -> bool {
         let total = self.allowance.total(now);
         total.is_none_or(|total| self.in_flight < total) && self.is_below_cap(now, tenant)
@@ -281,7 +291,8 @@
         self.allowance.cap(now, tenant).is_none_or(|cap| self.queues[tenant].in_flight < cap)
     }
 
-    /// Returns whether a tenant has no permits and none are expected.
+    /// Returns whether calls of the tenant cannot be admitted at all: its cap is 0, and the allowance will
+    /// not be raised soon.
     fn is_blocked(&self, now: Micros, tenant: usize) -> bool {
         !self.expects_more && self.allowance.cap(now, tenant) == Some(0)
     }
@@ -308,7 +319,7 @@
         Verdict::Rejected { retry_after: self.retry_after(now, tenant) }
     }
 
-    /// Rejects calls whose queue timeout has passed, then admits calls while permits are free.
+    /// Rejects queued calls that have timed out, then admits queued calls while permits are free.
     fn admit_queued(&mut self, now: Micros, verdicts: &mut Verdicts) {
         if self.queue_timeouts.is_empty() {
             return;
@@ -326,7 +337,7 @@
         self.reject_blocked(now, verdicts);
     }
 
-    /// Rejects the queued calls of tenants that have no permits and expect none.
+    /// Rejects all queued calls of tenants whose calls cannot be admitted at all.
     fn reject_blocked(&mut self, now: Micros, verdicts: &mut Verdicts) {
         for tenant in 0..self.queues.len() {
             while self.is_blocked(now, tenant) {
@@ -341,7 +352,7 @@
         verdicts.push(QueuedVerdict { call, verdict });
     }
 
-    /// Removes the first call from a queue.
+    /// Removes the first call of a tenant from its queue.
     fn pop(&mut self, tenant: usize) -> Option<QueuedCall> {
         let (arrival_number, at) = self.queues[tenant].pop()?;
         let call = QueuedCall { tenant, arrival_number };
@@ -349,8 +360,8 @@
         Some(call)
     }
 
-    /// Selects the tenant whose first queued call is admitted next. Tenants below their fair share precede
-    /// the others, so that lent permits return to their owners when they are released.
+    /// Selects the tenant whose first queued call is admitted next. Tenants that use less than their fair
+    /// share take precedence, so that released permits return to the tenants that had lent them.
     fn next_tenant(&mut self, now: Micros) -> Option<usize> {
         let AdmissionController {
             queues, allowance, in_flight, below_share_order, above_share_order, ..
@@ -378,7 +389,8 @@
             .or_else(|| above_share_order.next(weight_of(false), idle_weight))
     }
 
-    /// Estimated queueing time of a new call, by the release rate of the permits that it needs.
+    /// Estimates how long a new call of the tenant would be queued, from the rate at which permits have been
+    /// released.
     fn expected_wait(&self, now: Micros, tenant: usize) -> Micros {
         let queue = &self.queues[tenant];
         let queue_position = (queue.len() + 1) as f64;
@@ -389,7 +401,7 @@
         };
         let total_wait = match self.allowance.total(now) {
             Some(total) if self.in_flight >= total => {
-                let permits = queue_position * self.waiting_weight(tenant) / queue.weight();
+                let permits = queue_position * self.queued_weight(tenant) / queue.weight();
                 self.release_rate.expected_time(permits, now, self.rate_span)
             }
             _ => 0,
@@ -397,8 +409,8 @@
         cap_wait.max(total_wait)
     }
 
-    /// Total weight of the tenants that wait, including `tenant`.
-    fn waiting_weight(&self, tenant: usize) -> f64 {
+    /// Returns the total weight of all tenants with queued calls and of `tenant`.
+    fn queued_weight(&self, tenant: usize) -> f64 {
         let waits = |(index, queue): &(usize, &TenantQueue)| *index == tenant || !queue.is_empty();
         self.queues.iter().enumerate().filter(waits).map(|(_, queue)| queue.weight()).sum()
     }
--- a/quota/src/admission/queue.rs
+++ b/quota/src/admission/queue.rs
@@ -1,36 +1,37 @@
-//! Permits and queued calls of one tenant at the admission controller.
+//! Permits in use, queued calls and statistics of one tenant.
 
 use super::release_rate::ReleaseRate;
 use crate::{Micros, TenantUsage};
 use std::collections::BTreeMap;
 
-/// Statistics of a tenant at the admission controller, for operators.
+/// Statistics of one tenant at one process, for the status pages.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct QueueStats {
-    /// Permits in use.
+    /// Permits in use now, including those of hedged requests.
     pub in_flight: u32,
-    /// Calls in the queue.
+    /// Calls that wait for a permit now.
     pub queued: u32,
-    /// Calls admitted since the start.
+    /// Number of calls admitted since the start of the process.
     pub admitted: u64,
-    /// Calls rejected since the start.
+    /// Number of calls rejected since the start of the process.
     pub rejected: u64,
-    /// Hedged requests denied a permit since the start.
+    /// Number of hedged requests that got no permit since the start of the process.
     pub denied_hedges: u64,
 }
 
 #[derive(Clone, Debug, Default)]
 pub(super) struct TenantQueue {
-    /// Fair share of the total number of permits.
+    /// Part of the tenant's fair share that falls to this process, in permits.
     pub fair_share: u32,
     pub in_flight: u32,
     pub release_rate: ReleaseRate,
-    /// Queue timeout of each call by its arrival number.
+    /// Timeout of each queued call by its arrival number; lower numbers arrived earlier.
     queued: BTreeMap<u64, Micros>,
     pub admitted: u64,
     pub rejected: u64,
     pub denied_hedges: u64,
-    /// Peak of calls in flight and queued, and number of rejected calls, since the last usage report.
+    /// Highest number of calls in flight and queued together, and number of rejected calls, since the last
+    /// report.
     peak: u32,
     rejected_since_report: u32,
 }
@@ -44,8 +45,8 @@
         self.queued.is_empty()
     }
 
-    /// Returns whether fewer calls are in flight than the fair share, which counts as at least 1: a tenant
-    /// whose share is not known yet must not wait for all others.
+    /// Returns whether the tenant uses fewer permits than its fair share. A share of 0 counts as 1, so that a
+    /// tenant whose demand the leader does not know yet gets a first permit before tenants above their share.
     pub fn is_below_fair_share(&self) -> bool {
         self.in_flight < self.fair_share.max(1)
     }
@@ -81,12 +82,12 @@
         self.in_flight.saturating_add(self.queued_count())
     }
 
-    /// Removes the first call. Returns its arrival number and its queue timeout.
+    /// Removes the call that arrived first. Returns its arrival number and its timeout.
     pub fn pop(&mut self) -> Option<(u64, Micros)> {
         self.queued.pop_first()
     }
 
-    /// Removes a call. Returns its queue timeout if it was queued.
+    /// Removes a call. Returns its timeout; `None`: it was not queued.
     pub fn remove(&mut self, arrival_number: u64) -> Option<Micros> {
         self.queued.remove(&arrival_number)
     }
--- a/quota/src/admission/release_rate.rs
+++ b/quota/src/admission/release_rate.rs
@@ -1,24 +1,25 @@
-//! Estimate of the rate at which permits are released.
+//! Estimate of the rate at which permits are released, for the expected time in a queue.
 
 use crate::Micros;
 
-/// Exponentially decaying count of released permits.
+/// Number of recently released permits, which decays exponentially.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ReleaseRate {
     count: f64,
     updated_at: Micros,
-    /// Start of the observation, shifted by the periods in which no permit was in use.
+    /// Start of the observation, moved forward by the duration of periods without any permit in use.
     observed_since: Micros,
 }
 
 impl ReleaseRate {
-    /// Resumes the observation when a permit is in use again. Idle periods carry no information on the rate.
+    /// Ends a period without any permit in use, which is left out of the observation because nothing could be
+    /// released.
     pub fn resume(&mut self, now: Micros) {
         self.observed_since += now.saturating_sub(self.updated_at);
         self.updated_at = now;
     }
 
-    /// Records a release. The count decays with time constant `span`.
+    /// Counts a released permit. The count decays with the time constant `span`.
     pub fn record(&mut self, now: Micros, span: Micros) {
         self.count = self.decayed(now, span) + 1.0;
         self.updated_at = now;
@@ -28,8 +29,8 @@
         self.count * (-(now.saturating_sub(self.updated_at) as f64) / span as f64).exp()
     }
 
-    /// Lower estimate of the time in which `permits` are released: it assumes that another release is
-    /// imminent.
+    /// Returns the shortest time in which `permits` can be expected to be released: the estimate assumes one
+    /// more release than was observed.
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
--- a/quota/src/allowance.rs
+++ b/quota/src/allowance.rs
@@ -1,35 +1,38 @@
-//! Limits on calls in flight that a process's grants give to its admission controller.
+//! Limits on calls in flight that result from the grants of a process, for its admission controller.
 
 use flaxhead_lease::Micros;
 use serde::{Deserialize, Serialize};
 
-/// Limits of one tenant at a process.
+/// Limits on the permits of one tenant at one process. A fair share is the portion of the hosts' capacity
+/// that a tenant has in the whole fleet; a process gets a part of it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct TenantAllowance {
-    /// Maximum number of permits by the tenant's cap; `None`: no cap.
+    /// Highest number of permits by the tenant's cap: guaranteed minimum and grant; `None`: the tenant has no
+    /// cap.
     pub cap: Option<u32>,
-    /// Limit that replaces `cap` from [`Allowance::expires_at`] on: the guaranteed minimum.
+    /// Value that replaces `cap` when the allowance has expired: the guaranteed minimum alone.
     pub guaranteed: Option<u32>,
-    /// Fair share of [`Allowance::total`], in permits. It is also the tenant's weight when several tenants
-    /// wait for permits.
+    /// Part of the tenant's fair share that falls to this process, in permits. Also the tenant's weight if
+    /// several tenants have queued calls.
     pub fair_share: u32,
 }
 
-/// Limits on the calls in flight at a process, valid until they are replaced or expire.
+/// Limits on the calls in flight at one process, until they are replaced or expire.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Allowance {
-    /// Limits by tenant, in the order of the settings; the last is for calls with no tenant or an unknown
-    /// one.
+    /// Limits by tenant in the order of the settings; the last one is for the default tenant.
     pub tenants: Vec<TenantAllowance>,
-    /// Permits of all tenants together; `None`: the leader has set no total, and only caps apply.
+    /// Highest number of permits of all tenants together; `None`: no limit besides the caps.
     pub total: Option<u32>,
-    /// Time from which only the guaranteed minimums apply, by the process's clock; `None`: no expiry. A
-    /// process that resumes after a pause compares this with the time before it admits any call.
+    /// Time, by the process's clock, from which on only the guaranteed minimums are valid; `None`: the
+    /// allowance does not expire. The admission controller checks it with every call, so that a process that
+    /// was paused uses no expired grant.
     pub expires_at: Option<Micros>,
 }
 
 impl Allowance {
-    /// Returns the permits of a tenant at `now`; `None`: no cap, or an unknown tenant.
+    /// Returns the highest number of permits of a tenant at the time `now`; `None`: no cap, or an unknown
+    /// tenant.
     pub fn cap(&self, now: Micros, tenant: usize) -> Option<u32> {
         let allowance = self.tenants.get(tenant)?;
         if self.is_valid(now) {
@@ -39,7 +42,8 @@
         }
     }
 
-    /// Returns the permits of all tenants together at `now`; `None`: no total applies.
+    /// Returns the highest number of permits of all tenants together at the time `now`; `None`: no limit
+    /// besides the caps.
     pub fn total(&self, now: Micros) -> Option<u32> {
         self.total.filter(|_| self.is_valid(now))
     }
--- a/quota/src/application.rs
+++ b/quota/src/application.rs
@@ -1,4 +1,4 @@
-//! The application of the lease protocol that grants quotas.
+//! Quotas as an application of the lease protocol, which carries their reports and grants.
 
 use crate::allowance::Allowance;
 use crate::capacity::HostCapacity;
@@ -12,18 +12,19 @@
     Micros, Name, NoCommand, Presence, Process, ReceivedGrant, ReceivedReport,
 };
 
-/// Protocol state machine of one process.
+/// Protocol state machine of one process, with quotas as its application.
 pub type Machine = flaxhead_lease::Machine<QuotaApplication>;
-/// Message between two processes.
+/// Protocol message between two processes, with reports and grants of quotas.
 pub type Message = flaxhead_lease::Message<QuotaApplication>;
-/// Instruction to the driver of the state machine.
+/// Action that the state machine requests, such as sending a message.
 pub type Effect = flaxhead_lease::Effect<QuotaApplication>;
-/// Time, facts and randomness passed to the state machine with every event.
+/// Input to the state machine besides the event itself: time, facts and randomness.
 pub type Context<'a> = flaxhead_lease::Context<'a, Vec<HostCapacity>>;
-/// Facts from outside the protocol: members, and the capacity of the hosts.
+/// Facts that the process learns outside the protocol: the members of the fleet, and the capacity of each
+/// host.
 pub type Facts = flaxhead_lease::Facts<Vec<HostCapacity>>;
 
-/// Quotas of one process, as an application of the lease protocol.
+/// Quota state of one process, and the callbacks of the lease protocol that change it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct QuotaApplication {
     local: LocalQuota,
@@ -33,14 +34,15 @@
 }
 
 impl QuotaApplication {
-    /// Creates the state of a process that starts at `now` without any grant.
+    /// Creates the state of a process that starts at `now` and has no grant.
     pub fn new(now: Micros, registry: TenantRegistry, timing: QuotaTiming) -> QuotaApplication {
         let local = LocalQuota::new(now, registry, timing.clone());
         QuotaApplication { local, timing, usage: Usage::default(), wants_early_renewal: false }
     }
 
-    /// Returns the timing of the lease. `operator_timeout` is 0 because the ledger of a leader without state
-    /// collects reports for as long as earlier grants may be valid.
+    /// Returns the time spans of the lease protocol. No process waits for operators after the state of all
+    /// voters is lost (`operator_timeout` is 0), because a new leader only renews the permits that processes
+    /// report until all earlier grants have expired.
     pub fn config(timing: &QuotaTiming) -> Config {
         Config {
             lease_duration: timing.lease,
@@ -51,8 +53,8 @@
         }
     }
 
-    /// Sets the calls in flight at `now`. Peaks and counts in `usage` cover the time since the previous call
-    /// of this function, and accumulate until the next report.
+    /// Sets the calls at the process at `now`. The peaks and counts of `usage` cover the time since the
+    /// previous call of this function; they are combined until the next report is sent.
     pub fn set_usage(&mut self, now: Micros, usage: Usage) {
         let before = std::mem::replace(&mut self.usage, usage);
         for (tenant, before) in self.usage.tenants.iter_mut().zip(&before.tenants) {
@@ -64,8 +66,8 @@
         self.wants_early_renewal = now >= self.next_report_at();
     }
 
-    /// Time at which the next report should be sent. [`QuotaApplication::set_usage`] has to be called then,
-    /// and whenever calls start to queue.
+    /// Returns when the next report is due. [`QuotaApplication::set_usage`] has to be called at that time,
+    /// and whenever a call is queued.
     pub fn next_report_at(&self) -> Micros {
         self.local.next_report_at(&self.usage)
     }
@@ -75,8 +77,8 @@
         self.local.allowance(now)
     }
 
-    /// Time at which [`QuotaApplication::allowance`] next changes unless a grant arrives first; `None`:
-    /// never.
+    /// Returns when [`QuotaApplication::allowance`] next changes if no grant arrives before; `None`: it does
+    /// not change.
     pub fn next_change(&self, now: Micros) -> Option<Micros> {
         self.local.next_change(now)
     }
@@ -86,7 +88,7 @@
         self.local.slot()
     }
 
-    /// Returns the version of the newest grant received; `None`: none since the start.
+    /// Returns the newest grant or leader's ballot that the process knows; `None`: no leader is known.
     pub fn grant_version(&self) -> Option<&GrantVersion> {
         self.local.grant_version()
     }
@@ -103,7 +105,7 @@
     type Event = String;
 
     const MAX_STATE_BYTES: usize = 0;
-    // Sufficient for the maximum number of tenants, with their names where configurations differ.
+    // Enough for the highest number of tenants, with their names if configurations differ.
     const MAX_REPORT_BYTES: usize = 1 << 15;
     const MAX_GRANT_BYTES: usize = 1 << 13;
     const MAX_COMMAND_BYTES: usize = 0;
--- a/quota/src/capacity.rs
+++ b/quota/src/capacity.rs
@@ -1,8 +1,8 @@
-//! Capacity of the hosts, in calls in flight.
+//! Capacity of all hosts together, as a number of calls in flight.
 //!
-//! By configuration, each ready host whose calls do not fail carries `calls_per_host`, scaled by its size and
-//! warm-up. As the configured figure may be too high, the capacity is lowered by a learned ratio, which
-//! follows the share of attempts that hosts rejected for being full, over all processes. Source: additive
+//! A host that is ready and answers calls carries `calls_per_host` calls, scaled by its size and by the
+//! progress of its warm-up. Because the configured figure can be too high, the sum is multiplied by a learned
+//! ratio. The ratio falls if hosts reject many attempts for being full, and rises otherwise. Source: additive
 //! increase, multiplicative decrease (Chiu and Jain, Computer Networks and ISDN Systems 17, 1989).
 
 use crate::registry::TenantRegistry;
@@ -10,33 +10,36 @@
 
 const FULL_PER_MILLE: u32 = 1_000;
 const MIN_RATIO_PER_MILLE: u32 = FULL_PER_MILLE / 4;
-/// Increase of the ratio after a window in which hosts rejected few attempts.
+/// Amount by which the ratio rises after a window without many rejected attempts.
 const INCREASE_PER_MILLE: u32 = 10;
-/// Divisor of the ratio's decrease after a window in which hosts rejected many attempts.
+/// Divisor for the decrease: the ratio falls by this fraction of itself after a window with many rejected
+/// attempts.
 const DECREASE_DIVISOR: u32 = 8;
-/// Hosts rejected many attempts if they rejected more than one in this number.
+/// Number of attempts of which one may be rejected; more rejected attempts lower the ratio.
 const ATTEMPTS_PER_TOLERATED_REJECTION: u64 = 50;
-/// Attempts in a window below which rejections do not lower the ratio.
+/// Number of attempts in a window below which rejected attempts do not lower the ratio.
 const MIN_ATTEMPT_COUNT: u64 = 20;
-/// Duration of a window of reports.
+/// Time over which attempts are counted before the ratio changes.
 const REPORT_WINDOW: Micros = 1_000_000;
-/// Product of the scales of size, warm-up and ratio, in thousandths, and of the margin, in percent.
+/// Divisor for the units of the factors: size, warm-up and ratio are in thousandths, and the margin is in
+/// percent.
 const CAPACITY_SCALE: u128 = 1_000 * 1_000 * 1_000 * 100;
 
-/// Capacity of a host by its discovery entry and the results of the leader's calls to it.
+/// State of one host that determines how many calls it carries.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct HostCapacity {
     /// Whether discovery lists the host as ready.
     pub ready: bool,
-    /// Whether calls to the host fail.
+    /// Whether the leader's own calls to the host fail.
     pub failing: bool,
-    /// Progress of the warm-up, in thousandths.
+    /// Progress of the host's warm-up, in thousandths; 1000: fully warmed up.
     pub warmth: u32,
-    /// Size relative to the other hosts, in thousandths.
+    /// Size of the host in thousandths; a host of size 1000 carries `calls_per_host` calls.
     pub size: u32,
 }
 
-/// Ratio between learned and configured capacity.
+/// Learned ratio between the calls that hosts accept and the calls that the configuration expects, 250 to
+/// 1000 thousandths.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LearnedCapacity {
     ratio_per_mille: u32,
@@ -46,18 +49,18 @@
 }
 
 impl LearnedCapacity {
-    /// Creates a ratio of 1, with a window that begins at `now`.
+    /// Starts with a ratio of 1, and with a window that begins at `now`.
     pub fn new(now: Micros) -> LearnedCapacity {
         LearnedCapacity { ratio_per_mille: FULL_PER_MILLE, window_started_at: now, attempts: 0, rejected: 0 }
     }
 
-    /// Returns the learned part of the configured capacity, in thousandths.
+    /// Returns the learned ratio in thousandths.
     pub fn ratio_per_mille(&self) -> u32 {
         self.ratio_per_mille
     }
 
-    /// Records the attempts that ended at a process, and how many of them hosts rejected. Adjusts the ratio
-    /// once per window.
+    /// Counts attempts that ended, and those of them that hosts rejected. Adjusts the ratio if the window is
+    /// over.
     pub fn record(&mut self, now: Micros, attempts: u32, rejected: u32) {
         self.attempts += u64::from(attempts);
         self.rejected += u64::from(rejected.min(attempts));
@@ -75,8 +78,8 @@
     }
 }
 
-/// Returns the calls that all hosts carry at a time; `None`: fair shares are off, or no host is known.
-/// `learned_per_mille` is [`LearnedCapacity::ratio_per_mille`].
+/// Returns the number of calls that all `hosts` together carry, at least 1; `None`: `calls_per_host` is 0, or
+/// there is no host. `learned_per_mille` is [`LearnedCapacity::ratio_per_mille`].
 pub fn fleet_capacity<'a>(
     registry: &TenantRegistry,
     hosts: impl IntoIterator<Item = &'a HostCapacity>,
--- a/quota/src/capacity/tests.rs
+++ b/quota/src/capacity/tests.rs
@@ -17,7 +17,7 @@
         host(9_000, 1_000, false, false),
         host(9_000, 1_000, true, true),
     ];
-    // 16 calls less a margin of a tenth.
+    // The usable hosts carry 8 + 8 = 16 calls, less the margin of 10%.
     assert_eq!(fleet_capacity(&registry, &hosts, 1_000), Some(14));
     assert_eq!(fleet_capacity(&registry, &hosts, 500), Some(7));
     assert_eq!(fleet_capacity(&registry, &hosts[2..], 1_000), Some(1));
@@ -37,7 +37,7 @@
         learned.record(second * REPORT_WINDOW, 100, 0);
     }
     assert_eq!(learned.ratio_per_mille(), FULL_PER_MILLE);
-    // Too few attempts to change the ratio.
+    // Too few attempts in the window to lower the ratio.
     learned.record(300 * REPORT_WINDOW, MIN_ATTEMPT_COUNT as u32 - 1, MIN_ATTEMPT_COUNT as u32 - 1);
     assert_eq!(learned.ratio_per_mille(), FULL_PER_MILLE);
 }
--- a/quota/src/ledger/effective_config.rs
+++ b/quota/src/ledger/effective_config.rs
@@ -1,33 +1,38 @@
-//! Configuration in effect where processes have different ones: the lowest cap and guaranteed minimum of each
-//! tenant.
+//! Limits that the leader enforces if processes are configured differently, as during a rollout of a new
+//! configuration: the lowest cap and guaranteed minimum of each tenant.
 
 use crate::registry::{Tenant, TenantRegistry};
 use crate::report::{LoweredMinimum, ReportedConfig};
 
-/// Cap in effect of a tenant of the leader's registry.
+/// Limits that the leader enforces for one tenant of its registry: the lowest ones that any process has
+/// configured.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct EffectiveCap {
-    /// Lowest cap of all configurations; `None`: no configuration has one.
+    /// Lowest configured cap; `None`: no process has configured a cap for the tenant.
     cap: Option<u32>,
-    /// Lowest guaranteed minimum of all configurations that cap the tenant; `u32::MAX` if none does.
+    /// Lowest configured guaranteed minimum, from the processes that cap the tenant; `u32::MAX`: no process
+    /// does.
     guaranteed: u32,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct EffectiveConfig {
     caps: Vec<EffectiveCap>,
-    /// Highest and lowest number of processes in any configuration.
+    /// Highest and lowest [`ReportedConfig::max_proxies`] of all processes. The highest sets how many
+    /// minimums are kept out of the pool, the lowest how many slots there are.
     most_proxies: u32,
     fewest_proxies: u32,
 }
 
 impl EffectiveConfig {
-    /// Returns the leader's configuration, before any process has reported another one.
+    /// Returns the limits of the leader's own configuration, for the time before any process has reported
+    /// another one.
     pub fn new(registry: &TenantRegistry) -> EffectiveConfig {
         EffectiveConfig::combine(registry, [])
     }
 
-    /// Combines the leader's configuration with the differing ones of processes.
+    /// Returns the lowest limits of the leader's `registry` and of `others`, the differing configurations
+    /// that processes have reported.
     pub fn combine<'a>(
         registry: &TenantRegistry,
         others: impl IntoIterator<Item = &'a ReportedConfig>,
@@ -57,30 +62,32 @@
         }
     }
 
-    /// Returns the number of processes that may have a slot.
+    /// Returns the number of processes that may use their guaranteed minimums, which is the lowest configured
+    /// number of processes.
     pub fn slots(&self) -> usize {
         self.fewest_proxies as usize
     }
 
-    /// Returns the cap of a tenant; `None`: no cap.
+    /// Returns the lowest configured cap of a tenant of the leader's registry; `None`: no cap.
     pub fn cap(&self, tenant: usize) -> Option<u32> {
         self.caps.get(tenant)?.cap
     }
 
-    /// Permits of a tenant that are guaranteed to each process; 0 without a cap, as permits are not counted
-    /// there.
+    /// Returns the permits of a tenant that each process with a slot may use without a grant; 0 for a tenant
+    /// without a cap, whose permits are not counted.
     pub fn guaranteed(&self, tenant: usize) -> u32 {
         self.caps.get(tenant).filter(|cap| cap.cap.is_some()).map_or(0, |cap| cap.guaranteed)
     }
 
-    /// Permits of a cap beyond the guaranteed minimums of all processes; `None`: no cap.
+    /// Returns the permits of a cap that can be granted, after the guaranteed minimums of all processes are
+    /// set aside; `None`: no cap.
     pub fn pool(&self, tenant: usize) -> Option<u32> {
         let guaranteed = self.guaranteed(tenant).saturating_mul(self.most_proxies);
         Some(self.cap(tenant)?.saturating_sub(guaranteed))
     }
 
-    /// Returns the guaranteed minimums that are lower than in a process's own configuration, in the process's
-    /// order of tenants.
+    /// Returns the enforced minimums that are lower than the ones that a process has configured, in that
+    /// process's order of tenants. `other` is the process's configuration; `None`: the same as the leader's.
     pub fn lowered(&self, registry: &TenantRegistry, other: Option<&ReportedConfig>) -> Vec<LoweredMinimum> {
         let process_tenants = other.map_or(&registry.tenants, |other| &other.tenants);
         let lowered = |(index, tenant): (usize, &Tenant)| {
--- a/quota/src/ledger/mod.rs
+++ b/quota/src/ledger/mod.rs
@@ -1,4 +1,4 @@
-//! The leader's record of which permits each process may use, from which it computes grants.
+//! The leader's record of the permits that each process may use, from which it computes grants.
 
 mod effective_config;
 mod process_entry;
@@ -17,41 +17,43 @@
 
 const MICROS_PER_MILLI: Micros = 1_000;
 
-/// Permits that a leader has granted or may grant. It exists only while the lease is held: the next leader
-/// rebuilds it from the reports of the processes. All times are by the leader's clock.
+/// Permits that a leader has granted to each process, and may still grant. A ledger exists only while its
+/// process is the leader: the next leader builds a new one from the reports of all processes. All times are
+/// by the leader's clock.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct QuotaLedger {
     registry: TenantRegistry,
     timing: QuotaTiming,
     ballot: Ballot,
     started_at: Micros,
-    /// Processes that may hold permits and have not reported them under this ballot; `None`: unknown which
-    /// processes those are.
+    /// Processes that may hold permits of an earlier leader, and have not yet reported them to this one;
+    /// `None`: no list of these processes is known.
     awaited: Option<BTreeSet<Process>>,
     entries: BTreeMap<Process, ProcessEntry>,
-    /// Processes that run or may run, by membership.
+    /// Processes that run or may run by the membership, whether or not they have reported.
     members: BTreeSet<Process>,
     effective: EffectiveConfig,
     learned: LearnedCapacity,
-    /// Calls that the hosts carry at a time; `None`: not configured, or unknown.
+    /// Number of calls that all hosts can have in flight; `None`: `calls_per_host` is not configured, or no
+    /// host is known.
     capacity: Option<u32>,
     targets: Targets,
 }
 
-/// Permits and calls of one tenant at one process.
+/// Permits and calls of one tenant at one process, for the status view.
 pub(crate) struct ProcessUsage<'a> {
     pub process: &'a Process,
-    /// Guaranteed minimum, in permits.
+    /// Guaranteed minimum in permits; 0 without a slot.
     pub guaranteed: u32,
-    /// Permits granted beyond the guaranteed minimum, or in flight beyond it if that is more.
+    /// Permits granted beyond the guaranteed minimum, or calls in flight beyond it if there are more of them.
     pub granted: u32,
-    /// Calls by the last report.
+    /// Calls of the tenant by the process's last report.
     pub usage: TenantUsage,
 }
 
 impl QuotaLedger {
-    /// Creates the ledger of a process that becomes the leader. `roster` lists processes that may hold grants
-    /// of an earlier leader; `is_roster_complete` tells that no others do.
+    /// Creates the ledger of a process that becomes the leader. `roster` lists the processes that may hold
+    /// grants of an earlier leader; `is_roster_complete` tells that no process outside this list does.
     pub fn new<'a>(
         now: Micros,
         registry: TenantRegistry,
@@ -76,21 +78,22 @@
         }
     }
 
-    /// Returns the ballot of the leader.
+    /// Returns the ballot under which this ledger issues grants.
     pub fn ballot(&self) -> &Ballot {
         &self.ballot
     }
 
-    /// Time until which the leader only confirms the permits that processes report; `None`: the permits of
-    /// all processes are known, or earlier grants have expired.
+    /// Returns the time until which the leader only renews the permits that processes report, because permits
+    /// of other processes are still unknown; `None`: all permits are known, or all grants of earlier leaders
+    /// have expired.
     pub fn learning_until(&self, now: Micros) -> Option<Micros> {
         let until = self.started_at + self.timing.max_grant_lifetime();
         let have_all_reported = self.awaited.as_ref().is_some_and(BTreeSet::is_empty);
         (now < until && !have_all_reported).then_some(until)
     }
 
-    /// Records the report that a process sent at `sent_at` by its own clock. Ignores reports older than the
-    /// last one, and those of processes with a grant of a later leader.
+    /// Records a report that the process sent at `sent_at` by its own clock. Ignores a report sent before the
+    /// last recorded one, and one of a process that already has a grant of a later leader.
     pub fn record_report(&mut self, now: Micros, process: &Process, sent_at: Micros, report: QuotaReport) {
         let entry = self.entries.entry(process.clone()).or_default();
         let grant_version = report.grant_version.clone();
@@ -116,7 +119,7 @@
         self.targets.is_stale = true;
     }
 
-    /// Removes a process that has ended.
+    /// Removes a process that has ended, so that its permits can be granted to other processes.
     pub fn remove_process(&mut self, process: &Process) {
         if let Some(awaited) = &mut self.awaited {
             awaited.remove(process);
@@ -132,7 +135,7 @@
         self.effective = EffectiveConfig::combine(&self.registry, others);
     }
 
-    /// Updates the capacity from the state of the hosts.
+    /// Updates the capacity, of which tenants get fair shares, from the state of all hosts.
     pub fn set_hosts<'a>(&mut self, hosts: impl IntoIterator<Item = &'a HostCapacity>) {
         let capacity = fleet_capacity(&self.registry, hosts, self.learned.ratio_per_mille());
         if self.capacity != capacity {
@@ -141,8 +144,8 @@
         }
     }
 
-    /// Issues the grant that a process gets with the renewal of its lease. The ledger counts its permits as
-    /// in use from now on.
+    /// Issues the grant that is sent to a process with the renewal of its lease. From now on the permits of
+    /// this grant count as in use.
     pub fn grant(&mut self, now: Micros, process: &Process) -> QuotaGrant {
         self.entries.entry(process.clone()).or_default();
         self.allocate(now);
@@ -181,7 +184,8 @@
         }
     }
 
-    /// Permits of a tenant that a process can be granted while all other processes use theirs.
+    /// Returns the permits of a tenant that can be granted to `process` if all other processes use every
+    /// permit that they may use.
     fn available(&self, now: Micros, tenant: usize, process: &Process) -> u32 {
         let others = self.entries.iter().filter(|(other, _)| *other != process);
         let used = others.map(|(_, entry)| u64::from(self.max_permits(now, tenant, entry))).sum::<u64>();
@@ -189,8 +193,8 @@
         u32::try_from(pool.saturating_sub(used)).unwrap_or(u32::MAX)
     }
 
-    /// Maximum number of permits of a tenant that a process may use or has in flight beyond its guaranteed
-    /// minimum.
+    /// Returns the highest number of permits of a tenant that a process may use or has in flight, beyond its
+    /// guaranteed minimum.
     fn max_permits(&self, now: Micros, tenant: usize, entry: &ProcessEntry) -> u32 {
         let has_minimum = entry.reported_slot == Slot::Assigned;
         let guaranteed = if has_minimum { self.effective.guaranteed(tenant) } else { 0 };
@@ -198,7 +202,7 @@
     }
 }
 
-// Accessors for the status view.
+// Accessors for the status that `view.rs` shows to operators.
 impl QuotaLedger {
     pub(crate) fn tenants(&self) -> &[Tenant] {
         &self.registry.tenants
@@ -216,7 +220,7 @@
         self.capacity.and_then(|_| self.targets.fair_shares.get(tenant).copied())
     }
 
-    /// Returns the permits and calls of a tenant at each process.
+    /// Returns the permits and calls of a tenant at each known process.
     pub(crate) fn usages(&self, now: Micros, tenant: usize) -> impl Iterator<Item = ProcessUsage<'_>> {
         self.entries.iter().map(move |(process, entry)| ProcessUsage {
             process,
@@ -226,7 +230,7 @@
         })
     }
 
-    /// Returns the processes that have not reported for the duration of a lease.
+    /// Returns the names of the processes that have not reported for the duration of a lease.
     pub(crate) fn silent(&self, now: Micros) -> Vec<String> {
         let is_silent =
             |entry: &ProcessEntry| entry.last_report_at.is_none_or(|at| now >= at + self.timing.lease);
@@ -234,7 +238,7 @@
         silent.map(|(process, _)| process.name.to_string()).collect()
     }
 
-    /// Returns the processes whose configuration differs from the leader's.
+    /// Returns the names of the processes whose configuration differs from the leader's.
     pub(crate) fn with_other_config(&self) -> Vec<String> {
         let others = self.entries.iter().filter(|(_, entry)| entry.config.is_some());
         others.map(|(process, _)| process.name.to_string()).collect()
--- a/quota/src/ledger/process_entry.rs
+++ b/quota/src/ledger/process_entry.rs
@@ -1,4 +1,4 @@
-//! The leader's record of one process.
+//! The leader's record of one process: its last report, and the grants that it has not confirmed yet.
 
 use crate::registry::TenantRegistry;
 use crate::report::{GrantVersion, QuotaReport, ReportedConfig, Slot, TenantUsage};
@@ -6,66 +6,67 @@
 use flaxhead_lease::{Ballot, Micros};
 use std::collections::VecDeque;
 
-/// Maximum number of unconfirmed grants. At this number, the last grant is repeated until the process
-/// confirms one.
+/// Number of unconfirmed grants at which the leader repeats the last one, until the process confirms a grant.
 const MAX_UNCONFIRMED_COUNT: usize = 8;
-/// Maximum number of tenants in a reported configuration.
+/// Number of tenants above which a reported configuration is ignored.
 const MAX_TENANT_COUNT: usize = 256;
 
-/// Grant that has been sent, and whose permits may be in use.
+/// Grant that has been sent to the process, which may use its permits from then on.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct IssuedGrant {
     seq: u64,
     permits: Vec<u32>,
-    /// Time by which the grant has expired even by a slow clock of the process, by the leader's clock.
+    /// Time by which the grant has expired even if the process's clock is slow, by the leader's clock.
     expires_at: Micros,
 }
 
-/// Position of a report among the reports of its process.
+/// Order of the reports of one process: by the time of sending, then by the grant that the process had.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) struct ReportVersion {
-    /// Time at which the report was sent, by the process's clock.
+    /// Time at which the process sent the report, by the process's clock.
     pub sent_at: Micros,
-    /// Newest grant that the process had received.
+    /// Newest grant that the process had received when it sent the report.
     pub grant_version: Option<GrantVersion>,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct ProcessEntry {
     pub last_report: Option<ReportVersion>,
-    /// Time at which the last report arrived.
+    /// Time at which the last report arrived, by the leader's clock; `None`: no report has arrived.
     pub last_report_at: Option<Micros>,
-    /// Whether the process has reported its permits after it stopped applying grants of earlier leaders.
+    /// Whether the process has reported its permits to this leader, after which it ignores grants of earlier
+    /// leaders.
     pub has_reported_permits: bool,
-    /// Highest count of this leader's grants that the process has reported.
+    /// Highest [`GrantVersion::seq`] of this leader's grants that a report has confirmed.
     confirmed_seq: u64,
-    /// Permits reported as granted, and the latest time at which they expire.
+    /// Permits that the last report listed as granted, and the latest time at which that grant expires.
     reported_grant: Vec<u32>,
     reported_grant_expires_at: Micros,
     in_flight: Vec<u32>,
     unconfirmed: VecDeque<IssuedGrant>,
     pub reported_slot: Slot,
-    /// Whether the last grant assigned a slot.
+    /// Whether the last grant let the process use its guaranteed minimums.
     pub has_slot: bool,
-    /// Demand by tenant of the last report, and of the one before if both arrived within one coalescing
-    /// window.
+    /// Permits needed by tenant according to the last report, and to the one before if both count as one
+    /// report ([`QuotaTiming::coalescing_window`]).
     demand: Vec<u32>,
     coalesced_demand: Vec<u32>,
     pub usage: Vec<TenantUsage>,
-    /// Target for permits beyond the guaranteed minimums, and fair shares, by tenant.
+    /// Permits that the leader wants to grant beyond the guaranteed minimums, and the process's parts of the
+    /// fair shares, by tenant in the leader's order.
     pub target: Vec<u32>,
     pub fair_shares: Vec<u32>,
-    /// Configuration of the process if it differs from the leader's.
+    /// Configuration of the process; `None`: the same as the leader's.
     pub config: Option<ReportedConfig>,
-    /// For a differing configuration: index of each of its tenants in the leader's registry, if the leader
-    /// has the tenant.
+    /// Index in the leader's registry of each tenant of the process, in the process's order; `None` as a
+    /// whole: the configurations are the same; `None` for a tenant: the leader does not have it.
     tenant_indices: Option<Vec<Option<usize>>>,
     tenant_count: usize,
 }
 
 impl ProcessEntry {
-    /// Compares the process's configuration with the leader's. Returns whether the order of tenants in its
-    /// reports is known.
+    /// Finds out in which order the process reports its tenants. Returns `false` if the process has another
+    /// configuration that it has not reported yet.
     pub fn identify_config(&mut self, registry: &TenantRegistry, report: &QuotaReport) -> bool {
         self.tenant_count = registry.tenants.len();
         if report.digest == registry.digest {
@@ -79,7 +80,8 @@
         true
     }
 
-    /// Stores the process's configuration. Returns whether it has changed.
+    /// Stores the configuration of the process if it differs from the leader's. Returns whether the stored
+    /// one has changed.
     pub fn store_config(&mut self, report: &QuotaReport) -> bool {
         let config = match self.tenant_indices {
             None => None,
@@ -104,7 +106,7 @@
         leader_values
     }
 
-    /// Reorders values by tenant from the leader's order to the process's.
+    /// Reorders values by tenant from the order of the leader's registry to that of the process.
     pub fn in_process_order(&self, leader_values: &[u32]) -> Vec<u32> {
         let Some(indices) = &self.tenant_indices else { return leader_values.to_vec() };
         let value =
@@ -112,7 +114,8 @@
         indices.iter().map(value).collect()
     }
 
-    /// Records a report. `is_config_known` tells that the order of its tenants is known.
+    /// Records a report. Its permits are only used if they were granted under `ballot` and if
+    /// `is_config_known`, that is, the order of its tenants is known.
     pub fn record(
         &mut self,
         now: Micros,
@@ -132,7 +135,8 @@
         let version = report.grant_version.filter(|version| version.ballot == *ballot && is_config_known);
         let Some(version) = version else { return };
         self.has_reported_permits = true;
-        // A process that has applied a grant ignores all earlier ones, so those need no tracking.
+        // The process ignores grants older than the one that it has reported, so their permits need no longer
+        // be counted.
         self.confirmed_seq = self.confirmed_seq.max(version.seq);
         self.unconfirmed.retain(|grant| grant.seq >= self.confirmed_seq);
         self.reported_grant = self.in_leader_order(&report.granted);
@@ -140,14 +144,15 @@
             now + QuotaTiming::with_max_drift(report.grant_left.min(timing.lease));
     }
 
-    /// Permits of a tenant that the process needs. Reports carry the peak since the previous one, so a short
-    /// lull between reports moves no permits.
+    /// Returns the permits of a tenant that the process needs. Reports carry the peak since the previous
+    /// report, so that a short drop in demand between two reports moves no permits.
     pub fn demand(&self, tenant: usize) -> u32 {
         let demands = [&self.demand, &self.coalesced_demand];
         demands.iter().filter_map(|demand| demand.get(tenant)).copied().max().unwrap_or(0)
     }
 
-    /// Permits that the process may use now: those of the last unconfirmed grant, or else the reported ones.
+    /// Returns the permits that the process may use now: those of the last unconfirmed grant, or those that
+    /// it has reported if all grants are confirmed.
     pub fn current_permits(&self, now: Micros) -> Vec<u32> {
         if let Some(last) = self.unconfirmed.back() {
             return last.permits.clone();
@@ -159,11 +164,10 @@
         }
     }
 
-    /// Maximum number of permits of a tenant that the process may use or has in flight beyond its
-    /// `guaranteed` minimum.
+    /// Returns the highest number of permits of a tenant that the process may use or has in flight, beyond
+    /// its `guaranteed` minimum. Counts unconfirmed grants, the reported grant and the reported calls.
     pub fn max_permits(&self, now: Micros, tenant: usize, guaranteed: u32, timing: &QuotaTiming) -> u32 {
-        // A call admitted just before its permit expired can be in flight for up to the maximum call duration
-        // after that.
+        // A call admitted just before its permit expired can stay in flight for the maximum call duration.
         let max_call_duration = QuotaTiming::with_max_drift(timing.max_call_duration);
         let counts_until = |moment: Micros| now < moment + max_call_duration;
         let tenant_permits = |permits: &[u32]| permits.get(tenant).copied().unwrap_or(0);
@@ -181,8 +185,8 @@
         issued.max(reported).max(in_flight)
     }
 
-    /// Records a grant and returns its count. Repeats the last grant if the permits are the same, or if too
-    /// many grants are unconfirmed.
+    /// Records a grant of `permits`, and returns its [`GrantVersion::seq`]. Extends the last grant instead if
+    /// that has the same permits, or if too many grants are unconfirmed.
     pub fn issue(&mut self, now: Micros, timing: &QuotaTiming, permits: Vec<u32>) -> u64 {
         let expires_at = now + QuotaTiming::with_max_drift(timing.lease);
         let is_full = self.unconfirmed.len() >= MAX_UNCONFIRMED_COUNT;
@@ -197,14 +201,14 @@
         seq
     }
 
-    /// Permits of the last grant.
+    /// Returns the permits of the last unconfirmed grant; empty: all grants are confirmed.
     pub fn issued(&self) -> &[u32] {
         self.unconfirmed.back().map_or(&[], |grant| &grant.permits)
     }
 }
 
-/// Demand by a report: the peak plus the rejected calls. Rejections add at most the peak and one, so that
-/// retries of rejected calls cannot inflate the demand quickly.
+/// Returns the permits that a report shows as needed: the peak of calls, plus the rejected ones. Rejected
+/// calls count as at most the peak and one, so that one report can at most double the demand and add one.
 fn demand_of(usage: &TenantUsage) -> u32 {
     let peak = usage.peak.max(usage.in_flight.saturating_add(usage.queued));
     peak.saturating_add(usage.rejected.min(peak.saturating_add(1)))
--- a/quota/src/ledger/slots.rs
+++ b/quota/src/ledger/slots.rs
@@ -1,5 +1,4 @@
-//! Assignment of the slots that give the right to guaranteed minimums, if there are more processes than
-//! slots.
+//! Assignment of slots: with more processes than `max_proxies`, only some may use their guaranteed minimums.
 
 use super::process_entry::ProcessEntry;
 use super::QuotaLedger;
@@ -9,15 +8,15 @@
 use std::net::SocketAddr;
 
 impl QuotaLedger {
-    /// Sets the processes that run or may run, by membership.
+    /// Sets the processes that run or may run by the membership.
     pub fn set_members(&mut self, members: impl IntoIterator<Item = Process>) {
         self.members = members.into_iter().collect();
     }
 
-    /// Returns whether a process gets a slot. A process keeps its slot; if more report one than exist, as
-    /// after a period without a leader, the first by name keep theirs. Processes on the roster or in the
-    /// membership that have not reported count as having one. Processes with the same address share one,
-    /// since at most one of them still runs.
+    /// Returns whether `process` gets a slot. A process that has a slot keeps it. If more processes report a
+    /// slot than there are slots, as can happen after a time without a leader, the first ones by name keep
+    /// theirs. Processes on the roster or in the membership that have not reported count as having a slot.
+    /// Processes with the same address count as one, because at most one of them still runs.
     pub(super) fn assigns_slot(&self, process: &Process) -> bool {
         let has_slot = |entry: &ProcessEntry| entry.reported_slot == Slot::Assigned || entry.has_slot;
         let others = self
@@ -44,7 +43,7 @@
         self.entries.get(process).is_some_and(|entry| entry.last_report_at.is_some())
     }
 
-    /// Returns the names of the processes without a slot.
+    /// Returns the names of the processes that may not use their guaranteed minimums.
     pub fn processes_without_slot(&self) -> Vec<&Name> {
         let is_without = |entry: &ProcessEntry| entry.last_report_at.is_some() && !entry.has_slot;
         let without = self.entries.iter().filter(|(_, entry)| is_without(entry));
--- a/quota/src/ledger/targets.rs
+++ b/quota/src/ledger/targets.rs
@@ -1,4 +1,5 @@
-//! Target allocation of the leader: capacity among tenants, then each tenant's permits among processes.
+//! The allocation that grants are moved towards: the hosts' capacity is divided among tenants, and the
+//! permits of each tenant among processes.
 
 use super::process_entry::ProcessEntry;
 use super::QuotaLedger;
@@ -6,22 +7,25 @@
 use flaxhead_lease::{Micros, Process};
 use std::collections::BTreeMap;
 
-/// Maximum number of allocations per lease.
+/// Number of times per lease that permits are reallocated if every report changes the demand; bounds the
+/// leader's CPU usage.
 const MAX_ALLOCATIONS_PER_LEASE: Micros = 256;
-/// Minimum number of allocations per lease, to reclaim the permits of processes that have stopped reporting.
+/// Number of times per lease that permits are reallocated without any report, to reclaim those of processes
+/// that have stopped reporting.
 const MIN_ALLOCATIONS_PER_LEASE: Micros = 4;
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct Targets {
-    /// Whether the inputs have changed since the last allocation.
+    /// Whether a report, a change of capacity or the end of a process requires a new allocation.
     pub is_stale: bool,
     allocated_at: Option<Micros>,
-    /// Fair share of the hosts' capacity by tenant, in permits.
+    /// Fair share of each tenant in the hosts' capacity, in permits.
     pub fair_shares: Vec<u32>,
 }
 
 impl QuotaLedger {
-    /// Recomputes the targets if inputs have changed, or if a process may have become silent since.
+    /// Reallocates all permits if reports or the capacity have changed, or if a process may have stopped
+    /// reporting, at a limited rate.
     pub(super) fn allocate(&mut self, now: Micros) {
         let per_lease =
             if self.targets.is_stale { MAX_ALLOCATIONS_PER_LEASE } else { MIN_ALLOCATIONS_PER_LEASE };
@@ -47,8 +51,8 @@
         self.allocate_capacity(&active);
     }
 
-    /// Returns the processes that take part in the allocation, in ascending order: those that have reported
-    /// their permits and are not silent.
+    /// Returns the processes that permits are allocated to, in ascending order: those that have reported
+    /// their permits to this leader, and have sent a report within the last lease duration.
     fn active_processes(&self, now: Micros) -> Vec<Process> {
         let lease = self.timing.lease;
         let is_active = |entry: &ProcessEntry| {
@@ -58,8 +62,8 @@
         active.map(|(process, _)| process.clone()).collect()
     }
 
-    /// Allocates the permits of a capped tenant beyond the guaranteed minimums. Permits of silent processes
-    /// are excluded.
+    /// Allocates the permits of a capped tenant beyond the guaranteed minimums to the `active` processes.
+    /// Permits that other processes may still use are left out.
     fn allocate_pool(&mut self, now: Micros, tenant: usize, pool: u32, active: &[Process]) {
         let guaranteed = self.effective.guaranteed(tenant);
         let silent = self.entries.iter().filter(|(process, _)| active.binary_search(process).is_err());
@@ -82,7 +86,8 @@
         }
     }
 
-    /// Allocates the hosts' capacity by weight among tenants, then equally among the processes with demand.
+    /// Divides the hosts' capacity among tenants by weight, then the fair share of each tenant equally among
+    /// the `active` processes that need permits.
     fn allocate_capacity(&mut self, active: &[Process]) {
         let Some(capacity) = self.capacity else { return };
         let entries: BTreeMap<&Process, &ProcessEntry> =
@@ -112,7 +117,8 @@
         }
     }
 
-    /// Demand of a process, limited to what its cap lets it use, because calls above the cap occupy no host.
+    /// Returns the demand of a process for a tenant, up to the permits that the tenant's cap leaves to the
+    /// process. Calls above that are not admitted, so they need no capacity of hosts.
     fn usable_demand(&self, entry: &ProcessEntry, tenant: usize) -> u32 {
         let guaranteed = if entry.has_slot { self.effective.guaranteed(tenant) } else { 0 };
         let cap = self.effective.cap(tenant);
--- a/quota/src/lib.rs
+++ b/quota/src/lib.rs
@@ -1,14 +1,24 @@
 //! Distributes connection capacity among tenants across all client proxies, without I/O or a clock.
 //!
 //! A call occupies a connection to a host while it is in flight, so capacity is counted in calls in flight; a
-//! hedged request counts as another one. One call in flight takes one *permit*. A tenant may have a hard
-//! *cap* over the whole fleet. It also has a *fair share* of the capacity of the hosts, whose unused part is
-//! lent to other tenants.
+//! hedged request counts as another call. Terms of this package:
 //!
-//! Each process has a small guaranteed minimum of each cap that needs no agreement ([`TenantRegistry`]). The
-//! leader, which is the holder of the lease, grants the rest ([`QuotaLedger`]) for a period that the receiver
-//! counts from its request ([`LocalQuota`]). At any moment, the permits that all processes may use add up to
-//! at most the cap. `docs/design/shares.md` lists the guarantees and their limits.
+//! * permit: the right to have one call in flight.
+//! * process: a client proxy that takes part in the lease protocol. Some processes are voters; the voter that
+//!   holds the lease is the leader.
+//! * cap: hard limit on the permits of a tenant over all processes.
+//! * fair share: portion of the hosts' capacity that a tenant has by its weight, in permits. Permits of the
+//!   share that the tenant does not use are lent to other tenants. Each process gets a part of the share.
+//! * guaranteed minimum: permits of a cap that a process may use without a grant, provided that it has a
+//!   slot.
+//! * allocation: division of permits that the leader computes and moves towards ([`max_min`]).
+//! * grant: permits beyond the guaranteed minimum that the leader sends to a process for a limited time.
+//! * allowance: limits on a process's calls that follow from its minimums and its grant ([`Allowance`]).
+//!
+//! The configuration sets caps and minimums ([`TenantRegistry`]), the leader issues grants ([`QuotaLedger`]),
+//! and each process applies them ([`LocalQuota`]) and admits calls ([`admission`]). At any moment, the
+//! permits that all processes may use add up to at most the cap. `docs/design/shares.md` lists the guarantees
+//! and their limits.
 
 pub mod admission;
 mod allowance;
--- a/quota/src/local_quota.rs
+++ b/quota/src/local_quota.rs
@@ -1,4 +1,4 @@
-//! The grants of one process, and the allowance that follows from them.
+//! The grants that a process has received, and the limits on its calls that follow from them.
 
 use crate::allowance::{Allowance, TenantAllowance};
 use crate::registry::{Tenant, TenantRegistry};
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 
 const MICROS_PER_MILLI: Micros = 1_000;
-/// Report rate of a process that has not yet received an interval from a leader.
+/// Number of reports per lease that a process sends until a leader has sent a report interval.
 const INITIAL_REPORTS_PER_LEASE: Micros = 4;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -19,28 +19,28 @@
     expires_at: Micros,
 }
 
-/// Grants of one process. All times are by its own clock.
+/// Slot, grant and lowered minimums of one process. All times are by the process's clock.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LocalQuota {
     registry: TenantRegistry,
     timing: QuotaTiming,
     started_at: Micros,
     slot: Slot,
-    /// Newest grant received; older ones are ignored.
+    /// Newest grant or leader's ballot that the process knows; it ignores older grants.
     grant_version: Option<GrantVersion>,
     grant: Option<CurrentGrant>,
-    /// Guaranteed minimums lowered by the configuration of another process, by tenant index.
+    /// Guaranteed minimums that replace the configured ones, by tenant index ([`QuotaGrant::lowered`]).
     lowered: BTreeMap<usize, u32>,
-    /// Digest of the leader's configuration; `None`: unknown.
+    /// Digest of the leader's configuration; `None`: no grant received.
     leader_digest: Option<u64>,
     last_report_at: Micros,
     report_interval: Micros,
-    /// Whether the last report showed no queued and no rejected call.
+    /// Whether the last report showed neither queued nor rejected calls.
     was_satisfied: bool,
 }
 
 impl LocalQuota {
-    /// Creates the state of a process that has just started, without any grant.
+    /// Creates the state of a process that has just started and has no grant.
     pub fn new(now: Micros, registry: TenantRegistry, timing: QuotaTiming) -> LocalQuota {
         LocalQuota {
             report_interval: timing.lease / INITIAL_REPORTS_PER_LEASE,
@@ -62,17 +62,17 @@
         self.slot
     }
 
-    /// Returns the version of the newest grant received; `None`: none since the start.
+    /// Returns the newest grant or leader's ballot that the process knows; `None`: no leader is known.
     pub fn grant_version(&self) -> Option<&GrantVersion> {
         self.grant_version.as_ref()
     }
 
-    /// Returns the configured tenants.
+    /// Returns the configuration of the process.
     pub fn registry(&self) -> &TenantRegistry {
         &self.registry
     }
 
-    /// Builds the report for a lease renewal sent at `now`.
+    /// Builds the report that is sent with a lease renewal at `now`.
     pub fn report(&mut self, now: Micros, usage: Usage) -> QuotaReport {
         let grant = self.grant.as_ref().filter(|grant| now < grant.expires_at);
         let is_config_known = self.leader_digest == Some(self.registry.digest);
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Records the ballot of a leader, after which grants of lower ballots are ignored. The current grant
+    /// Records the ballot of a leader. Grants under lower ballots are ignored from then on; the current grant
     /// stays valid until it expires.
     pub fn observe_ballot(&mut self, ballot: &Ballot) {
         if self.grant_version.as_ref().is_none_or(|version| version.ballot < *ballot) {
@@ -99,8 +99,8 @@
         }
     }
 
-    /// Applies a grant that expires at `expires_at`. Returns `false` if a newer grant is known, and ignores
-    /// it.
+    /// Applies a grant that is valid until `expires_at`. Returns `false` and ignores the grant if the process
+    /// knows a newer one.
     pub fn apply_grant(&mut self, ballot: &Ballot, expires_at: Micros, grant: QuotaGrant) -> bool {
         let version = GrantVersion { ballot: ballot.clone(), seq: grant.seq };
         if self.grant_version.as_ref().is_some_and(|newest| version < *newest) {
@@ -117,7 +117,8 @@
         let previous = self.grant.take();
         let renewed = previous.as_ref().filter(|_| is_renewal);
         let expires_at = expires_at.max(renewed.map_or(0, |previous| previous.expires_at));
-        // A leader that is still collecting reports sends no fair shares, so the previous ones stay in use.
+        // A leader that does not know all processes yet sends no fair shares, so the previous ones stay in
+        // use.
         let (total, fair_shares) = match previous.filter(|_| !grant.is_complete) {
             Some(previous) => (previous.total, previous.fair_shares),
             None => (grant.total, grant.fair_shares),
@@ -136,15 +137,16 @@
         }
     }
 
-    /// Assigns a pending slot without a grant. It is used once all voters have lost their state, so that no
-    /// leader can tell whether there are more processes than slots.
+    /// Lets a process whose slot is pending use its guaranteed minimums. Called if all voters have lost their
+    /// state, because then no leader can count the processes.
     pub fn assume_slot(&mut self) {
         if self.slot == Slot::Pending {
             self.slot = Slot::Assigned;
         }
     }
 
-    /// Returns the limits on calls in flight that apply from `now` on.
+    /// Returns the limits on calls in flight that apply from `now` on. Assumes a slot if none was decided
+    /// before the autonomy timeout.
     pub fn allowance(&mut self, now: Micros) -> Allowance {
         if now >= self.autonomous_at() {
             self.assume_slot();
@@ -181,15 +183,17 @@
         }
     }
 
-    /// Time at which [`LocalQuota::allowance`] next changes unless a grant arrives first; `None`: never.
+    /// Returns when [`LocalQuota::allowance`] next changes if no grant arrives before; `None`: it does not
+    /// change.
     pub fn next_change(&self, now: Micros) -> Option<Micros> {
         let expiry = self.grant.as_ref().map(|grant| grant.expires_at).filter(|at| now < *at);
         let slot_assumed_at = (self.slot == Slot::Pending).then(|| self.autonomous_at());
         expiry.into_iter().chain(slot_assumed_at).min()
     }
 
-    /// Time from which a report should be sent ahead of the lease renewal: one report interval after the last
-    /// report, or half of one if calls have started to queue since then.
+    /// Returns the time from which on a report is due, even if the lease need not be renewed yet: one report
+    /// interval after the last report, or half an interval if calls have been queued or rejected since a
+    /// report without any.
     pub fn next_report_at(&self, usage: &Usage) -> Micros {
         let is_urgent = self.was_satisfied && has_unmet_demand(usage);
         let interval = if is_urgent { self.report_interval / 2 } else { self.report_interval };
@@ -201,7 +205,7 @@
     }
 }
 
-/// Returns whether any call is queued for a permit, or was rejected for lack of one.
+/// Returns whether any tenant has calls that are queued, or were rejected, for lack of a permit.
 fn has_unmet_demand(usage: &Usage) -> bool {
     usage.tenants.iter().any(|tenant| tenant.queued > 0 || tenant.rejected > 0)
 }
--- a/quota/src/max_min/mod.rs
+++ b/quota/src/max_min/mod.rs
@@ -1,4 +1,4 @@
-//! Weighted max-min fair allocation of permits.
+//! Weighted max-min fair allocation of permits to claimants, which are tenants or processes.
 
 mod progressive_filling;
 mod reallocation;
--- a/quota/src/max_min/progressive_filling.rs
+++ b/quota/src/max_min/progressive_filling.rs
@@ -1,57 +1,58 @@
-//! Weighted max-min fairness in whole permits.
+//! Weighted max-min fairness in whole permits, without regard to earlier allocations.
 //!
 //! Source: progressive filling, Bertsekas and Gallager, *Data Networks* (2nd edition, 1992), section 6.5.2.
 //! Permits left over by rounding go to the largest remainders, and to the lower index where these are equal.
 //! All arithmetic is exact, in integers.
 
-/// Demand of one claimant: a tenant or a process.
+/// Demand of one claimant, which is a tenant or a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Demand {
     /// Weight relative to the other claimants; 0 counts as 1.
     pub weight: u64,
-    /// Permits allocated to it before any claimant gets more than its minimum, if there are enough for all
-    /// minimums.
+    /// Permits that the claimant gets before any claimant gets more than its minimum, if there are enough
+    /// permits for all minimums.
     pub minimum: u32,
-    /// Permits that it can use; values below `minimum` count as `minimum`.
+    /// Permits that the claimant can use; a value below `minimum` counts as `minimum`.
     pub wanted: u32,
 }
 
 impl Demand {
-    /// Maximum number of permits to allocate to it.
+    /// Returns the number of permits above which the claimant gets none from its demand.
     pub(super) fn max(&self) -> u32 {
         self.wanted.max(self.minimum)
     }
 
-    /// Weight, at least 1.
+    /// Returns the weight, where 0 counts as 1.
     pub(super) fn effective_weight(&self) -> u128 {
         u128::from(self.weight.max(1))
     }
 }
 
-/// Permits left to be divided by weight alone, and the total weight of the claimants that share them.
+/// Permits that are still to be divided by weight, and the total weight of the claimants that get them.
 struct Remainder {
     permits: u64,
     weight: u128,
 }
 
-/// Allocates `total` permits by weighted max-min fairness. No claimant gets more than it wants. Apart from
-/// the minimums and from rounding to whole permits, no claimant has more permits per weight than another
-/// whose demand is not met. The permits add up to `total`, or to less if all demands are met.
+/// Allocates `total` permits to the claimants of `demands`, by weighted max-min fairness. No claimant gets
+/// more than it wants. Apart from minimums and rounding, no claimant gets more permits per weight than
+/// another one whose demand is not met. The result adds up to `total`, or to less if all demands are met.
 pub fn allocate_max_min(total: u32, demands: &[Demand]) -> Vec<u32> {
     let minimums: u64 = demands.iter().map(|demand| u64::from(demand.minimum)).sum();
     if minimums < u64::from(total) {
         return allocate_above_minimums(total, demands);
     }
-    // There are not enough permits for all minimums, so the minimums become the demands.
+    // With too few permits for all minimums, the minimums are the demands, and no claimant has a minimum.
     let minimums: Vec<Demand> =
         demands.iter().map(|demand| Demand { minimum: 0, wanted: demand.minimum, ..*demand }).collect();
     allocate_above_minimums(total, &minimums)
 }
 
-/// Raises all claimants to a common level of permits per weight. Claimants whose minimum exceeds their part
-/// at that level are fixed at the minimum first, because this lowers the level of the others.
+/// Raises all claimants to the same number of permits per weight, called the level. A claimant whose minimum
+/// is above the level gets its minimum, which lowers the level of the other claimants; therefore such
+/// claimants are determined first.
 fn allocate_above_minimums(total: u32, demands: &[Demand]) -> Vec<u32> {
-    // Claimants fixed at their minimum.
+    // True for claimants that get exactly their minimum.
     let mut is_fixed = vec![false; demands.len()];
     loop {
         let at_minimum = |(is_fixed, demand): (&bool, &Demand)| is_fixed.then_some(demand.minimum);
@@ -72,12 +73,12 @@
     }
 }
 
-/// Allocates the full demand to claimants that want less than the level gives them. Returns what is left for
-/// the others.
+/// Allocates their whole demand to the claimants that want less than the level gives them. Returns the
+/// permits and the weight that remain for the other claimants.
 fn satisfy_smallest_demands(permits: u64, demands: &[Demand], allocated: &mut [Option<u32>]) -> Remainder {
     let mut unallocated: Vec<usize> =
         (0..demands.len()).filter(|index| allocated[*index].is_none()).collect();
-    // Ascending order of demand per weight.
+    // In ascending order of demand per weight, compared without division.
     unallocated.sort_by(|a, b| {
         let (a, b) = (&demands[*a], &demands[*b]);
         let (a_level, b_level) =
@@ -99,7 +100,8 @@
     remainder
 }
 
-/// Divides the remainder by weight and rounds to whole permits by the largest remainder.
+/// Divides the remaining permits by weight among the claimants without an allocation. Permits left over by
+/// rounding down go to the largest remainders.
 #[expect(clippy::cast_possible_truncation, reason = "a share is at most the total, which is 32 bits")]
 fn divide_remainder(remainder: &Remainder, demands: &[Demand], allocated: &[Option<u32>]) -> Vec<u32> {
     let mut unassigned = remainder.permits;
@@ -112,12 +114,12 @@
         fractions.push((share % remainder.weight, index));
     }
     fractions.sort_by(|(a, first), (b, second)| b.cmp(a).then(first.cmp(second)));
-    // Rounding down leaves less than one permit per claimant.
+    // Rounding down leaves fewer permits than there are claimants in this division.
     fractions.iter().take(unassigned as usize).for_each(|(_, index)| permits[*index] += 1);
     permits
 }
 
-/// Divides `total` permits in proportion to the weights.
+/// Divides all `total` permits in proportion to `weights`.
 pub fn allocate_by_weight(total: u32, weights: &[u64]) -> Vec<u32> {
     let demand = |weight: &u64| Demand { weight: *weight, minimum: 0, wanted: u32::MAX };
     let demands: Vec<Demand> = weights.iter().map(demand).collect();
--- a/quota/src/max_min/reallocation.rs
+++ b/quota/src/max_min/reallocation.rs
@@ -1,23 +1,25 @@
-//! Reallocation with hysteresis: keeps the previous allocation while it is close enough to the fair one.
+//! Reallocation with hysteresis: a claimant keeps its previous permits if they are close enough to the fair
+//! allocation, so that small changes of demand move no permits.
 
 use super::progressive_filling::{allocate_by_weight, allocate_max_min, Demand};
 
-/// Allocates all `total` permits: the demands by [`allocate_max_min`], and unclaimed permits by weight, so
-/// that a claimant whose demand rises has spare permits at once. A claimant keeps its `previous` permits if
-/// they differ from its fair allocation by at most one, or, while there are unclaimed permits, if they cover
-/// its demand and half of its part of the unclaimed ones. Steady demand therefore moves no permit.
+/// Allocates all `total` permits. Demands are met by [`allocate_max_min`]; permits that no claimant wants are
+/// divided by weight, so that a claimant whose demand rises can use more permits at once. A claimant keeps
+/// its `previous` permits if they differ by at most one from the fair allocation. If there are permits that
+/// no claimant wants, it keeps them if they cover its demand and half of the unclaimed permits that it would
+/// get.
 pub fn reallocate(total: u32, demands: &[Demand], previous: &[u32]) -> Vec<u32> {
     Allocation::new(total, demands, allocate_max_min(total, demands)).keep_previous(previous)
 }
 
-/// Reallocates permits among tenants. If all permits are claimed and each tenant with a demand is short by at
-/// least two, a demand that changes by one moves no permit, so the exact allocation is used and lent permits
-/// return to their owners. This does not suit processes: their demands change by more than one, and permits
-/// that are being moved between processes cannot be used by either.
+/// Allocates like [`reallocate`], but without hysteresis if no permits are left and every tenant lacks at
+/// least two. In this case a demand that changes by one moves no permits anyway, and a permit that was lent
+/// has to return to its owner. Not used among processes: their demands change by more than one, and permits
+/// on the way from one process to another are not usable.
 pub fn reallocate_tenants(total: u32, demands: &[Demand], previous: &[u32]) -> Vec<u32> {
     let exact = allocate_max_min(total, demands);
     let had_permits = |index: usize| previous.get(index).copied().unwrap_or(0) > 0;
-    // A tenant is short if it lacks at least two permits, or if it has neither demand nor permits.
+    // A tenant lacks at least two permits, or takes no part: without demand and without previous permits.
     let is_short = |index: usize| match demands[index].max() {
         0 => !had_permits(index),
         max => exact[index] + 1 < max,
@@ -29,13 +31,13 @@
     Allocation::new(total, demands, exact).keep_previous(previous)
 }
 
-/// A fair allocation, with the tolerance within which previous allocations are kept.
+/// Fair allocation that previous permits are compared with.
 struct Allocation<'a> {
     total: u32,
     demands: &'a [Demand],
-    /// Allocation of the demands, without unclaimed permits.
+    /// Permits that each claimant gets by its demand, without a portion of the unclaimed permits.
     exact: Vec<u32>,
-    /// Permits that no demand claims, and that are lent.
+    /// Permits that no claimant wants, and that are lent by weight.
     unclaimed: u32,
     weight: u128,
 }
@@ -47,7 +49,8 @@
         Allocation { total, demands, exact, unclaimed, weight }
     }
 
-    /// Keeps previous allocations that are within the tolerance, then corrects the sum.
+    /// Lets each claimant keep its previous permits if they are within the tolerance, then adapts the sum to
+    /// the total.
     fn keep_previous(self, previous: &[u32]) -> Vec<u32> {
         let weights: Vec<u64> = self.demands.iter().map(|demand| demand.weight).collect();
         let lent = allocate_by_weight(self.unclaimed, &weights);
@@ -62,8 +65,8 @@
         permits
     }
 
-    /// Returns whether a claimant keeps `permits`. A claimant with a demand never keeps 0 permits, or fewer
-    /// than its minimum.
+    /// Returns whether the claimant may keep `permits` of the previous allocation. A claimant with a demand
+    /// must keep at least one permit, and no claimant less than its minimum.
     fn is_within_tolerance(&self, index: usize, permits: u32) -> bool {
         let exact = self.exact[index];
         if self.unclaimed == 0 {
@@ -76,16 +79,16 @@
         (exact + lent / 2..=upper_bound).contains(&permits)
     }
 
-    /// Unclaimed permits lent to a claimant, rounded down. Rounding by the largest remainder would change the
-    /// result of other claimants with every change of a demand.
+    /// Returns how many unclaimed permits are lent to the claimant, rounded down. Largest remainders are
+    /// ignored here, because they move between claimants with each change of a demand.
     #[expect(clippy::cast_possible_truncation, reason = "a part of the unclaimed permits, which are 32 bits")]
     fn lent(&self, index: usize) -> u32 {
         (u128::from(self.unclaimed) * self.demands[index].effective_weight() / self.weight) as u32
     }
 }
 
-/// Brings the sum of `permits` to `total`, which is the sum of the targets. Moves the claimants that are
-/// farthest from their targets, so that the remaining distances are as equal as possible.
+/// Changes the permits so that they add up to `total`, which is also the sum of `targets`. Claimants farthest
+/// from their targets change first, so that the distances that remain are as equal as possible.
 fn correct_sum(total: u32, permits: &mut [u32], targets: &[u32]) {
     let sum: u64 = permits.iter().map(|permits| u64::from(*permits)).sum();
     let is_above = sum >= u64::from(total);
--- a/quota/src/registry.rs
+++ b/quota/src/registry.rs
@@ -1,32 +1,36 @@
-//! Tenants, and the limits that the operators' configuration sets for them.
+//! Tenants with their weights and caps, from the settings of the service and the operators' configuration of
+//! quotas.
 
 use serde::{Deserialize, Serialize};
 use siphasher::sip::SipHasher13;
 use std::hash::{Hash, Hasher};
 
-/// Configuration name of the tenant for calls with no tenant or an unknown one.
+/// Name, in the operators' configuration, of the default tenant: it stands for calls without a tenant or with
+/// an unknown one.
 pub const DEFAULT_TENANT: &str = "others";
-/// Maximum number of tenants that fits into a report.
+/// Number of tenants that fits into a report, including the default tenant.
 const MAX_TENANT_COUNT: usize = 256;
 const MAX_NAME_BYTES: usize = 64;
-/// Weight of a tenant whose portion is 1.
+/// Weight of a tenant that has a portion of 1, which is the whole service.
 const WEIGHT_PER_PORTION: f64 = 1_000_000.0;
-/// Upper bound that keeps weights in the range of their type.
+/// Bound on a tenant's portion that prevents an overflow of its weight.
 const MAX_PORTION: f64 = 1e6;
 
-/// Quota configuration as written by the operators, before validation.
+/// Quota settings as written by the operators, not yet validated.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct QuotaConfig {
-    /// Maximum number of processes that run at a time. Each cap provides the guaranteed minimums for that
+    /// Highest number of processes that run at a time. Each cap has room for the guaranteed minimums of that
     /// many.
     pub max_proxies: u32,
-    /// Part of each cap that is guaranteed to processes, in percent, 1 to 100.
+    /// Percentage of each cap that is used for guaranteed minimums, 1 to 100.
     pub guaranteed_percent: u32,
-    /// Calls that a warmed-up host of size 1 carries at a time; 0 turns fair shares off.
+    /// Number of calls that a host of size 1 can have in flight when it is fully warmed up; 0: no fair shares
+    /// are calculated.
     pub calls_per_host: u32,
-    /// Part of the hosts' capacity that is kept free, in percent, 0 to 99.
+    /// Percentage of the hosts' capacity that is not distributed, 0 to 99.
     pub margin_percent: u32,
-    /// Lines of a tenant's name and its cap over the fleet, in calls, such as `banca-trinacria 40`.
+    /// Lines with the name of a tenant and its cap in permits over all processes, such as `banca-trinacria
+    /// 40`.
     pub caps: Vec<String>,
 }
 
@@ -42,62 +46,64 @@
     }
 }
 
-/// Reason for which a configuration is rejected.
+/// Reason why a quota configuration is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum QuotaConfigError {
     /// `max_proxies` is 0.
     #[error("proxies_most is 0; set it to the maximum number of client proxies that run at a time, including those of a rolling update")]
     NoProxies,
-    /// `guaranteed_percent` is not 1 to 100.
+    /// `guaranteed_percent` is not in the range of 1 to 100.
     #[error("own_percent is {0}; it must be 1 to 100")]
     GuaranteedPercent(u32),
-    /// `margin_percent` is 100 or more.
+    /// `margin_percent` is above 99.
     #[error("margin_percent is {0}; it must be 0 to 99")]
     MarginPercent(u32),
-    /// A line of `caps` is not a name and a number.
+    /// A line of `caps` does not consist of a name and a number.
     #[error("caps contains {0:?}; each entry must be a tenant's name and a number of calls, such as \"{DEFAULT_TENANT} 10\"")]
     InvalidCap(String),
-    /// A line of `caps` names a tenant that the settings do not have.
+    /// A line of `caps` names a tenant that the settings do not define.
     #[error("caps names {tenant:?}, which the settings do not define; the defined tenants are {known}, where \"{DEFAULT_TENANT}\" is all other calls")]
     UnknownTenant {
-        /// Name in the configuration.
+        /// Tenant name in the line.
         tenant: String,
-        /// Names that the settings have, separated by commas.
+        /// Tenant names that the settings define, separated by commas.
         known: String,
     },
-    /// `caps` names a tenant twice.
+    /// Two lines of `caps` name the same tenant.
     #[error("caps names {0:?} twice; remove one entry")]
     DuplicateCap(String),
-    /// The settings give two tenants the same name, or the name of the default tenant.
+    /// Two tenants of the settings have the same name, or one has the name of the default tenant.
     #[error(
         "the settings define the tenant {0:?} twice, or give it the reserved name \"{DEFAULT_TENANT}\"; names must be unique"
     )]
     AmbiguousTenant(String),
-    /// The tenants do not fit into a report.
+    /// The settings define too many tenants for a report, or a tenant with a name that is too long for one.
     #[error("the settings have more than {MAX_TENANT_COUNT} tenants including \"{DEFAULT_TENANT}\", or a tenant name over {MAX_NAME_BYTES} bytes; remove the [shares] section")]
     TooManyTenants,
-    /// A cap is lower than the number of processes, each of which needs a permit.
+    /// A cap is lower than the number of processes, so that not every process can have a minimum of one
+    /// permit.
     #[error("the cap of {tenant:?} is {cap}, but each of {proxies} proxies needs at least one permit; raise it, or lower proxies_most")]
     CapTooLow {
-        /// Tenant of the cap.
+        /// Tenant name in the line of `caps`.
         tenant: String,
-        /// Configured cap, in permits.
+        /// Cap in the line of `caps`, in permits.
         cap: u32,
-        /// Configured maximum number of processes.
+        /// Configured highest number of processes.
         proxies: u32,
     },
 }
 
-/// A tenant with its weight and limits.
+/// Tenant with its weight for fair shares, and its cap.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Tenant {
-    /// Tenant name, unique in the registry.
+    /// Name, which no other tenant of the registry has.
     pub name: String,
-    /// Weight relative to the other tenants, in millionths; at least 1.
+    /// Weight for fair shares in millionths of the service; at least 1.
     pub weight: u64,
-    /// Maximum number of permits over the fleet; `None`: no cap.
+    /// Highest number of permits over all processes; `None`: the tenant has no cap.
     pub cap: Option<u32>,
-    /// Permits of the cap that are guaranteed to each process; 0 without a cap.
+    /// Permits of the cap that each process with a slot may use without a grant; 0 for a tenant without a
+    /// cap.
     pub guaranteed: u32,
 }
 
@@ -107,11 +113,10 @@
     }
 }
 
-/// A validated quota configuration.
+/// Validated quota configuration of a process.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct TenantRegistry {
-    /// Tenants in the order of the settings. The last one, always present, is for calls with no tenant or an
-    /// unknown one.
+    /// Tenants in the order of the settings. The last one is the default tenant, which always exists.
     pub tenants: Vec<Tenant>,
     /// See [`QuotaConfig::max_proxies`].
     pub max_proxies: u32,
@@ -119,17 +124,17 @@
     pub calls_per_host: u32,
     /// See [`QuotaConfig::margin_percent`].
     pub margin_percent: u32,
-    /// Hash over all other fields, by which processes compare their configurations.
+    /// Hash of all other fields. Processes with the same digest have the same configuration.
     pub digest: u64,
 }
 
 impl TenantRegistry {
-    /// Validates a configuration against the tenants of the settings, given as pairs of name and portion of
-    /// the service.
+    /// Validates a configuration. `tenants` are the tenants of the settings: pairs of a name and the portion
+    /// of the service that the tenant is entitled to.
     ///
     /// # Errors
     ///
-    /// Returns the first problem found in the configuration or the tenants.
+    /// Returns the first problem that is found in the configuration or in the tenants.
     pub fn new<'a>(
         config: &QuotaConfig,
         tenants: impl IntoIterator<Item = (&'a str, f64)>,
@@ -155,7 +160,7 @@
         hasher.finish()
     }
 
-    /// Sets the cap of a tenant from one line of [`QuotaConfig::caps`].
+    /// Sets the cap and the guaranteed minimum of a tenant by one line of [`QuotaConfig::caps`].
     fn set_cap(&mut self, line: &str, guaranteed_percent: u32) -> Result<(), QuotaConfigError> {
         let parsed = line.trim().rsplit_once(char::is_whitespace);
         let parsed = parsed.and_then(|(name, cap)| Some((name.trim(), cap.parse::<u32>().ok()?)));
@@ -178,14 +183,14 @@
         Ok(())
     }
 
-    /// Permits of a cap beyond the guaranteed minimums of all processes; `None`: the tenant has no cap, or
-    /// does not exist.
+    /// Returns the permits of a cap that can be granted, after the guaranteed minimums of all processes are
+    /// set aside; `None`: the tenant has no cap, or does not exist.
     pub fn pool(&self, tenant: usize) -> Option<u32> {
         let tenant = self.tenants.get(tenant)?;
         Some(tenant.cap?.saturating_sub(tenant.guaranteed.saturating_mul(self.max_proxies)))
     }
 
-    /// Returns the index of the tenant with this name, or that of the last one if there is none.
+    /// Returns the index of the tenant with this name, or of the default tenant if there is none.
     pub fn index(&self, name: Option<&str>) -> usize {
         let last = self.tenants.len().saturating_sub(1);
         name.and_then(|name| self.tenants.iter().position(|tenant| tenant.name == name)).unwrap_or(last)
@@ -205,7 +210,7 @@
     Ok(())
 }
 
-/// Returns the tenants with their weights, followed by the default tenant.
+/// Creates the tenants with their weights and without caps, the default tenant as the last one.
 fn weighted_tenants<'a>(
     tenants: impl IntoIterator<Item = (&'a str, f64)>,
 ) -> Result<Vec<Tenant>, QuotaConfigError> {
@@ -222,7 +227,8 @@
         total += portion;
         named.push(Tenant::uncapped(name, weight(portion)));
     }
-    // The default tenant gets the weight that the portions leave, and at least that of the lightest tenant.
+    // The default tenant gets the weight that the portions of all tenants leave, and no less than the
+    // lightest tenant.
     let lightest = named.iter().map(|tenant| tenant.weight).min().unwrap_or(1);
     named.push(Tenant::uncapped(DEFAULT_TENANT, weight(1.0 - total).max(lightest)));
     Ok(named)
--- a/quota/src/report.rs
+++ b/quota/src/report.rs
@@ -1,117 +1,120 @@
-//! Reports and grants that a process and the leader exchange with each lease renewal. They are encoded by
-//! position: the order of fields and variants must not change.
+//! Reports and grants that a process and the leader exchange with each renewal of a lease. They are encoded
+//! by position: the order of fields and variants must not change.
 
 use crate::registry::Tenant;
 use flaxhead_lease::{Ballot, Micros};
 use serde::{Deserialize, Serialize};
 
-/// Version that orders grants by leader, then by the leader's count for the process.
+/// Version of a grant, ordered by the ballot of the leader, then by the leader's count of grants.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct GrantVersion {
-    /// Ballot of the leader.
+    /// Ballot of the leader that issued the grant.
     pub ballot: Ballot,
-    /// Count of the leader's grants to the process; 0: the process knows the ballot but has no grant under
-    /// it.
+    /// Number that the leader raises with each changed grant to the process; 0: the process knows of the
+    /// leader, but has no grant of it.
     pub seq: u64,
 }
 
-/// Calls of one tenant at a process.
+/// Calls of one tenant at one process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct TenantUsage {
-    /// Calls in flight, counting each hedged request as one more.
+    /// Number of calls in flight, with each hedged request counted as one more.
     pub in_flight: u32,
-    /// Maximum of calls in flight and queued together since the last report.
+    /// Highest number of calls in flight and queued together since the last report.
     pub peak: u32,
-    /// Calls queued for a permit.
+    /// Number of calls queued for a permit.
     pub queued: u32,
-    /// Calls rejected for lack of a permit since the last report.
+    /// Number of calls rejected for lack of a permit since the last report.
     pub rejected: u32,
 }
 
-/// Calls of all tenants at a process.
+/// Calls of all tenants at one process, and its attempts at hosts.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Usage {
-    /// Calls by tenant, in the order of the process's settings; absent tenants have none.
+    /// Calls by tenant, in the order of the process's settings; a tenant beyond the end has no calls.
     pub tenants: Vec<TenantUsage>,
-    /// Attempts that ended since the last report.
+    /// Number of attempts that ended since the last report.
     pub attempts: u32,
-    /// Ended attempts that a host rejected for being full.
+    /// Number of those attempts that hosts rejected because they were full.
     pub rejected_by_hosts: u32,
 }
 
-/// Right of a process to use its guaranteed minimums, of which there are only enough for a limited number of
-/// processes.
+/// Right of a process to use its guaranteed minimums. There are `max_proxies` slots, because each cap has
+/// room for the minimums of that many processes only.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Slot {
-    /// Not known yet, as the process has just started.
+    /// The process has just started, and the leader has not decided yet.
     #[default]
     #[serde(rename = "Waits")]
     Pending,
     /// The process may use its guaranteed minimums.
     #[serde(rename = "Has")]
     Assigned,
-    /// The process may not use them, as there are more processes than slots.
+    /// The process may not use its guaranteed minimums, because all slots are taken.
     Denied,
 }
 
-/// Configuration of a process that differs from the leader's.
+/// Configuration of a process, sent to a leader that has another one.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ReportedConfig {
-    /// Tenants in the order of the process's settings.
+    /// Tenants with their caps and weights, in the order of the process's settings.
     pub tenants: Vec<Tenant>,
-    /// Number of processes that the guaranteed minimums are calculated for.
+    /// Number of processes for which each cap has room for guaranteed minimums.
     pub max_proxies: u32,
 }
 
-/// Report of a process to the leader.
+/// Report that a process sends to the leader with each renewal of its lease.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct QuotaReport {
-    /// Version of the newest grant received, after which the process applies no older one.
+    /// Newest grant that the process has received; it applies no older one from then on. `None`: it knows of
+    /// no leader.
     pub grant_version: Option<GrantVersion>,
-    /// Permits granted beyond the guaranteed minimums, by tenant; empty: none, or the grant has expired.
+    /// Permits of that grant, beyond the guaranteed minimums, by tenant; empty: no grant, or an expired one.
     pub granted: Vec<u32>,
-    /// Remaining validity of `granted`.
+    /// Time until the grant expires, by the process's clock; 0: no valid grant.
     pub grant_left: Micros,
-    /// Whether the process uses its guaranteed minimums.
+    /// Whether the process may use its guaranteed minimums.
     pub slot: Slot,
-    /// Calls of the process.
+    /// Calls at the process, from which the leader derives how many permits it needs.
     pub usage: Usage,
-    /// Digest of the process's configuration.
+    /// Digest of the process's configuration, which shows the leader whether it has the same one.
     pub digest: u64,
-    /// Configuration of the process; `None`: the same as the leader's by its last grant.
+    /// Configuration of the process; `None`: the leader's last grant had the same digest.
     pub config: Option<ReportedConfig>,
 }
 
-/// Guaranteed minimum of a tenant, lowered by the configuration of another process.
+/// Guaranteed minimum that replaces a process's own one, because another process has configured a lower one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LoweredMinimum {
-    /// Index of the tenant in the receiving process's settings.
+    /// Index of the tenant in the settings of the process that receives the grant.
     pub tenant: u16,
-    /// Lowered minimum, in permits.
+    /// Guaranteed minimum to use instead of the configured one, in permits.
     pub guaranteed: u32,
 }
 
-/// Grant of the leader to one process.
+/// Grant that the leader sends to a process in reply to a report. It replaces the process's previous grant.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct QuotaGrant {
-    /// Count of the leader's grants to this process, raised when the permits change.
+    /// [`GrantVersion::seq`] of the grant.
     pub seq: u64,
-    /// Permits beyond the guaranteed minimums, by tenant in the process's order; `None`: the leader does not
-    /// know yet which grant the process has, so that grant stays valid until it expires.
+    /// Permits beyond the guaranteed minimums, by tenant in the process's order; `None`: the process has not
+    /// reported its permits to this leader yet, and keeps its previous grant until that expires.
     pub permits: Option<Vec<u32>>,
     /// Whether the process may use its guaranteed minimums.
     pub has_slot: bool,
-    /// Process's part of the hosts' capacity over all tenants, in permits; `None`: no total applies.
+    /// Limit on the permits of all tenants together at the process, which is the sum of `fair_shares`, at
+    /// least 1; `None`: no such limit, because the capacity of the hosts is unknown or not configured.
     pub total: Option<u32>,
-    /// Parts of `total` by tenant.
+    /// Part of each tenant's fair share that falls to the process, in permits, in the process's order.
     pub fair_shares: Vec<u32>,
-    /// Tenants whose guaranteed minimum is lower than by this process's configuration.
+    /// Guaranteed minimums to use instead of the configured ones.
     pub lowered: Vec<LoweredMinimum>,
-    /// Whether the leader knows the grants and configurations of all processes. If not, earlier lowered
-    /// minimums stay in effect.
+    /// Whether the leader knows the permits and configurations of all processes. If not, the process keeps
+    /// its previous `total`, `fair_shares` and lowered minimums.
     pub is_complete: bool,
-    /// Digest of the leader's configuration.
+    /// Digest of the leader's configuration. A process with the same digest does not report its
+    /// configuration.
     pub digest: u64,
-    /// Time until the next report should be sent, in milliseconds.
+    /// Time after which the process sends its next report, in milliseconds.
     pub report_interval_ms: u32,
 }
--- a/quota/src/timing.rs
+++ b/quota/src/timing.rs
@@ -1,48 +1,53 @@
-//! Time spans of the quota protocol.
+//! Time spans of grants, reports and calls, and the bound on clock drift.
 
 use flaxhead_lease::Micros;
 
-/// Divisor of a time span that gives the maximum difference between two machines' clocks.
+/// Inverse of the maximum drift between the clocks of two machines: one part in this number.
 const DRIFT_DIVISOR: Micros = 64;
-/// Minimum time between two reports of one process.
 const MIN_REPORT_INTERVAL: Micros = 125_000;
-/// Maximum rate of reports to the leader, over all processes.
+/// Rate of reports that a leader can process, from all processes together.
 const MAX_REPORTS_PER_SECOND: Micros = 800;
 const MICROS_PER_SECOND: Micros = 1_000_000;
-/// Number of windows per lease. Reports of a process within one window count as one.
+/// Number of windows that a lease is divided into. Two reports of a process within one window count as one.
 const COALESCING_WINDOWS_PER_LEASE: Micros = 48;
-/// Minimum rate of reports of a process, for any number of processes.
+/// Number of reports per lease that a process sends even if there are very many processes.
 const MIN_REPORTS_PER_LEASE: Micros = 4;
 
-/// Time spans, which must be the same at all processes.
+/// Time spans, in microseconds, which must be configured the same at all processes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct QuotaTiming {
-    /// Validity of a grant, counted from its request.
+    /// Duration of the leader's and of each process's lease, and validity of the grant that a process gets
+    /// with its lease, counted from the process's request.
     pub lease: Micros,
-    /// Maximum duration of a call.
+    /// Longest time that a call can be in flight; callers have to ensure it. After a grant has expired, its
+    /// permits count as in use for this long.
     pub max_call_duration: Micros,
-    /// Maximum time that a started process waits for a slot before it assumes one.
+    /// Longest time that a started process waits for a leader to decide on its slot. After that, it uses its
+    /// guaranteed minimums without a decision.
     pub autonomy_timeout: Micros,
 }
 
 impl QuotaTiming {
-    /// Returns the longest duration of `span` by the clock of another machine.
+    /// Returns the longest time that `span` on one machine's clock can take on another machine's clock.
     pub fn with_max_drift(span: Micros) -> Micros {
         span + span / DRIFT_DIVISOR + 1
     }
 
-    /// Time after which no earlier grant is valid, and no call admitted under it is still in flight.
+    /// Returns the time after which all grants issued before have expired, and all calls admitted under them
+    /// have ended.
     pub fn max_grant_lifetime(&self) -> Micros {
         QuotaTiming::with_max_drift(self.lease) + QuotaTiming::with_max_drift(self.max_call_duration)
     }
 
-    /// Time between two reports of a process below which the higher of their demands counts.
+    /// Returns the time between two reports of a process within which both count as one, and the higher
+    /// demand is used.
     pub fn coalescing_window(&self) -> Micros {
         self.lease / COALESCING_WINDOWS_PER_LEASE
     }
 
-    /// Interval between the reports of one of `processes` processes. It is shorter than a lease, so that
-    /// grants follow the demand, and limits the rate of reports at the leader.
+    /// Returns the interval at which each of `processes` processes reports. The interval is shorter than a
+    /// lease, so that grants follow changes of demand, and is longer in large fleets to limit the load of the
+    /// leader.
     pub fn report_interval(&self, processes: usize) -> Micros {
         let shared = processes as Micros * MICROS_PER_SECOND / MAX_REPORTS_PER_SECOND;
         shared.max(MIN_REPORT_INTERVAL).min(self.lease / MIN_REPORTS_PER_LEASE).max(1)
--- a/quota/src/view.rs
+++ b/quota/src/view.rs
@@ -1,4 +1,4 @@
-//! Status of quotas over the fleet, as shown to operators. The JSON keys are those of the status pages.
+//! Status of quotas in the fleet, for the status pages, whose JSON keys the serde names are.
 
 use crate::ledger::{ProcessUsage, QuotaLedger};
 use flaxhead_lease::Micros;
@@ -6,42 +6,43 @@
 
 const MICROS_PER_SECOND: Micros = 1_000_000;
 
-/// Process that holds permits of a tenant.
+/// Permits and calls of a tenant at one process.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PermitHolderView {
-    /// Process name.
+    /// Name by which the process takes part in the lease protocol.
     pub name: String,
-    /// Permits granted beyond the guaranteed minimum, or in flight beyond it if that is more.
+    /// Permits granted beyond the guaranteed minimum, or calls in flight beyond it if there are more of them.
     pub granted: u32,
-    /// Calls in flight by the last report.
+    /// Number of calls in flight according to the last report.
     #[serde(rename = "in_hand")]
     pub in_flight: u32,
 }
 
-/// Status of a tenant over the fleet.
+/// Permits and calls of a tenant at all processes together.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TenantView {
-    /// Tenant name.
+    /// Name of the tenant in the settings; `others`: the default tenant.
     pub name: String,
-    /// Maximum number of calls in flight; `None`: no cap.
+    /// Highest number of calls in flight; `None`: the tenant has no cap.
     pub cap: Option<u32>,
-    /// Fair share of the hosts' capacity, in calls; `None`: the capacity is unknown or not configured.
+    /// Portion of the hosts' capacity by the tenant's weight, in calls; `None`: the capacity is unknown or
+    /// not configured.
     #[serde(rename = "share")]
     pub fair_share: Option<u32>,
-    /// Permits granted, including the guaranteed minimums of processes that have a slot.
+    /// Granted permits, and the guaranteed minimums of all processes that have a slot.
     pub granted: u32,
-    /// Calls in flight.
+    /// Number of calls in flight according to the last reports.
     #[serde(rename = "in_hand")]
     pub in_flight: u32,
-    /// Unused part of the fair share, which other tenants may use.
+    /// Permits of the fair share that the tenant does not use, so that other tenants may use them.
     pub lent: u32,
-    /// Calls queued for a permit.
+    /// Number of calls queued for a permit, according to the last reports.
     #[serde(rename = "waiting")]
     pub queued: u32,
-    /// Calls rejected for lack of a permit, by the last report of each process.
+    /// Number of calls rejected for lack of a permit, summed over the last report of each process.
     #[serde(rename = "refused")]
     pub rejected: u32,
-    /// Processes that hold permits of the tenant.
+    /// Processes that have granted permits or calls in flight of the tenant.
     #[serde(rename = "held_by")]
     pub holders: Vec<PermitHolderView>,
 }
@@ -60,22 +61,22 @@
     }
 }
 
-/// Status of the fleet as known to the leader.
+/// Permits and calls of all tenants, as the leader knows them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuotaView {
-    /// Status by tenant, in the order of the settings.
+    /// Status by tenant, in the order of the leader's settings.
     pub tenants: Vec<TenantView>,
-    /// Calls that the hosts carry, less the margin; `None`: unknown or not configured.
+    /// Number of calls that all hosts can have in flight, less the margin; `None`: unknown or not configured.
     #[serde(rename = "carried")]
     pub capacity: Option<u32>,
-    /// Reasons for which less is granted than the caps allow: `learning for 9 s more`, `not heard: n3`, `no
-    /// seat: n9`, `caps differ at n2`.
+    /// Reasons why fewer permits are granted than the caps allow, such as `learning for 9 s more`, `not
+    /// heard: n3`, `no seat: n9` or `caps differ at n2`.
     #[serde(rename = "why")]
     pub reasons: Vec<String>,
 }
 
 impl QuotaLedger {
-    /// Returns the status of the fleet at `now`.
+    /// Returns the permits and calls that the leader knows of at `now`.
     pub fn view(&self, now: Micros) -> QuotaView {
         let tenants = (0..self.tenants().len()).map(|tenant| self.tenant_view(now, tenant)).collect();
         QuotaView { tenants, capacity: self.capacity(), reasons: self.reasons(now) }
--- a/quota/tests/admission.rs
+++ b/quota/tests/admission.rs
@@ -1,4 +1,5 @@
-//! Properties of the admission controller under random events, computed from its inputs and outputs only.
+//! Random events for the admission controller; after each, its outputs are compared with rules computed from
+//! the events alone.
 #![expect(clippy::cast_possible_truncation, reason = "the counts of a test are small")]
 
 use flaxhead_quota::admission::{
@@ -52,16 +53,17 @@
     AdmissionConfig { classes, tenant_count: TENANTS, max_queue: 12, max_retry_after: 400 }
 }
 
-/// Admission controller with a reference model of its state.
+/// Admission controller, together with the state that its rules are checked against.
 struct Harness {
     controller: AdmissionController,
     now: u64,
     allowance: Allowance,
-    /// Tenants of the calls in flight.
+    /// Tenant of each call in flight.
     in_flight_tenants: Vec<usize>,
-    /// Queued calls with their tenant and queue timeout.
+    /// Tenant and timeout of each queued call.
     queued: BTreeMap<QueuedCall, (usize, u64)>,
-    /// Deficit of each tenant among those below their share, and among those at or above it, in calls.
+    /// Number of calls by which each tenant is behind its share, in two groups: among tenants that use less
+    /// than their share, and among the other tenants.
     deficits: [[f64; TENANTS]; 2],
     requests: usize,
     verdict_count: usize,
@@ -114,7 +116,8 @@
         Ok(())
     }
 
-    /// Checks the order of admissions: tenants below their share come first, and no deficit exceeds one call.
+    /// Checks, for the admission of a queued call of `tenant`, that no tenant with less than its share was
+    /// passed over, and that no tenant is more than one call behind.
     fn check_order(&mut self, tenant: usize) -> Result<(), TestCaseError> {
         if self.allowance.total.is_none() {
             return Ok(());
@@ -129,8 +132,8 @@
         let group: Vec<usize> =
             eligible.into_iter().filter(|t| self.is_at_share(*t) == is_above_share).collect();
         let group_deficits = &self.deficits[usize::from(is_above_share)];
-        // A tenant ahead of its share takes part until it has worked that off; other tenants that do not wait
-        // accrue no deficit.
+        // Tenants with eligible queued calls compete for the permit, and so do tenants that are ahead of
+        // their share until they no longer are. The deficits of all other tenants do not grow.
         let takes_part = |t: &usize| group.contains(t) || group_deficits[*t] < 0.0;
         let total: f64 = (0..TENANTS).filter(takes_part).map(|t| self.weight(t)).sum();
         for t in 0..TENANTS {
@@ -264,13 +267,14 @@
         for event in events {
             harness.apply(event)?;
         }
-        // Every call has got its verdict after its deadline.
+        // All calls have passed their deadlines, so none may be left without a verdict.
         harness.apply(Event::AdvanceTime(10_000))?;
         prop_assert!(harness.queued.is_empty());
         prop_assert_eq!(harness.requests, harness.verdict_count);
     }
 
-    /// Guards against starvation while all queues stay filled, for shares of any size.
+    /// Guards against a tenant that falls behind its share while all tenants have queued calls, for shares of
+    /// any size.
     #[test]
     fn no_waiting_tenant_falls_more_than_one_call_behind(
         shares in proptest::collection::vec(1_u32..60, TENANTS),
@@ -312,8 +316,8 @@
 fn a_call_that_cannot_be_admitted_in_time_is_rejected_at_once() {
     let mut controller = one_tenant(1);
     assert_eq!(request(&mut controller, 0), AdmissionDecision::Decided(Verdict::Admitted));
-    // A permit was released every 400 us: the second call in the queue would be admitted after 800 us of its
-    // 900 us, the third too late.
+    // Permits were released at intervals of 400 us. Of calls that can be queued for 900 us, the second one in
+    // the queue can expect a permit after 800 us, and the third one too late.
     for now in [400, 800, 1_200, 1_600] {
         controller.release(now, None, &mut Verdicts::new());
         assert_eq!(request(&mut controller, now), AdmissionDecision::Decided(Verdict::Admitted));
@@ -324,8 +328,8 @@
         matches!(decisions[2], AdmissionDecision::Decided(Verdict::Rejected { retry_after: 400 })),
         "{decisions:?}"
     );
-    // No permit was released for almost the whole deadline: the first queued call may still get the next one,
-    // but none behind it.
+    // The only permit has been in use for 850 us without any release. A first call may be queued, because the
+    // next release can be for it, but a second one is rejected.
     let mut controller = one_tenant(1);
     assert_eq!(request(&mut controller, 0), AdmissionDecision::Decided(Verdict::Admitted));
     assert!(matches!(request(&mut controller, 850), AdmissionDecision::Queued(_)));
--- a/quota/tests/fault_injection.rs
+++ b/quota/tests/fault_injection.rs
@@ -1,4 +1,5 @@
-//! Simulated fleets with frequent faults, whose usable permits are checked against the caps throughout.
+//! Fleets of simulated processes with frequent faults. At each step, the permits that all processes may use
+//! or have in use are checked against the caps.
 #![expect(clippy::cast_possible_truncation, reason = "the counts of a test are small")]
 
 mod fleet;
@@ -46,7 +47,8 @@
     }
 }
 
-/// Two processes more than slots. The autonomy timeout is off, because it assumes that no leader exists.
+/// Guards against minimums that add up to more than the cap if there are two processes more than slots. No
+/// process assumes a slot here, because the autonomy timeout never passes.
 #[test]
 fn no_cap_is_exceeded_with_more_processes_than_slots() {
     let timing = QuotaTiming { autonomy_timeout: u64::MAX, ..scenario("banks", 8, 0).timing };
--- a/quota/tests/fleet/mod.rs
+++ b/quota/tests/fleet/mod.rs
@@ -1,6 +1,6 @@
-//! Deterministic simulation of a fleet in virtual time: delayed, lost and duplicated messages, crashes with
-//! loss of state, pauses, partitions, clock drift and changing demand. Whenever a process acts, the permits
-//! usable and in use over the fleet are checked against each cap.
+//! Deterministic simulation of a fleet in virtual time. Messages are delayed, lost and duplicated; processes
+//! crash without stored state, pause and are partitioned; clocks drift, and the demand changes. Whenever a
+//! process acts, the permits that all processes may use or have in use are checked against each cap.
 #![allow(dead_code, reason = "each test and the benchmark use only a part of this module")]
 #![expect(
     clippy::cast_possible_truncation,
@@ -27,21 +27,21 @@
 use std::net::SocketAddr;
 
 pub const SECOND: Micros = 1_000_000;
-/// Maximum age of the membership facts that a process sees.
+/// Age above which a process's view of the membership is renewed, in microseconds.
 const MAX_FACTS_AGE: Micros = 200_000;
 
-/// Way in which processes get their limits.
+/// Source of the limits that processes apply to their calls.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Mode {
-    /// Grants by the quota protocol.
+    /// Grants of the leader, by the quota protocol.
     Coordinated,
-    /// Fixed, equal part of each cap for every process.
+    /// Equal, constant fraction of each cap.
     StaticSplit,
-    /// No limits.
+    /// No limits at all.
     Unlimited,
 }
 
-/// Parameters of a simulation run. All times are in microseconds.
+/// Parameters of one simulation; times are in microseconds.
 #[derive(Clone, Debug)]
 pub struct Scenario {
     pub processes: usize,
@@ -51,33 +51,33 @@
     pub hosts: usize,
     pub calls_per_host: u32,
     pub timing: QuotaTiming,
-    /// Median duration of a call, and whether one in 200 takes the maximum duration.
+    /// Median duration of a call, and whether one call in 200 lasts for the maximum duration.
     pub call_duration: Micros,
     pub has_long_calls: bool,
-    /// Interval at which a process starts calls.
+    /// Interval at which each process ends calls that are due and starts new ones.
     pub call_interval: Micros,
-    /// Mean time between two faults; 0: no faults.
+    /// Mean time between two faults; 0: there are no faults.
     pub fault_interval: Micros,
-    /// Mean time between two changes of demand; 0: no changes.
+    /// Mean time between two changes of demand at random processes; 0: the demand does not change.
     pub demand_change_interval: Micros,
-    /// Ratio of messages lost; a quarter as many are duplicated.
+    /// Ratio of messages that are lost; a quarter of that ratio is duplicated.
     pub loss_ratio: f64,
     pub mode: Mode,
     pub seed: u64,
 }
 
-/// Counters of a simulation run.
+/// Results of a simulation.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Stats {
     pub faults: usize,
     pub calls: u64,
     pub messages: u64,
     pub bytes: u64,
-    /// Maximum number of permits usable or in use over the fleet, by tenant, and the number of checks that
-    /// found it above the cap.
+    /// Highest number of permits that all processes together could use or had in use, by tenant, and the
+    /// number of checks in which it was above the cap.
     pub peak_usage: Vec<u32>,
     pub cap_violations: u64,
-    /// Changes of an allowance.
+    /// Number of times that the limits of a process changed.
     pub allowance_changes: u64,
 }
 
@@ -93,7 +93,7 @@
 
 struct Node {
     machine: Option<Machine>,
-    /// Offset of the process's clock, and its drift in parts per ten thousand.
+    /// Difference between the process's clock and virtual time, and its drift in parts per ten thousand.
     clock_offset: Micros,
     clock_drift: i64,
     is_paused: bool,
@@ -102,9 +102,9 @@
     wake_at: Micros,
     incarnation: u64,
     allowance: Allowance,
-    /// Demand by tenant, in calls in flight.
+    /// Number of calls that the process wants to have in flight, by tenant.
     demands: Vec<u32>,
-    /// Calls in flight as pairs of tenant and end, and their number by tenant.
+    /// Tenant and end of each call in flight, and the number of calls in flight by tenant.
     calls: Vec<(usize, Micros)>,
     in_flight: Vec<u32>,
     facts: Option<(Micros, Facts)>,
@@ -122,7 +122,8 @@
     rng: Pcg64,
     pub hosts: Vec<HostCapacity>,
     incarnations: u64,
-    /// Usable permits by process and tenant at the last check, and their sums by tenant.
+    /// Permits that each process could use or had in use when it last acted, by process and tenant, and their
+    /// sums by tenant.
     usable_permits: Vec<Vec<u32>>,
     usable_totals: Vec<u32>,
     pub stats: Stats,
@@ -152,7 +153,7 @@
         let nodes = (0..scenario.processes).map(|_| Node {
             machine: None,
             clock_offset: u64::from(rng.next_u32()),
-            // Two clocks that drift by up to 0.7% each differ by less than the bound of 1/64.
+            // Drifts of up to 0.7% keep any two clocks within the bound of the protocol, one part in 64.
             clock_drift: i64::from(rng.next_u32() % 140) - 70,
             is_paused: false,
             is_partitioned: false,
@@ -202,7 +203,7 @@
         &self.registry
     }
 
-    /// Sets the demand of a process for a tenant, in calls in flight.
+    /// Sets how many calls of a tenant a process wants to have in flight.
     pub fn set_demand(&mut self, index: usize, tenant: usize, calls: u32) {
         self.nodes[index].demands[tenant] = calls;
     }
@@ -215,12 +216,12 @@
         self.nodes.iter().map(|node| node.in_flight[tenant]).sum()
     }
 
-    /// Permits of a tenant that all processes may use now by their own allowances.
+    /// Returns the permits of a tenant that all processes together may use now.
     pub fn total_usable(&self, tenant: usize) -> u32 {
         (0..self.nodes.len()).map(|index| self.usable_at(index, tenant)).sum()
     }
 
-    /// Permits of a tenant that one process may use now by its allowance.
+    /// Returns the permits of a tenant that one process may use now, by its own clock.
     pub fn usable_at(&self, index: usize, tenant: usize) -> u32 {
         self.nodes[index].allowance.cap(self.local_time(index), tenant).unwrap_or(0)
     }
@@ -262,17 +263,17 @@
         clock_offset + (self.now as i64 + self.now as i64 / 10_000 * clock_drift) as Micros
     }
 
-    /// Persistent state of a process.
+    /// Returns the state that a process has stored; `None`: the process is not running.
     pub fn persistent_state(&self, index: usize) -> Option<PersistentState<QuotaApplication>> {
         self.nodes[index].machine.as_ref().map(|machine| machine.persistent_state(self.local_time(index)))
     }
 
-    /// Starts a process without persistent storage.
+    /// Starts a process that does not store its state.
     pub fn start(&mut self, index: usize) {
         self.start_machine(index, |machine, _| machine);
     }
 
-    /// Starts a process with persistent storage, which contains `found`.
+    /// Starts a process that stores its state, and reads `found` from storage; `None`: the storage is empty.
     pub fn start_with_state(&mut self, index: usize, found: Option<PersistentState<QuotaApplication>>) {
         self.start_machine(index, |machine, now| machine.with_persistence(now, found, SECOND));
     }
@@ -308,7 +309,8 @@
         self.schedule(after, SimEvent::Wake(index, wake_at));
     }
 
-    /// Membership facts as one process sees them, with detection delays.
+    /// Returns the membership as the process `observer` knows it: exits and failures of other processes are
+    /// detected with a delay.
     fn facts(&self, observer: usize) -> Facts {
         let status = |index: usize| {
             let Node { incarnation, changed_at, is_paused, is_partitioned, .. } = &self.nodes[index];
--- a/quota/tests/fleet/simulation.rs
+++ b/quota/tests/fleet/simulation.rs
@@ -1,4 +1,4 @@
-//! Event loop of the simulation.
+//! Events of the simulation: timers, messages, calls, faults and changes of demand.
 
 use super::{node_name, Fleet, Mode, Node, SimEvent, MAX_FACTS_AGE, SECOND};
 use flaxhead_quota::{
@@ -8,7 +8,7 @@
 use std::cmp::Reverse;
 
 impl Fleet {
-    /// Runs the simulation for `duration`.
+    /// Processes all events of the next `duration` of virtual time.
     pub fn run(&mut self, duration: Micros) {
         let end = self.now + duration;
         while self.events.peek().is_some_and(|Reverse((time, _, _))| *time <= end) {
@@ -30,7 +30,7 @@
             SimEvent::Deliver { to, message_id } => {
                 let Some((from, message)) = self.messages_in_transit.remove(&message_id) else { return };
                 if self.nodes[to].is_paused {
-                    // Messages to a paused process wait in its socket buffer.
+                    // A message to a paused process stays in its socket buffer, and is delivered later.
                     self.messages_in_transit.insert(message_id, (from, message));
                     return self.schedule(SECOND / 4, SimEvent::Deliver { to, message_id });
                 }
@@ -51,7 +51,8 @@
                 if has_exited {
                     self.start(index);
                 } else if was_paused {
-                    // A resumed process first serves its waiting calls, before it handles any message.
+                    // After a pause, calls are admitted before any message is read: this must not use an
+                    // expired grant.
                     self.serve_calls(index);
                     self.schedule_wake(index);
                 }
@@ -72,13 +73,13 @@
         }
     }
 
-    /// Passes an event to a process's state machine and applies the effects.
+    /// Lets a process handle an event, checks the caps, and sends the resulting messages.
     pub(super) fn step(
         &mut self,
         index: usize,
         handle: impl FnOnce(&mut Machine, &mut Context<'_>, &mut Vec<Effect>),
     ) {
-        // Facts are only read by voters, so other processes get empty ones.
+        // Only voters read the membership, so other processes get an empty one.
         let cached =
             self.nodes[index].facts.take().filter(|(observed_at, _)| self.now < observed_at + MAX_FACTS_AGE);
         let (observed_at, facts) = match cached {
@@ -93,7 +94,7 @@
         let mut effects = Vec::new();
         let mut context = Context { now: local_time, facts: &facts, random: &mut self.rng };
         handle(&mut machine, &mut context, &mut effects);
-        // Writes to the simulated storage complete at once.
+        // Storage of the simulation writes without delay.
         if let Some(version) = machine.persistent_state_version() {
             machine.state_persisted(&mut context, version, &mut effects);
         }
@@ -116,7 +117,7 @@
         self.schedule_wake(index);
     }
 
-    /// Limits of a process that owns an equal part of each cap.
+    /// Returns constant limits: an equal fraction of each cap and of the hosts' capacity.
     fn static_allowance(&self, index: usize) -> Allowance {
         let count = self.scenario.processes as u32;
         let part = |cap: u32| cap / count + u32::from((index as u32) < cap % count);
@@ -149,7 +150,7 @@
         });
     }
 
-    /// Ends calls that are due and starts new ones within the current allowance.
+    /// Ends the calls of a process that are due, and starts calls while its allowance and its demand permit.
     fn serve_calls(&mut self, index: usize) {
         self.end_calls(index);
         if self.nodes[index].machine.is_none() || self.nodes[index].is_paused {
@@ -178,8 +179,8 @@
         }
     }
 
-    /// Returns the tenant of the next call: of those with unmet demand and a free permit, the one with the
-    /// fewest calls relative to its share.
+    /// Returns the tenant whose call a process starts next: of the tenants with unmet demand and a free
+    /// permit, the one with the fewest calls in flight relative to its share; `None`: no call can be started.
     fn next_tenant(&self, index: usize, local_time: Micros) -> Option<usize> {
         let Node { allowance, demands, in_flight, .. } = &self.nodes[index];
         let sum: u32 = in_flight.iter().sum();
@@ -197,7 +198,8 @@
         (0..demands.len()).filter(is_eligible).min_by_key(usage_per_share)
     }
 
-    /// Updates the permits in use by a process and checks the sum against each cap.
+    /// Updates the permits that a process may use or has in use, and asserts that the sum over all processes
+    /// is within each cap.
     pub(super) fn check_caps(&mut self, index: usize) {
         if self.scenario.mode != Mode::Coordinated {
             return;
@@ -209,8 +211,8 @@
                 self.usable_totals[tenant] + usable_now - self.usable_permits[index][tenant];
             self.usable_permits[index][tenant] = usable_now;
             if self.usable_totals[tenant] > cap {
-                // The sums may include grants that have expired since, so they are recomputed before the
-                // check.
+                // Grants of other processes may have expired since their last update, so the sum is computed
+                // again.
                 for other in 0..self.nodes.len() {
                     self.usable_permits[other][tenant] = self.usable_now(other, tenant);
                 }
--- a/quota/tests/fleet/sites.rs
+++ b/quota/tests/fleet/sites.rs
@@ -1,6 +1,7 @@
-//! Tenants and caps of three different sites: several banks, shops of very different weight, and no tenants.
+//! Tenants and caps of three sites that differ widely: several banks, three shops with very different
+//! portions, and a site without tenants.
 
-/// Tenants with their portions of the service, and their caps.
+/// Tenants with their portions of the service, and caps in the form of the configuration.
 #[derive(Clone, Debug, Default)]
 pub struct Site {
     pub tenants: Vec<(String, f64)>,
@@ -9,7 +10,7 @@
 
 type NamedValues<T> = Vec<(&'static str, T)>;
 
-/// Returns a site by name, with caps that are multiples of `scale`.
+/// Returns the tenants and caps of a site. All caps are multiples of `scale`.
 pub fn site(name: &str, scale: u32) -> Site {
     let (tenants, caps): (NamedValues<f64>, NamedValues<u32>) = match name {
         "banks" => (
--- a/quota/tests/ledger.rs
+++ b/quota/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! Exchange of reports and grants between the ledger of a leader and the quotas of processes.
+//! Reports and grants between a leader's ledger and the quotas of processes, one at a time.
 #![expect(clippy::cast_possible_truncation, reason = "the counts of a test are small")]
 
 use flaxhead_quota::{
@@ -29,7 +29,7 @@
     Ballot { round, name: process(1).name, incarnation: 1 }
 }
 
-/// Usage of the first tenant by calls in flight and demand.
+/// Returns the usage of a process with `calls` in flight for the first tenant, which needs `wanted` permits.
 fn usage(calls: u32, wanted: u32) -> Usage {
     let tenant_usage = TenantUsage {
         in_flight: calls,
@@ -60,7 +60,8 @@
         self.local_quotas[index].report(self.now, usage)
     }
 
-    /// Sends a report and applies the resulting grant a tenth of a second later.
+    /// Sends a report of the process, and applies the grant that the ledger returns a tenth of a second
+    /// later.
     fn renew(&mut self, index: usize, usage: Usage) -> QuotaGrant {
         let report = self.make_report(index, usage);
         self.ledger.record_report(self.now, &process(index as u8 + 1), self.now, report);
@@ -87,8 +88,8 @@
     (0..3).for_each(|_| drop(fleet.renew(0, usage(0, 40))));
     let first_cap = fleet.cap(0);
     assert_eq!(first_cap, 35, "all but the guaranteed minimum of the other process");
-    // The second process wants as much. The first gets a lower grant, but has as many calls in flight as
-    // before.
+    // Both processes want 40 permits. The first process is granted fewer than before, but still has 35 calls
+    // in flight.
     (0..3).for_each(|_| drop(fleet.renew(1, usage(0, 40))));
     assert_eq!(fleet.cap(1), 5);
     fleet.renew(0, usage(35, 40));
@@ -106,7 +107,8 @@
 #[test]
 fn a_delayed_or_repeated_report_does_not_replace_a_later_one() {
     let mut fleet = Fleet::new(vec![registry(&["etna 40"], 2), registry(&["etna 40"], 2)]);
-    // The first report shows no calls in flight, and arrives after the process has used its whole grant.
+    // The early report of the first process shows no calls. It reaches the ledger only after the process
+    // has reported 35 calls.
     let (early_report, reported_at) = (fleet.make_report(0, usage(0, 40)), fleet.now);
     (0..3).for_each(|_| drop(fleet.renew(0, usage(0, 40))));
     (0..3).for_each(|_| drop(fleet.renew(1, usage(0, 40))));
@@ -134,7 +136,8 @@
     fleet.now += SECOND;
     fleet.renew(1, usage(5, 40));
     assert_eq!(fleet.cap(1), 35);
-    // The first process's grant has expired by its own clock, so it only has its guaranteed minimum.
+    // By the clock of the first process its grant has expired, so that only its guaranteed minimum of 5
+    // permits is left.
     assert_eq!(fleet.cap(0), 5);
 }
 
@@ -154,7 +157,8 @@
         &roster,
     );
     let requested_at = fleet.now;
-    // A process that has not heard of the new leader may still apply grants of the previous one.
+    // Until the process knows the new leader, it may still apply grants of the previous one, so its permits
+    // are uncertain.
     let report = fleet.local_quotas[0].report(requested_at, usage(0, 40));
     fleet.ledger.record_report(requested_at, &process(1), requested_at, report);
     let grant = fleet.ledger.grant(requested_at, &process(1));
@@ -186,10 +190,10 @@
         fleet.renew(index, usage(0, if index == 2 { 40 } else { 0 }));
     }
     assert_eq!(fleet.cap(2), 6);
-    // Without a slot, nothing is left after the grant has expired.
+    // The third process has no slot, so that it has no permits once its grant has expired.
     fleet.now += 7 * SECOND;
     assert_eq!(fleet.cap(2), 0);
-    // A process with the same address replaces the first one, so the two share one slot.
+    // A new process with the address of the first one replaces it, and takes over its slot.
     let (replacement, now) = (Process { incarnation: 2, ..process(1) }, fleet.now);
     let mut local_quota = LocalQuota::new(now, registry(&["etna 8"], 2), timing());
     let report = local_quota.report(now, usage(0, 0));
@@ -203,7 +207,7 @@
 
 #[test]
 fn with_differing_configurations_the_lower_cap_applies_by_tenant_name_and_is_reported() {
-    // The second process has a lower cap, and a different order of tenants.
+    // The second process configures a lower cap, and has its tenants in another order.
     let config = QuotaConfig { max_proxies: 2, caps: vec!["etna 8".to_owned()], ..QuotaConfig::default() };
     let other_registry = TenantRegistry::new(&config, [BANKS[1], BANKS[0]]).expect("valid config");
     let mut fleet = Fleet::new(vec![registry(&["etna 40"], 2), other_registry]);
@@ -221,7 +225,7 @@
     let second_cap = allowance.cap(now, 1).expect("a cap");
     assert_eq!((first_cap + second_cap, first_cap), (8, 4), "{:?}", fleet.ledger.view(now));
     assert!(fleet.ledger.view(now).reasons.contains(&"caps differ at n2".to_owned()));
-    // The lower minimum stays in effect after the grant has expired.
+    // The minimum of the first process is still the lowered one after its grant has expired.
     fleet.now += 7 * SECOND;
     assert_eq!(fleet.cap(0), 1);
 }
@@ -254,8 +258,8 @@
     let (now, allowance_of) = (fleet.now, |local_quota: &mut LocalQuota, now| local_quota.allowance(now));
     let (first_allowance, second_allowance) =
         (allowance_of(&mut fleet.local_quotas[0], now), allowance_of(&mut fleet.local_quotas[1], now));
-    // Capacity of 90 calls: 56 for etna, which only has calls at one process, and 34 for iblea, over both
-    // processes.
+    // The capacity is 90 calls. Tenant etna gets 56 of them, all at the only process with demand for it;
+    // tenant iblea gets 34, divided between two processes.
     let fair_shares = |allowance: &flaxhead_quota::Allowance| -> Vec<u32> {
         allowance.tenants.iter().map(|tenant| tenant.fair_share).collect()
     };
@@ -264,7 +268,7 @@
         (vec![56, 17, 0], vec![0, 17, 0])
     );
     assert_eq!((first_allowance.total(now), second_allowance.total(now)), (Some(73), Some(17)));
-    // The total ends with the grant.
+    // The limit on all tenants together ends when the grant expires.
     assert_eq!(first_allowance.total(now + 7 * SECOND), None);
     for _ in 0..3 {
         fleet.renew(0, usage_of_both(0, 90));
--- a/quota/tests/max_min.rs
+++ b/quota/tests/max_min.rs
@@ -1,10 +1,10 @@
-//! Allocations compared with a reference without sorting or rounding: bisection for the exact level of
-//! permits per weight.
+//! Allocations of random demands, compared with a reference that uses neither sorting nor rounding: it finds
+//! the number of permits per weight by bisection.
 
 use flaxhead_quota::max_min::{allocate_by_weight, allocate_max_min, reallocate, reallocate_tenants, Demand};
 use proptest::prelude::*;
 
-/// Returns the fair allocation in fractional permits.
+/// Returns the weighted max-min fair allocation in fractions of permits, as a reference.
 fn fair_allocation(total: u32, demands: &[Demand]) -> Vec<f64> {
     let minimums: f64 = demands.iter().map(|demand| f64::from(demand.minimum)).sum();
     let permits_at = |level: f64, demand: &Demand| {
@@ -69,9 +69,10 @@
         }
     }
 
-    /// Guards against hysteresis that keeps an unfair allocation. An allocation ends within two permits of
-    /// the fair level, one for rounding and one for the tolerance, apart from lent permits. Minimums are met,
-    /// and no claimant is left without a permit if there is one for each.
+    /// Guards against hysteresis that keeps an unfair allocation. Whatever the previous allocation was, each
+    /// claimant ends within two permits of the fair one, of which one is due to rounding, apart from
+    /// unclaimed permits. Minimums are met, and every claimant with a demand has a permit if there are enough
+    /// permits.
     #[test]
     fn a_previous_allocation_is_kept_only_within_the_tolerance(
         total in 0u32..400,
@@ -112,8 +113,7 @@
         }
     }
 
-    /// Guards against oscillation: a demand that alternates by one call moves no more permits after the first
-    /// change.
+    /// Guards against permits that move back and forth with a demand that alternates by one call.
     #[test]
     fn an_alternating_demand_does_not_move_permits(
         total in 40u32..400,
@@ -149,7 +149,7 @@
     assert_eq!(allocate_max_min(10, &[demand(1_000_000), demand(1), demand(1)]), [8, 1, 1]);
 }
 
-/// Guards against a lent permit that is never returned because it is within the tolerance.
+/// Guards against hysteresis that lets a tenant keep a lent permit although its owner wants the permit back.
 #[test]
 fn lent_permits_return_when_all_tenants_are_short() {
     let demand = |wanted_permits| Demand { weight: 1, minimum: 1, wanted: wanted_permits };
@@ -157,7 +157,8 @@
         reallocate_tenants(32, &[demand(60), demand(40), Demand { minimum: 0, ..demand(0) }], &[17, 15, 0]),
         [16, 16, 0]
     );
-    // The second has enough, so its demand changes by single calls and the permit stays.
+    // The second tenant wants 14 permits and keeps 15. Otherwise a permit would move whenever its demand
+    // changes by one call.
     assert_eq!(reallocate_tenants(32, &[demand(60), demand(14)], &[17, 15]), [17, 15]);
 }
 
--- a/quota/tests/model/main.rs
+++ b/quota/tests/model/main.rs
@@ -1,8 +1,8 @@
-//! Exhaustive model check of the protocol's state machines with three voters and a cap of two calls. One
-//! permit is the guaranteed minimum of the process with the only slot, the other is granted. In some setups
-//! two proxies beside the voters have the calls. Messages are lost or arrive late, and processes crash
-//! without state, pause for longer than a lease or are partitioned in one or both directions. A step is a
-//! sixth of a lease, in which all messages arrive that no fault affects.
+//! Exhaustive check of the protocol's state machines, with three voters and a cap of two permits in most
+//! setups. One permit is the guaranteed minimum of the process that has the only slot, and the other one is
+//! granted. In some setups, two proxies that are not voters have all calls. Messages are lost or delivered
+//! late, and processes crash without stored state, pause for longer than a lease, or are partitioned in one
+//! direction or both. In each step, a sixth of a lease, all messages are delivered that no fault affects.
 
 mod system;
 
@@ -59,7 +59,8 @@
 fn check_model(fleet: FleetModel) -> (usize, Vec<&'static str>) {
     let mutation = fleet.mutation;
     let threads = std::thread::available_parallelism().map_or(1, usize::from).min(4);
-    // The search covers all states, unless a mutation is expected to be detected.
+    // All states are visited, except with a mutation, where the first violation of an invariant ends the
+    // search.
     let finish_condition = match mutation {
         Mutation::None => HasDiscoveries::All,
         _ => HasDiscoveries::AnyOf([INVARIANTS_HOLD].into()),
@@ -95,9 +96,10 @@
     assert!(violated.is_empty() && states > 10_000, "{states} {violated:?}");
 }
 
-/// Returns the mutations that the check does not detect.
+/// Checks all mutations, and returns those that violate no invariant although they disable a rule of the
+/// protocol.
 fn undetected_mutations(topology: Topology) -> Vec<Mutation> {
-    // Calls that are still in flight when the permits have moved to the other proxy.
+    // Calls are so long that they are still in flight when their permits are granted to the other proxy.
     let long_calls = Topology { call_steps: 10, ..topology };
     let cases = [
         (Mutation::AssumeConfirmed, 1, true),
@@ -125,8 +127,8 @@
     assert_eq!(undetected_mutations(VOTERS_ALONE), []);
 }
 
-/// Two faults affect only the leader and the proxy with the first calls; all other pairs are covered with the
-/// voters alone.
+/// With two faults, only the leader and the proxy that has calls at first are affected, which limits the
+/// number of states. Two faults at any processes are checked by the test without proxies.
 #[test]
 fn two_proxies_beside_the_voters_keep_the_cap_and_get_all_permits_back() {
     let one_fault = FleetModel::new(VOTERS_AND_TWO_PROXIES, Mutation::None, 1, true);
@@ -143,8 +145,8 @@
     assert_eq!(undetected_mutations(VOTERS_AND_TWO_PROXIES), []);
 }
 
-/// Returns a fleet whose voters lose their state in the same step, while two proxies hold grants of all
-/// permits.
+/// Returns a model in which all voters lose their state in one step, while two proxies hold grants of all
+/// permits that can be granted.
 fn fleet_after_voter_state_loss(mutation: Mutation, max_faults: u8) -> FleetModel {
     let mut fleet = FleetModel::new(MINIMUM_FOR_ALL, mutation, max_faults, true);
     let mut state = fleet.initial.clone();
--- a/quota/tests/model/system.rs
+++ b/quota/tests/model/system.rs
@@ -1,4 +1,4 @@
-//! Processes, messages and faults of the model, in steps.
+//! Model of a fleet for the exhaustive check. Each process is a node with an index; time advances in steps.
 #![expect(clippy::cast_possible_truncation, reason = "the counts of a test are small")]
 
 use flaxhead_lease::{Ballot, NoCommand, Presence, RecoveryState, Voters};
@@ -13,89 +13,93 @@
 pub const VOTERS: usize = 3;
 pub const LEASE: Micros = 600;
 pub const STEP: Micros = 100;
-/// Duration of a lasting fault: longer than a lease, and than the time for which a restarted voter stays
-/// silent.
+/// Duration of a pause or partition in steps. It is longer than a lease, and longer than a restarted voter
+/// waits before an election.
 pub const LASTING_FAULT_STEPS: u8 = 13;
-/// Steps in which faults may begin, and steps after which the whole cap must be usable again.
+/// Number of steps in which faults may begin, and number of steps after which the whole cap must be usable
+/// again.
 pub const FAULT_STEPS: u8 = 10;
 pub const TOTAL_STEPS: u8 = 80;
-/// Step from which the second proxy has calls and the first has none.
+/// Step from which on the second active node has calls instead of the first one.
 pub const DEMAND_MOVES_STEP: u8 = 7;
-/// Protocol rule that is disabled, to show that the check detects it.
+/// Rule of the protocol that is disabled, to show that the check would detect its absence.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Mutation {
     None,
-    /// Reports confirm a lowered grant before the process has applied it.
+    /// Reports confirm the next grant, and show neither permits nor calls in flight, whatever the process
+    /// has.
     AssumeConfirmed,
-    /// Reports show no calls in flight.
+    /// Reports show no calls in flight, whatever the process has.
     HideCallsInFlight,
-    /// Delayed grants are applied like the newest one.
+    /// A process applies grants that arrive late as if they were the newest.
     AcceptStaleGrants,
-    /// Grants do not expire.
+    /// A process uses its grant after it has expired.
     IgnoreExpiry,
-    /// A new leader assumes that no process holds permits.
+    /// A new leader assumes that no other process has permits.
     SkipLearning,
-    /// Processes that are not heard of count as exited.
+    /// The leader assumes that a process from which it receives nothing has exited.
     TreatSilentAsExited,
-    /// Every process gets a slot.
+    /// Every process may use its guaranteed minimum, even without a free slot.
     AssignSlotToAll,
-    /// Voters that have lost their state count as recovered.
+    /// Voters that have lost their state take part in elections as if they had it.
     IgnoreLoss,
 }
 
-/// Model state besides the processes.
+/// State of the admission controllers and of the calls, which the protocol's state machines do not contain.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct CallState {
-    /// Last allowance of each process.
+    /// Limits that each node's admission controller applies.
     pub allowances: Vec<Allowance>,
-    /// Calls in flight as pairs of node and end step.
+    /// Node and end step of each call in flight.
     pub calls: Vec<(usize, u8)>,
-    /// Ballot of the leader in the last step.
+    /// Ballot of the leader at its last tick, by which a new leader is recognized.
     pub leader_ballot: Option<Ballot>,
 }
 
 pub type FleetState = flaxhead_rig::SystemState<QuotaApplication, CallState>;
 pub type Fault = flaxhead_rig::Fault<NoCommand>;
 
-/// Processes and their limits.
+/// Nodes of the model, their calls, and the configured limits.
 #[derive(Clone, Copy, Debug)]
 pub struct Topology {
-    /// Number of nodes: the voters first, then proxies that only request grants.
+    /// Number of nodes. The first ones are the voters; the others are proxies that only request grants.
     pub nodes: usize,
     /// Node that has calls at first, and node that has them from `DEMAND_MOVES_STEP` on.
     pub active_nodes: [usize; 2],
     pub cap: u32,
-    /// Calls in flight that the active node wants.
+    /// Number of calls that an active node wants to have in flight.
     pub demand: u32,
-    /// Number of processes with a guaranteed minimum.
+    /// Number of processes that may use their guaranteed minimum.
     pub slots: u32,
-    /// Duration of a call in steps.
+    /// Number of steps that a call takes.
     pub call_steps: u8,
 }
 
-/// Three voters that are proxies themselves. One permit is the minimum of the process with the only slot, the
-/// other is granted.
+/// Three voters that are proxies themselves. One permit is the guaranteed minimum of the process that has the
+/// only slot, and the other one is granted.
 pub const VOTERS_ALONE: Topology =
     Topology { nodes: VOTERS, active_nodes: [0, 1], cap: 2, demand: 2, slots: 1, call_steps: 5 };
-/// Two proxies beside the voters have all calls.
+/// Three voters without calls, and two proxies that have all calls.
 pub const VOTERS_AND_TWO_PROXIES: Topology =
     Topology { nodes: VOTERS + 2, active_nodes: [VOTERS, VOTERS + 1], ..VOTERS_ALONE };
-/// Two proxies beside the voters, with a guaranteed minimum for each process and two permits to grant.
+/// Three voters and two proxies with a guaranteed minimum of one permit each, and two permits that are
+/// granted.
 pub const MINIMUM_FOR_ALL: Topology = Topology { cap: 7, demand: 3, slots: 5, ..VOTERS_AND_TWO_PROXIES };
 
 pub struct FleetModel {
     pub mutation: Mutation,
     pub topology: Topology,
-    /// Maximum number of faults in a history.
+    /// Highest number of faults in one run of the model.
     pub max_faults: u8,
-    /// Whether faults occur between any two messages instead of only between steps.
+    /// Whether a fault can occur between any two messages, or only between two steps.
     pub between_messages: bool,
-    /// Nodes that faults affect.
+    /// Nodes that can be affected by faults.
     pub affected_nodes: Vec<usize>,
     pub initial: FleetState,
 }
 
-/// The first process by name gets the only slot, so proxies beside the voters sort before them.
+/// Returns the name of a node. Names of proxies sort before those of voters, because the first process by
+/// name gets the only slot.
 fn node_name(node: usize) -> Name {
     let kind = if node < VOTERS { "n" } else { "a" };
     Name::new(&format!("{kind}{node}")).expect("valid name")
@@ -154,7 +158,8 @@
         for _ in 0..40 {
             state = fleet.run_step(&state, Fault::Nothing).world;
         }
-        // If no process has any state, all three take the only slot until a leader answers.
+        // Processes that start together without any state each assume the only slot until a leader answers,
+        // so that this violation is expected here.
         let initial_violation =
             (topology.slots == 1).then_some("more processes have a slot than there are slots");
         assert!(
@@ -165,7 +170,7 @@
         fleet
     }
 
-    /// Restricts faults to the first leader and the node that has calls first.
+    /// Limits faults to two nodes: the one that is the leader at first, and the one that has calls at first.
     pub fn restrict_faults(mut self) -> FleetModel {
         let is_leader =
             |node: &usize| self.initial.nodes[*node].leading_ballot(now(self.initial.step)).is_some();
@@ -196,7 +201,7 @@
         }
     }
 
-    /// Number of calls in flight that a node wants in this step.
+    /// Returns how many calls the node wants to have in flight in this step.
     fn demand(&self, state: &FleetState, node: usize) -> u32 {
         let is_before_move = self.initial.step == 0 || state.step < self.initial.step + DEMAND_MOVES_STEP;
         let active_node = self.topology.active_nodes[usize::from(!is_before_move)];
@@ -214,7 +219,7 @@
         }
     }
 
-    /// Applies the mutation to a message.
+    /// Changes a message to node `to` as the mutation requires.
     fn mutate_message(&self, state: &FleetState, to: usize, mut message: Message) -> Message {
         match (&mut message, self.mutation) {
             (Message::Renew(renewal), Mutation::AssumeConfirmed) => {
@@ -325,7 +330,7 @@
     fn crash(&self, state: &mut FleetState, node: usize) {
         let restarted = machine(&self.topology, node, state);
         (state.nodes[node], state.environment.allowances[node]) = (restarted, Allowance::default());
-        // The calls in flight are lost with the process.
+        // Calls in flight end with the process that has them.
         state.environment.calls.retain(|(call_node, _)| *call_node != node);
         state.environment.allowances[node] = state.nodes[node].application_mut().allowance(now(state.step));
     }
@@ -334,7 +339,7 @@
         match found {}
     }
 
-    /// Waiting calls start before any message arrives.
+    /// After a pause, a node starts calls before it handles any message.
     fn resume(&self, state: &mut FleetState, node: usize) {
         self.start_calls(state, node);
         self.check_invariants(state);
@@ -355,7 +360,7 @@
         .count() as u32
 }
 
-/// Permits that the admission controller of a node has now.
+/// Returns the permits that the admission controller of a node may use now.
 pub fn permitted(state: &FleetState, mutation: Mutation, node: usize) -> u32 {
     let allowance = &state.environment.allowances[node];
     if mutation == Mutation::IgnoreExpiry {
--- a/quota/tests/restarts.rs
+++ b/quota/tests/restarts.rs
@@ -1,5 +1,5 @@
-//! Simulated restarts of whole fleets with current, lost or outdated persistent state, checked against the
-//! caps throughout.
+//! Simulated restarts of a whole fleet with stored state that is complete, partly lost or entirely lost. At
+//! each step, the permits of all processes are checked against the caps.
 #![expect(clippy::cast_possible_truncation, reason = "the counts of a test are small")]
 
 mod fleet;
@@ -17,7 +17,8 @@
 const NODE_COUNT: usize = 8;
 const LEASE: u64 = 6 * SECOND;
 
-/// Returns a fleet with persistent storage and unmet demand, in which all permits are granted.
+/// Returns a fleet that stores its state and wants more permits than there are, after all permits have been
+/// granted.
 fn fully_granted_fleet(seed: u64, loss_ratio: f64) -> Fleet {
     let mut fleet = Fleet::new(Scenario {
         processes: NODE_COUNT,
@@ -55,7 +56,7 @@
         .collect()
 }
 
-/// Returns the time until all permits of each cap may be used, at most 60 s.
+/// Returns the time until all permits of every cap may be used; 60 s if that takes longer.
 fn time_until_fully_granted(fleet: &mut Fleet) -> u64 {
     let started_at = fleet.now;
     let is_fully_granted =
@@ -66,10 +67,10 @@
     fleet.now - started_at
 }
 
-/// Restarts `nodes` at the same time, with their persistent state where `keeps_state` is true. Returns the
-/// time until all permits are granted again.
+/// Stops the processes `nodes` and starts them a second later; a process for which `keeps_state` is true has
+/// its stored state. Returns the time until all permits of every cap may be used again.
 fn restart(fleet: &mut Fleet, nodes: std::ops::Range<usize>, keeps_state: impl Fn(usize) -> bool) -> u64 {
-    // Voters learn with the next renewal that the state is complete.
+    // Voters store with their next lease renewal that their state is complete.
     fleet.run(2 * LEASE);
     let found: Vec<_> =
         (0..NODE_COUNT).map(|node| fleet.persistent_state(node).filter(|_| keeps_state(node))).collect();
@@ -79,8 +80,8 @@
     time_until_fully_granted(fleet)
 }
 
-/// Guards against a recovery that waits for a lease and the longest call, which is only needed without the
-/// state.
+/// Guards against a leader that, after a restart with the stored state of most voters, waits for earlier
+/// grants and calls to end. That is only needed if the state is lost.
 #[test]
 fn with_the_state_of_most_voters_all_permits_return_within_two_leases() {
     for seed in 1..=5 {
@@ -94,7 +95,8 @@
             [with_state, all_but_one_restarted, with_one_state_lost, with_all_states_lost]
                 .map(|elapsed| elapsed / (SECOND / 10))
         );
-        // The restarted leader waits for silence only, unless several elections fail.
+        // After a restart, voters only wait for one lease before an election; the second lease is time for
+        // repeated elections.
         assert!(
             [with_state, all_but_one_restarted, with_one_state_lost]
                 .iter()
@@ -105,7 +107,8 @@
     }
 }
 
-/// Guards against caps exceeded, or permits lost for good, by restarts with partly lost state.
+/// Guards against a cap that is exceeded, or permits that are never granted again, after restarts with partly
+/// lost state.
 #[test]
 fn restarts_with_partly_lost_state_and_lost_messages_never_exceed_a_cap() {
     for seed in 1..=12_usize {
@@ -120,8 +123,8 @@
     }
 }
 
-/// Shows why grants are not persisted: a stored grant may have been lowered, or given to another process,
-/// while it is still valid by its time.
+/// Shows why a restarted process must not use a stored grant: within the validity of the grant, its permits
+/// may have been granted to another process.
 #[test]
 fn a_stored_grant_may_belong_to_another_process_within_its_lease() {
     let mut fleet = fully_granted_fleet(1, 0.0);
@@ -139,7 +142,8 @@
     assert!(fleet.total_usable(tenant) + stored_permits > cap, "the stored grant would exceed the cap");
 }
 
-/// Guards against voters that all start an election at the same moment after a common restart.
+/// Guards against voters that start their elections at the same moment after a common restart, and so prevent
+/// each other from winning.
 #[test]
 fn voters_with_state_that_start_together_attempt_elections_one_at_a_time() {
     let mut fleet = fully_granted_fleet(1, 0.0);
--- a/quota/tests/wire_format.rs
+++ b/quota/tests/wire_format.rs
@@ -1,5 +1,5 @@
-//! Encoded bytes of the reports and grants of tenant quotas. postcard encodes fields and variants by
-//! position, so these bytes must not change.
+//! Encoding of reports and grants in the messages of the lease protocol. postcard encodes fields and variants
+//! by position, so that these bytes change if one is moved or inserted.
 
 use flaxhead_lease::{
     LeaseGrant, Message, PersistentState, Promise, Renewal, Roster, Version, Versioned, VoterSetHashes,
@@ -111,7 +111,8 @@
     assert_eq!(actual.to_vec(), expected);
 }
 
-/// Guards against builds that compute different digests of the same configuration.
+/// Guards against a build with another digest for the same configuration: processes of two builds would take
+/// their configurations for different ones.
 #[test]
 fn the_config_digest_keeps_its_value() {
     assert_eq!(registry().digest, EXPECTED_DIGEST);
