--- a/quota/benches/shares.rs
+++ b/quota/benches/shares.rs
@@ -72,8 +72,8 @@
 }
 
 /// Sets the demand of a round. A quarter of the tenants, a different one in each round, has no demand. All
-/// other tenants have calls at one half of the processes, and change to the other half after two rounds. So
-/// permits have to move both between tenants and between processes.
+/// other tenants have calls at one half of the processes, and change to the other half after two rounds. This
+/// moves permits between tenants and between processes.
 fn set_round_demands(fleet: &mut Fleet, processes: usize, round: usize) {
     for tenant in 0..fleet.registry().tenants.len() {
         let is_idle = (tenant + round).is_multiple_of(4);
@@ -108,7 +108,8 @@
             let caps = fleet.registry().tenants.iter().enumerate();
             violations +=
                 u32::from(caps.clone().any(|(i, t)| t.cap.is_some_and(|cap| fleet.in_flight(i) > cap)));
-            // The deviation is calculated from the mean of the last four samples.
+            // Deviations are calculated from the mean of the last four samples, so that single calls matter
+            // less.
             samples.push((0..fair.len()).map(|i| f64::from(fleet.in_flight(i))).collect::<Vec<f64>>());
             samples.drain(..samples.len().saturating_sub(4));
             let averages = (0..fair.len()).map(|i| samples.iter().map(|sample| sample[i]).sum::<f64>() / 4.0);
@@ -145,9 +146,9 @@
     let scenario = scenario(processes, mode, 2);
     let capacity = scenario.hosts as u32 * scenario.calls_per_host * 9 / 10;
     let mut fleet = Fleet::new(scenario);
-    let (owner, lender) = (2, 3);
+    let (owner, borrower) = (2, 3);
     for node in 0..processes {
-        fleet.set_demand(node, lender, 40);
+        fleet.set_demand(node, borrower, 40);
     }
     fleet.run(40 * SECOND);
     let mut elapsed_secs = Vec::new();
--- a/quota/src/admission/fair_order.rs
+++ b/quota/src/admission/fair_order.rs
@@ -1,4 +1,4 @@
-//! Order in which tenants with queued calls get permits, by how far each is behind its share.
+//! Order in which tenants with queued calls get permits, by how far each tenant is behind its share.
 //!
 //! As in deficit round robin (Shreedhar and Varghese, "Efficient fair queueing using deficit round robin",
 //! 1995), each tenant has a deficit, which grows in proportion to its weight and shrinks by one with each
@@ -7,12 +7,12 @@
 //! are not ahead of their share (Tijdeman, "The chairman assignment problem", 1980; Baruah et al.,
 //! "Proportionate progress", 1996). This keeps all deficits at one call or less.
 
-/// Differences up to this many calls are attributed to rounding.
+/// Tolerance for rounding errors in comparisons between tenants.
 const ROUNDING_TOLERANCE_CALLS: f64 = 1e-9;
 
 struct Candidate {
     tenant: usize,
-    /// Number of calls that the tenant is behind its share; negative: ahead of it.
+    /// Number of calls that the tenant is behind its share; negative: the tenant is ahead of its share.
     deficit: f64,
     weight: f64,
 }
@@ -27,14 +27,14 @@
         FairOrder(vec![0.0; tenants])
     }
 
-    /// Sets all deficits to 0, because deficits under other weights have no meaning.
+    /// Sets all deficits to 0, because deficits that grew by earlier weights have no meaning under new ones.
     pub fn reset(&mut self) {
         self.0.fill(0.0);
     }
 
     /// Chooses the tenant whose queued call is admitted next; `None`: no tenant has queued calls. `weight`
     /// returns the weight of a tenant that has queued calls, and `None` for other tenants. A tenant without
-    /// queued calls gains no positive deficit; a negative one moves towards 0 in proportion to its
+    /// queued calls gains no positive deficit; its negative deficit moves towards 0 in proportion to its
     /// `idle_weight`.
     pub fn next(
         &mut self,
@@ -57,8 +57,8 @@
             deficits
                 .filter_map(|(tenant, &deficit)| Some(Candidate { tenant, deficit, weight: weight(tenant)? }))
         };
-        // If all tenants with queued calls are ahead of their shares, the deficits grow until the first of
-        // these tenants is not.
+        // If all tenants with queued calls are ahead of their shares, all deficits first grow until one of
+        // these tenants is no longer ahead.
         let time_ahead =
             |candidate: &Candidate| (-candidate.deficit / candidate.weight - 1.0 / total_weight).max(0.0);
         let skipped_time = candidates().map(|candidate| time_ahead(&candidate)).min_by(f64::total_cmp)?;
--- a/quota/src/admission/fair_order/tests.rs
+++ b/quota/src/admission/fair_order/tests.rs
@@ -1,6 +1,7 @@
 use super::*;
 
-/// Guards against an order in which a tenant gets a call more or less than its share at some moment.
+/// Guards against serving tenants in fixed rounds, which puts some of them more than one call ahead of their
+/// share or behind it.
 #[test]
 fn waiting_tenants_get_their_share_to_within_one_call_at_any_time() {
     for weights in
--- a/quota/src/admission/mod.rs
+++ b/quota/src/admission/mod.rs
@@ -1,7 +1,8 @@
-//! Admission control ahead of the load balancer: new calls of a tenant are admitted, queued or rejected by
-//! the permits that the process may use for the tenant.
+//! Admission control ahead of the load balancer: new calls of a tenant are admitted, queued or rejected,
+//! depending on the permits that the process may use for the tenant.
 //!
-//! It performs no I/O and reads no clock. Calls in flight are never aborted because of a quota.
+//! Admission control performs no I/O and reads no clock. Calls in flight are never aborted because of a
+//! quota.
 
 mod fair_order;
 mod queue;
@@ -25,8 +26,8 @@
 }
 
 impl ClassTiming {
-    /// Time before a call's deadline at which it leaves the queue, because it could no longer be answered in
-    /// time: the latency objective, but at most half of the deadline.
+    /// Returns how long before its deadline a queued call is rejected, because a response could no longer
+    /// arrive in time: the latency objective, but at most half of the deadline.
     fn reserved(&self) -> Micros {
         self.latency_objective.min(self.deadline / 2)
     }
@@ -84,7 +85,7 @@
     },
 }
 
-/// Result of [`AdmissionController::request`] for a new call.
+/// Immediate answer to a new call: its verdict, or a handle of the queued call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionDecision {
     /// The call is admitted or rejected immediately.
@@ -105,7 +106,7 @@
 /// Verdicts on queued calls, in the order in which the controller reached them.
 pub type Verdicts = Vec<QueuedVerdict>;
 
-/// Time at which a queued call is rejected, as its deadline comes too close.
+/// Time at which a queued call is rejected, because too little time until its deadline is left.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct QueueTimeout {
     at: Micros,
@@ -125,9 +126,9 @@
     /// Permits in use by all tenants together.
     in_flight: u32,
     release_rate: ReleaseRate,
-    /// Order among tenants that use fewer permits than their fair share, and among those that use as many or
-    /// more.
+    /// Order among tenants that use fewer permits than their part of the fair share.
     below_share_order: FairOrder,
+    /// Order among tenants that use at least their part of the fair share.
     above_share_order: FairOrder,
     /// Timeouts of all queued calls, the earliest first.
     queue_timeouts: BTreeSet<QueueTimeout>,
@@ -281,7 +282,7 @@
         tenant.map_or(last, |tenant| tenant.min(last))
     }
 
-    /// Returns whether a call of the tenant could start now, apart from queued calls before it.
+    /// Returns whether a call of the tenant could start now, apart from the calls that are queued before it.
     fn has_permit(&self, now: Micros, tenant: usize) -> bool {
         let total = self.allowance.total(now);
         total.is_none_or(|total| self.in_flight < total) && self.is_below_cap(now, tenant)
@@ -360,8 +361,9 @@
         Some(call)
     }
 
-    /// Selects the tenant whose first queued call is admitted next. Tenants that use less than their fair
-    /// share take precedence, so that released permits return to the tenants that had lent them.
+    /// Selects the tenant whose first queued call is admitted next; `None`: no queued call can be admitted.
+    /// Tenants that use fewer permits than their part of the fair share take precedence, so that released
+    /// permits return to the tenants that had lent them.
     fn next_tenant(&mut self, now: Micros) -> Option<usize> {
         let AdmissionController {
             queues, allowance, in_flight, below_share_order, above_share_order, ..
@@ -409,7 +411,7 @@
         cap_wait.max(total_wait)
     }
 
-    /// Returns the total weight of all tenants with queued calls and of `tenant`.
+    /// Returns the sum of the weights of `tenant` and of all other tenants with queued calls.
     fn queued_weight(&self, tenant: usize) -> f64 {
         let waits = |(index, queue): &(usize, &TenantQueue)| *index == tenant || !queue.is_empty();
         self.queues.iter().enumerate().filter(waits).map(|(_, queue)| queue.weight()).sum()
--- a/quota/src/admission/queue.rs
+++ b/quota/src/admission/queue.rs
@@ -7,9 +7,9 @@
 /// Statistics of one tenant at one process, for the status pages.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct QueueStats {
-    /// Permits in use now, including those of hedged requests.
+    /// Number of permits in use now, including those of hedged requests.
     pub in_flight: u32,
-    /// Calls that wait for a permit now.
+    /// Number of calls queued for a permit now.
     pub queued: u32,
     /// Number of calls admitted since the start of the process.
     pub admitted: u64,
@@ -30,9 +30,9 @@
     pub admitted: u64,
     pub rejected: u64,
     pub denied_hedges: u64,
-    /// Highest number of calls in flight and queued together, and number of rejected calls, since the last
-    /// report.
+    /// Highest number of calls in flight and queued together since the last report.
     peak: u32,
+    /// Number of calls rejected since the last report.
     rejected_since_report: u32,
 }
 
@@ -45,8 +45,9 @@
         self.queued.is_empty()
     }
 
-    /// Returns whether the tenant uses fewer permits than its fair share. A share of 0 counts as 1, so that a
-    /// tenant whose demand the leader does not know yet gets a first permit before tenants above their share.
+    /// Returns whether the tenant uses fewer permits than its part of the fair share. A part of 0 counts as
+    /// 1, so that a tenant whose demand the leader does not know yet gets a first permit before tenants above
+    /// their part.
     pub fn is_below_fair_share(&self) -> bool {
         self.in_flight < self.fair_share.max(1)
     }
@@ -87,7 +88,7 @@
         self.queued.pop_first()
     }
 
-    /// Removes a call. Returns its timeout; `None`: it was not queued.
+    /// Removes a call. Returns its timeout; `None`: the call was not queued.
     pub fn remove(&mut self, arrival_number: u64) -> Option<Micros> {
         self.queued.remove(&arrival_number)
     }
--- a/quota/src/admission/release_rate.rs
+++ b/quota/src/admission/release_rate.rs
@@ -29,8 +29,8 @@
         self.count * (-(now.saturating_sub(self.updated_at) as f64) / span as f64).exp()
     }
 
-    /// Returns the shortest time in which `permits` can be expected to be released: the estimate assumes one
-    /// more release than was observed.
+    /// Returns the expected time until `permits` permits are released. The estimate is a lower bound: it
+    /// assumes one more release than was observed.
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
--- a/quota/src/application.rs
+++ b/quota/src/application.rs
@@ -40,9 +40,9 @@
         QuotaApplication { local, timing, usage: Usage::default(), wants_early_renewal: false }
     }
 
-    /// Returns the time spans of the lease protocol. No process waits for operators after the state of all
-    /// voters is lost (`operator_timeout` is 0), because a new leader only renews the permits that processes
-    /// report until all earlier grants have expired.
+    /// Returns the time spans of the lease protocol. `operator_timeout` is 0, because operators have nothing
+    /// to declare after a loss of all state: a new leader only renews permits that processes report, until
+    /// all earlier grants have expired.
     pub fn config(timing: &QuotaTiming) -> Config {
         Config {
             lease_duration: timing.lease,
@@ -53,8 +53,9 @@
         }
     }
 
-    /// Sets the calls at the process at `now`. The peaks and counts of `usage` cover the time since the
-    /// previous call of this function; they are combined until the next report is sent.
+    /// Updates the usage that the next report shows, as of `now`. Peaks and counts in `usage` cover the time
+    /// since the previous call of this function; until the report is sent, peaks are combined by their
+    /// maximum, and counts are added up.
     pub fn set_usage(&mut self, now: Micros, usage: Usage) {
         let before = std::mem::replace(&mut self.usage, usage);
         for (tenant, before) in self.usage.tenants.iter_mut().zip(&before.tenants) {
@@ -77,8 +78,8 @@
         self.local.allowance(now)
     }
 
-    /// Returns when [`QuotaApplication::allowance`] next changes if no grant arrives before; `None`: it does
-    /// not change.
+    /// Returns when [`QuotaApplication::allowance`] next changes if no grant arrives until then; `None`: it
+    /// does not change.
     pub fn next_change(&self, now: Micros) -> Option<Micros> {
         self.local.next_change(now)
     }
@@ -88,7 +89,8 @@
         self.local.slot()
     }
 
-    /// Returns the newest grant or leader's ballot that the process knows; `None`: no leader is known.
+    /// Returns the version of the newest grant or of the newest leader that the process knows; `None`: it
+    /// knows no leader.
     pub fn grant_version(&self) -> Option<&GrantVersion> {
         self.local.grant_version()
     }
@@ -105,7 +107,7 @@
     type Event = String;
 
     const MAX_STATE_BYTES: usize = 0;
-    // Enough for the highest number of tenants, with their names if configurations differ.
+    // Room for the highest number of tenants, and for their names if the process reports its configuration.
     const MAX_REPORT_BYTES: usize = 1 << 15;
     const MAX_GRANT_BYTES: usize = 1 << 13;
     const MAX_COMMAND_BYTES: usize = 0;
--- a/quota/src/capacity.rs
+++ b/quota/src/capacity.rs
@@ -2,27 +2,28 @@
 //!
 //! A host that is ready and answers calls carries `calls_per_host` calls, scaled by its size and by the
 //! progress of its warm-up. Because the configured figure can be too high, the sum is multiplied by a learned
-//! ratio. The ratio falls if hosts reject many attempts for being full, and rises otherwise. Source: additive
-//! increase, multiplicative decrease (Chiu and Jain, Computer Networks and ISDN Systems 17, 1989).
+//! ratio. The ratio falls if hosts reject many attempts because they are full, and rises otherwise. Source:
+//! additive increase, multiplicative decrease (Chiu and Jain, Computer Networks and ISDN Systems 17, 1989).
 
 use crate::registry::TenantRegistry;
 use flaxhead_lease::Micros;
 
 const FULL_PER_MILLE: u32 = 1_000;
 const MIN_RATIO_PER_MILLE: u32 = FULL_PER_MILLE / 4;
-/// Amount by which the ratio rises after a window without many rejected attempts.
+/// Amount by which the learned ratio rises after a window with few rejected attempts.
 const INCREASE_PER_MILLE: u32 = 10;
-/// Divisor for the decrease: the ratio falls by this fraction of itself after a window with many rejected
-/// attempts.
+/// Divisor for the decrease: the learned ratio falls by this fraction of itself after a window with many
+/// rejected attempts.
 const DECREASE_DIVISOR: u32 = 8;
-/// Number of attempts of which one may be rejected; more rejected attempts lower the ratio.
+/// Number of attempts among which one rejected attempt is tolerated. If hosts reject more attempts than that,
+/// the learned ratio falls.
 const ATTEMPTS_PER_TOLERATED_REJECTION: u64 = 50;
-/// Number of attempts in a window below which rejected attempts do not lower the ratio.
+/// Number of attempts in a window below which rejected attempts do not lower the learned ratio.
 const MIN_ATTEMPT_COUNT: u64 = 20;
-/// Time over which attempts are counted before the ratio changes.
+/// Time over which attempts are counted before the learned ratio is adjusted.
 const REPORT_WINDOW: Micros = 1_000_000;
-/// Divisor for the units of the factors: size, warm-up and ratio are in thousandths, and the margin is in
-/// percent.
+/// Divisor for the product of size, warm-up and learned ratio, which are in thousandths, and the percentage
+/// that the margin leaves.
 const CAPACITY_SCALE: u128 = 1_000 * 1_000 * 1_000 * 100;
 
 /// State of one host that determines how many calls it carries.
@@ -49,7 +50,7 @@
 }
 
 impl LearnedCapacity {
-    /// Starts with a ratio of 1, and with a window that begins at `now`.
+    /// Starts with a learned ratio of 1, and with a window that begins at `now`.
     pub fn new(now: Micros) -> LearnedCapacity {
         LearnedCapacity { ratio_per_mille: FULL_PER_MILLE, window_started_at: now, attempts: 0, rejected: 0 }
     }
@@ -59,8 +60,8 @@
         self.ratio_per_mille
     }
 
-    /// Counts attempts that ended, and those of them that hosts rejected. Adjusts the ratio if the window is
-    /// over.
+    /// Counts the attempts that a process has reported as ended, and how many of them hosts rejected. At the
+    /// end of a window, adjusts the learned ratio and starts a new window.
     pub fn record(&mut self, now: Micros, attempts: u32, rejected: u32) {
         self.attempts += u64::from(attempts);
         self.rejected += u64::from(rejected.min(attempts));
--- a/quota/src/capacity/tests.rs
+++ b/quota/src/capacity/tests.rs
@@ -37,7 +37,7 @@
         learned.record(second * REPORT_WINDOW, 100, 0);
     }
     assert_eq!(learned.ratio_per_mille(), FULL_PER_MILLE);
-    // Too few attempts in the window to lower the ratio.
+    // The window has too few attempts for the learned ratio to fall.
     learned.record(300 * REPORT_WINDOW, MIN_ATTEMPT_COUNT as u32 - 1, MIN_ATTEMPT_COUNT as u32 - 1);
     assert_eq!(learned.ratio_per_mille(), FULL_PER_MILLE);
 }
--- a/quota/src/ledger/effective_config.rs
+++ b/quota/src/ledger/effective_config.rs
@@ -10,23 +10,24 @@
 struct EffectiveCap {
     /// Lowest configured cap; `None`: no process has configured a cap for the tenant.
     cap: Option<u32>,
-    /// Lowest configured guaranteed minimum, from the processes that cap the tenant; `u32::MAX`: no process
-    /// does.
+    /// Lowest guaranteed minimum among the configurations that set a cap for the tenant; `u32::MAX`: none
+    /// sets one.
     guaranteed: u32,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct EffectiveConfig {
     caps: Vec<EffectiveCap>,
-    /// Highest and lowest [`ReportedConfig::max_proxies`] of all processes. The highest sets how many
-    /// minimums are kept out of the pool, the lowest how many slots there are.
+    /// Highest `max_proxies` of all configurations. This many guaranteed minimums are set aside from each
+    /// cap, and the rest of the cap can be granted.
     most_proxies: u32,
+    /// Lowest `max_proxies` of all configurations, which is the number of slots.
     fewest_proxies: u32,
 }
 
 impl EffectiveConfig {
-    /// Returns the limits of the leader's own configuration, for the time before any process has reported
-    /// another one.
+    /// Returns the limits of the leader's own configuration, for the time before any process has reported a
+    /// configuration that differs.
     pub fn new(registry: &TenantRegistry) -> EffectiveConfig {
         EffectiveConfig::combine(registry, [])
     }
@@ -62,13 +63,12 @@
         }
     }
 
-    /// Returns the number of processes that may use their guaranteed minimums, which is the lowest configured
-    /// number of processes.
+    /// Returns the number of slots, that is, of processes that may use their guaranteed minimums.
     pub fn slots(&self) -> usize {
         self.fewest_proxies as usize
     }
 
-    /// Returns the lowest configured cap of a tenant of the leader's registry; `None`: no cap.
+    /// Returns the lowest configured cap of a tenant of the leader's registry; `None`: the tenant has no cap.
     pub fn cap(&self, tenant: usize) -> Option<u32> {
         self.caps.get(tenant)?.cap
     }
@@ -79,8 +79,8 @@
         self.caps.get(tenant).filter(|cap| cap.cap.is_some()).map_or(0, |cap| cap.guaranteed)
     }
 
-    /// Returns the permits of a cap that can be granted, after the guaranteed minimums of all processes are
-    /// set aside; `None`: no cap.
+    /// Returns how many permits of a tenant's cap can be granted: those that are left when the guaranteed
+    /// minimums of all processes are set aside; `None`: the tenant has no cap.
     pub fn pool(&self, tenant: usize) -> Option<u32> {
         let guaranteed = self.guaranteed(tenant).saturating_mul(self.most_proxies);
         Some(self.cap(tenant)?.saturating_sub(guaranteed))
--- a/quota/src/ledger/mod.rs
+++ b/quota/src/ledger/mod.rs
@@ -17,16 +17,16 @@
 
 const MICROS_PER_MILLI: Micros = 1_000;
 
-/// Permits that a leader has granted to each process, and may still grant. A ledger exists only while its
-/// process is the leader: the next leader builds a new one from the reports of all processes. All times are
-/// by the leader's clock.
+/// Permits that a leader has granted to each process, and those that it can still grant. A ledger exists only
+/// while its process is the leader: the next leader builds a new one from the reports of all processes. All
+/// times are by the leader's clock.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct QuotaLedger {
     registry: TenantRegistry,
     timing: QuotaTiming,
     ballot: Ballot,
     started_at: Micros,
-    /// Processes that may hold permits of an earlier leader, and have not yet reported them to this one;
+    /// Processes that may hold permits of an earlier leader, and have not yet reported them to this leader;
     /// `None`: no list of these processes is known.
     awaited: Option<BTreeSet<Process>>,
     entries: BTreeMap<Process, ProcessEntry>,
@@ -45,7 +45,8 @@
     pub process: &'a Process,
     /// Guaranteed minimum in permits; 0 without a slot.
     pub guaranteed: u32,
-    /// Permits granted beyond the guaranteed minimum, or calls in flight beyond it if there are more of them.
+    /// Number of permits beyond the guaranteed minimum that the process may use, or has in use if that is
+    /// more.
     pub granted: u32,
     /// Calls of the tenant by the process's last report.
     pub usage: TenantUsage,
@@ -135,7 +136,7 @@
         self.effective = EffectiveConfig::combine(&self.registry, others);
     }
 
-    /// Updates the capacity, of which tenants get fair shares, from the state of all hosts.
+    /// Updates the capacity of all hosts together, which is divided into the fair shares of tenants.
     pub fn set_hosts<'a>(&mut self, hosts: impl IntoIterator<Item = &'a HostCapacity>) {
         let capacity = fleet_capacity(&self.registry, hosts, self.learned.ratio_per_mille());
         if self.capacity != capacity {
@@ -184,8 +185,8 @@
         }
     }
 
-    /// Returns the permits of a tenant that can be granted to `process` if all other processes use every
-    /// permit that they may use.
+    /// Returns how many permits of a tenant can be granted to `process` if each of the other processes uses
+    /// every permit that it may use. Guaranteed minimums are not counted.
     fn available(&self, now: Micros, tenant: usize, process: &Process) -> u32 {
         let others = self.entries.iter().filter(|(other, _)| *other != process);
         let used = others.map(|(_, entry)| u64::from(self.max_permits(now, tenant, entry))).sum::<u64>();
@@ -193,8 +194,8 @@
         u32::try_from(pool.saturating_sub(used)).unwrap_or(u32::MAX)
     }
 
-    /// Returns the highest number of permits of a tenant that a process may use or has in flight, beyond its
-    /// guaranteed minimum.
+    /// Returns how many permits of a tenant a process may use beyond its guaranteed minimum, or has in use
+    /// beyond it if that is more.
     fn max_permits(&self, now: Micros, tenant: usize, entry: &ProcessEntry) -> u32 {
         let has_minimum = entry.reported_slot == Slot::Assigned;
         let guaranteed = if has_minimum { self.effective.guaranteed(tenant) } else { 0 };
@@ -220,7 +221,7 @@
         self.capacity.and_then(|_| self.targets.fair_shares.get(tenant).copied())
     }
 
-    /// Returns the permits and calls of a tenant at each known process.
+    /// Returns the permits and calls of a tenant at each process that the leader knows.
     pub(crate) fn usages(&self, now: Micros, tenant: usize) -> impl Iterator<Item = ProcessUsage<'_>> {
         self.entries.iter().map(move |(process, entry)| ProcessUsage {
             process,
--- a/quota/src/ledger/process_entry.rs
+++ b/quota/src/ledger/process_entry.rs
@@ -1,4 +1,4 @@
-//! The leader's record of one process: its last report, and the grants that it has not confirmed yet.
+//! The leader's record of one process: its last report, and the grants that it may still use.
 
 use crate::registry::TenantRegistry;
 use crate::report::{GrantVersion, QuotaReport, ReportedConfig, Slot, TenantUsage};
@@ -6,21 +6,25 @@
 use flaxhead_lease::{Ballot, Micros};
 use std::collections::VecDeque;
 
-/// Number of unconfirmed grants at which the leader repeats the last one, until the process confirms a grant.
+/// Number of grants in [`ProcessEntry::unconfirmed`] from which on the leader extends the last grant instead
+/// of issuing a new one.
 const MAX_UNCONFIRMED_COUNT: usize = 8;
 /// Number of tenants above which a reported configuration is ignored.
 const MAX_TENANT_COUNT: usize = 256;
 
-/// Grant that has been sent to the process, which may use its permits from then on.
+/// Grant that the leader has sent to the process.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct IssuedGrant {
     seq: u64,
+    /// Permits beyond the guaranteed minimums, by tenant.
     permits: Vec<u32>,
-    /// Time by which the grant has expired even if the process's clock is slow, by the leader's clock.
+    /// Latest time, by the leader's clock, at which the grant expires at the process, whose clock may be
+    /// slow.
     expires_at: Micros,
 }
 
-/// Order of the reports of one process: by the time of sending, then by the grant that the process had.
+/// Sort key of one process's reports, by which the leader recognizes outdated ones: the time of sending, then
+/// the grant that the process had.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) struct ReportVersion {
     /// Time at which the process sent the report, by the process's clock.
@@ -34,39 +38,44 @@
     pub last_report: Option<ReportVersion>,
     /// Time at which the last report arrived, by the leader's clock; `None`: no report has arrived.
     pub last_report_at: Option<Micros>,
-    /// Whether the process has reported its permits to this leader, after which it ignores grants of earlier
+    /// Whether the process has reported its permits to this leader. From then on it ignores grants of earlier
     /// leaders.
     pub has_reported_permits: bool,
     /// Highest [`GrantVersion::seq`] of this leader's grants that a report has confirmed.
     confirmed_seq: u64,
-    /// Permits that the last report listed as granted, and the latest time at which that grant expires.
+    /// Permits, by tenant, of the grant that the process used according to its last report.
     reported_grant: Vec<u32>,
+    /// Latest time, by the leader's clock, at which the grant of `reported_grant` expires.
     reported_grant_expires_at: Micros,
     in_flight: Vec<u32>,
+    /// Grants of this leader that the process may use, the oldest first: the newest grant that a report has
+    /// confirmed, and all grants that were issued after it.
     unconfirmed: VecDeque<IssuedGrant>,
     pub reported_slot: Slot,
     /// Whether the last grant let the process use its guaranteed minimums.
     pub has_slot: bool,
-    /// Permits needed by tenant according to the last report, and to the one before if both count as one
-    /// report ([`QuotaTiming::coalescing_window`]).
+    /// Demand for each tenant, in permits, by the last report.
     demand: Vec<u32>,
+    /// Demand by the report before the last one, if both arrived within [`QuotaTiming::coalescing_window`]
+    /// and so count as one report; otherwise empty.
     coalesced_demand: Vec<u32>,
     pub usage: Vec<TenantUsage>,
-    /// Permits that the leader wants to grant beyond the guaranteed minimums, and the process's parts of the
-    /// fair shares, by tenant in the leader's order.
+    /// Permits beyond the guaranteed minimums that the leader's allocation gives to the process, by tenant in
+    /// the leader's order.
     pub target: Vec<u32>,
+    /// Part of each tenant's fair share that falls to the process, in permits, in the leader's order.
     pub fair_shares: Vec<u32>,
     /// Configuration of the process; `None`: the same as the leader's.
     pub config: Option<ReportedConfig>,
-    /// Index in the leader's registry of each tenant of the process, in the process's order; `None` as a
-    /// whole: the configurations are the same; `None` for a tenant: the leader does not have it.
+    /// For each tenant of the process, in the process's order, its index in the leader's registry, or `None`
+    /// if the leader does not have the tenant. `None` instead of the list: both configurations are the same.
     tenant_indices: Option<Vec<Option<usize>>>,
     tenant_count: usize,
 }
 
 impl ProcessEntry {
-    /// Finds out in which order the process reports its tenants. Returns `false` if the process has another
-    /// configuration that it has not reported yet.
+    /// Finds out in which order the process reports its tenants. Returns `false` if the process's
+    /// configuration differs from the leader's and has not been reported yet.
     pub fn identify_config(&mut self, registry: &TenantRegistry, report: &QuotaReport) -> bool {
         self.tenant_count = registry.tenants.len();
         if report.digest == registry.digest {
@@ -81,7 +90,7 @@
     }
 
     /// Stores the configuration of the process if it differs from the leader's. Returns whether the stored
-    /// one has changed.
+    /// configuration has changed.
     pub fn store_config(&mut self, report: &QuotaReport) -> bool {
         let config = match self.tenant_indices {
             None => None,
@@ -114,8 +123,8 @@
         indices.iter().map(value).collect()
     }
 
-    /// Records a report. Its permits are only used if they were granted under `ballot` and if
-    /// `is_config_known`, that is, the order of its tenants is known.
+    /// Records a report. Its permits are only used if the process follows this leader, whose ballot is
+    /// `ballot`, and if `is_config_known`, that is, the order of the process's tenants is known.
     pub fn record(
         &mut self,
         now: Micros,
@@ -144,15 +153,16 @@
             now + QuotaTiming::with_max_drift(report.grant_left.min(timing.lease));
     }
 
-    /// Returns the permits of a tenant that the process needs. Reports carry the peak since the previous
-    /// report, so that a short drop in demand between two reports moves no permits.
+    /// Returns the demand of the process for a tenant, in permits: the higher one if two reports count as
+    /// one. Reports carry the peak since the previous report, so that a short drop in demand moves no
+    /// permits.
     pub fn demand(&self, tenant: usize) -> u32 {
         let demands = [&self.demand, &self.coalesced_demand];
         demands.iter().filter_map(|demand| demand.get(tenant)).copied().max().unwrap_or(0)
     }
 
-    /// Returns the permits that the process may use now: those of the last unconfirmed grant, or those that
-    /// it has reported if all grants are confirmed.
+    /// Returns the permits beyond the guaranteed minimums that the process may use now: those of the last
+    /// grant of this leader, or the reported ones if this leader has issued no grant to the process.
     pub fn current_permits(&self, now: Micros) -> Vec<u32> {
         if let Some(last) = self.unconfirmed.back() {
             return last.permits.clone();
@@ -164,8 +174,10 @@
         }
     }
 
-    /// Returns the highest number of permits of a tenant that the process may use or has in flight, beyond
-    /// its `guaranteed` minimum. Counts unconfirmed grants, the reported grant and the reported calls.
+    /// Returns how many permits of a tenant the process may use beyond `guaranteed`, its guaranteed minimum,
+    /// or has in use beyond it if that is more. The result is the maximum of the permits in issued grants
+    /// that the process may still use, of those in the reported grant, and of the reported calls in flight
+    /// beyond the minimum.
     pub fn max_permits(&self, now: Micros, tenant: usize, guaranteed: u32, timing: &QuotaTiming) -> u32 {
         // A call admitted just before its permit expired can stay in flight for the maximum call duration.
         let max_call_duration = QuotaTiming::with_max_drift(timing.max_call_duration);
@@ -185,8 +197,8 @@
         issued.max(reported).max(in_flight)
     }
 
-    /// Records a grant of `permits`, and returns its [`GrantVersion::seq`]. Extends the last grant instead if
-    /// that has the same permits, or if too many grants are unconfirmed.
+    /// Records a grant of `permits`, and returns its [`GrantVersion::seq`]. If the last grant has the same
+    /// permits, or too many grants are unconfirmed, extends the last grant instead.
     pub fn issue(&mut self, now: Micros, timing: &QuotaTiming, permits: Vec<u32>) -> u64 {
         let expires_at = now + QuotaTiming::with_max_drift(timing.lease);
         let is_full = self.unconfirmed.len() >= MAX_UNCONFIRMED_COUNT;
@@ -201,13 +213,14 @@
         seq
     }
 
-    /// Returns the permits of the last unconfirmed grant; empty: all grants are confirmed.
+    /// Returns the permits of the last grant of this leader; empty: this leader has issued no grant to the
+    /// process.
     pub fn issued(&self) -> &[u32] {
         self.unconfirmed.back().map_or(&[], |grant| &grant.permits)
     }
 }
 
-/// Returns the permits that a report shows as needed: the peak of calls, plus the rejected ones. Rejected
+/// Returns the demand that a report shows, in permits: the peak of calls, plus the rejected ones. Rejected
 /// calls count as at most the peak and one, so that one report can at most double the demand and add one.
 fn demand_of(usage: &TenantUsage) -> u32 {
     let peak = usage.peak.max(usage.in_flight.saturating_add(usage.queued));
--- a/quota/src/ledger/slots.rs
+++ b/quota/src/ledger/slots.rs
@@ -14,9 +14,10 @@
     }
 
     /// Returns whether `process` gets a slot. A process that has a slot keeps it. If more processes report a
-    /// slot than there are slots, as can happen after a time without a leader, the first ones by name keep
-    /// theirs. Processes on the roster or in the membership that have not reported count as having a slot.
-    /// Processes with the same address count as one, because at most one of them still runs.
+    /// slot than there are slots, as can happen after a time without a leader, the first of these processes
+    /// by name keep their slots. A process that has not reported counts as having a slot if it may hold a
+    /// grant of an earlier leader, or runs by the membership. Processes with the same address count as one,
+    /// because at most one of them still runs.
     pub(super) fn assigns_slot(&self, process: &Process) -> bool {
         let has_slot = |entry: &ProcessEntry| entry.reported_slot == Slot::Assigned || entry.has_slot;
         let others = self
--- a/quota/src/ledger/targets.rs
+++ b/quota/src/ledger/targets.rs
@@ -1,5 +1,5 @@
-//! The allocation that grants are moved towards: the hosts' capacity is divided among tenants, and the
-//! permits of each tenant among processes.
+//! Allocation of permits that the leader moves grants towards: the hosts' capacity is divided among tenants,
+//! and the permits of each tenant among processes.
 
 use super::process_entry::ProcessEntry;
 use super::QuotaLedger;
@@ -24,8 +24,8 @@
 }
 
 impl QuotaLedger {
-    /// Reallocates all permits if reports or the capacity have changed, or if a process may have stopped
-    /// reporting, at a limited rate.
+    /// Reallocates all permits if the last allocation is old enough. The required age is short if reports or
+    /// the capacity have changed since, and longer otherwise, when processes may only have stopped reporting.
     pub(super) fn allocate(&mut self, now: Micros) {
         let per_lease =
             if self.targets.is_stale { MAX_ALLOCATIONS_PER_LEASE } else { MIN_ALLOCATIONS_PER_LEASE };
@@ -63,7 +63,7 @@
     }
 
     /// Allocates the permits of a capped tenant beyond the guaranteed minimums to the `active` processes.
-    /// Permits that other processes may still use are left out.
+    /// Permits that processes outside `active` may still use are left out.
     fn allocate_pool(&mut self, now: Micros, tenant: usize, pool: u32, active: &[Process]) {
         let guaranteed = self.effective.guaranteed(tenant);
         let silent = self.entries.iter().filter(|(process, _)| active.binary_search(process).is_err());
@@ -86,8 +86,8 @@
         }
     }
 
-    /// Divides the hosts' capacity among tenants by weight, then the fair share of each tenant equally among
-    /// the `active` processes that need permits.
+    /// Divides the hosts' capacity among tenants by weight, which gives their fair shares, then each fair
+    /// share equally among the `active` processes, up to the demand of each process for the tenant.
     fn allocate_capacity(&mut self, active: &[Process]) {
         let Some(capacity) = self.capacity else { return };
         let entries: BTreeMap<&Process, &ProcessEntry> =
@@ -118,7 +118,7 @@
     }
 
     /// Returns the demand of a process for a tenant, up to the permits that the tenant's cap leaves to the
-    /// process. Calls above that are not admitted, so they need no capacity of hosts.
+    /// process. Calls above these permits are not admitted, so they need no capacity of hosts.
     fn usable_demand(&self, entry: &ProcessEntry, tenant: usize) -> u32 {
         let guaranteed = if entry.has_slot { self.effective.guaranteed(tenant) } else { 0 };
         let cap = self.effective.cap(tenant);
--- a/quota/src/local_quota.rs
+++ b/quota/src/local_quota.rs
@@ -26,7 +26,8 @@
     timing: QuotaTiming,
     started_at: Micros,
     slot: Slot,
-    /// Newest grant or leader's ballot that the process knows; it ignores older grants.
+    /// Version of the newest grant, or of the newest leader without a grant, that the process knows. Grants
+    /// with lower versions are ignored.
     grant_version: Option<GrantVersion>,
     grant: Option<CurrentGrant>,
     /// Guaranteed minimums that replace the configured ones, by tenant index ([`QuotaGrant::lowered`]).
@@ -57,12 +58,13 @@
         }
     }
 
-    /// Returns whether the process may use its guaranteed minimums.
+    /// Returns whether the process has a slot, and so may use its guaranteed minimums.
     pub fn slot(&self) -> Slot {
         self.slot
     }
 
-    /// Returns the newest grant or leader's ballot that the process knows; `None`: no leader is known.
+    /// Returns the version of the newest grant or of the newest leader that the process knows; `None`: it
+    /// knows no leader.
     pub fn grant_version(&self) -> Option<&GrantVersion> {
         self.grant_version.as_ref()
     }
@@ -137,16 +139,17 @@
         }
     }
 
-    /// Lets a process whose slot is pending use its guaranteed minimums. Called if all voters have lost their
-    /// state, because then no leader can count the processes.
+    /// Lets a process whose slot is pending use its guaranteed minimums without a leader's decision: after
+    /// the autonomy timeout, or if all voters have lost their state, because then no leader can count the
+    /// processes.
     pub fn assume_slot(&mut self) {
         if self.slot == Slot::Pending {
             self.slot = Slot::Assigned;
         }
     }
 
-    /// Returns the limits on calls in flight that apply from `now` on. Assumes a slot if none was decided
-    /// before the autonomy timeout.
+    /// Returns the limits on calls in flight that apply from `now` on. Assumes a slot if no leader has
+    /// decided on it before the autonomy timeout.
     pub fn allowance(&mut self, now: Micros) -> Allowance {
         if now >= self.autonomous_at() {
             self.assume_slot();
@@ -183,8 +186,8 @@
         }
     }
 
-    /// Returns when [`LocalQuota::allowance`] next changes if no grant arrives before; `None`: it does not
-    /// change.
+    /// Returns when [`LocalQuota::allowance`] next changes if no grant arrives until then; `None`: it does
+    /// not change.
     pub fn next_change(&self, now: Micros) -> Option<Micros> {
         let expiry = self.grant.as_ref().map(|grant| grant.expires_at).filter(|at| now < *at);
         let slot_assumed_at = (self.slot == Slot::Pending).then(|| self.autonomous_at());
@@ -192,8 +195,8 @@
     }
 
     /// Returns the time from which on a report is due, even if the lease need not be renewed yet: one report
-    /// interval after the last report, or half an interval if calls have been queued or rejected since a
-    /// report without any.
+    /// interval after the last report, or half an interval if `usage` shows queued or rejected calls and the
+    /// last report showed none.
     pub fn next_report_at(&self, usage: &Usage) -> Micros {
         let is_urgent = self.was_satisfied && has_unmet_demand(usage);
         let interval = if is_urgent { self.report_interval / 2 } else { self.report_interval };
--- a/quota/src/max_min/progressive_filling.rs
+++ b/quota/src/max_min/progressive_filling.rs
@@ -17,7 +17,7 @@
 }
 
 impl Demand {
-    /// Returns the number of permits above which the claimant gets none from its demand.
+    /// Returns the highest number of permits that the claimant can get: `wanted`, but at least `minimum`.
     pub(super) fn max(&self) -> u32 {
         self.wanted.max(self.minimum)
     }
@@ -35,14 +35,15 @@
 }
 
 /// Allocates `total` permits to the claimants of `demands`, by weighted max-min fairness. No claimant gets
-/// more than it wants. Apart from minimums and rounding, no claimant gets more permits per weight than
-/// another one whose demand is not met. The result adds up to `total`, or to less if all demands are met.
+/// more than it wants. Apart from minimums and rounding, no claimant gets more permits per weight than any
+/// claimant whose demand is not met. The result adds up to `total`, or to less if all demands are met.
 pub fn allocate_max_min(total: u32, demands: &[Demand]) -> Vec<u32> {
     let minimums: u64 = demands.iter().map(|demand| u64::from(demand.minimum)).sum();
     if minimums < u64::from(total) {
         return allocate_above_minimums(total, demands);
     }
-    // With too few permits for all minimums, the minimums are the demands, and no claimant has a minimum.
+    // If there are too few permits for all minimums, each claimant counts as wanting only its minimum, and no
+    // minimum is guaranteed.
     let minimums: Vec<Demand> =
         demands.iter().map(|demand| Demand { minimum: 0, wanted: demand.minimum, ..*demand }).collect();
     allocate_above_minimums(total, &minimums)
@@ -73,8 +74,8 @@
     }
 }
 
-/// Allocates their whole demand to the claimants that want less than the level gives them. Returns the
-/// permits and the weight that remain for the other claimants.
+/// Meets the demands of all claimants that want no more than the level gives them. Returns the permits and
+/// the weight that remain for the claimants with higher demands.
 fn satisfy_smallest_demands(permits: u64, demands: &[Demand], allocated: &mut [Option<u32>]) -> Remainder {
     let mut unallocated: Vec<usize> =
         (0..demands.len()).filter(|index| allocated[*index].is_none()).collect();
--- a/quota/src/max_min/reallocation.rs
+++ b/quota/src/max_min/reallocation.rs
@@ -5,21 +5,23 @@
 
 /// Allocates all `total` permits. Demands are met by [`allocate_max_min`]; permits that no claimant wants are
 /// divided by weight, so that a claimant whose demand rises can use more permits at once. A claimant keeps
-/// its `previous` permits if they differ by at most one from the fair allocation. If there are permits that
-/// no claimant wants, it keeps them if they cover its demand and half of the unclaimed permits that it would
-/// get.
+/// its `previous` permits if they differ by at most one from the fair allocation. If there are unclaimed
+/// permits, which no claimant wants, the tolerance is wider: half of the unclaimed permits that are due to
+/// the claimant, and two more permits upwards.
 pub fn reallocate(total: u32, demands: &[Demand], previous: &[u32]) -> Vec<u32> {
     Allocation::new(total, demands, allocate_max_min(total, demands)).keep_previous(previous)
 }
 
-/// Allocates like [`reallocate`], but without hysteresis if no permits are left and every tenant lacks at
-/// least two. In this case a demand that changes by one moves no permits anyway, and a permit that was lent
-/// has to return to its owner. Not used among processes: their demands change by more than one, and permits
-/// on the way from one process to another are not usable.
+/// Allocates like [`reallocate`], but without hysteresis if all permits are claimed and every tenant with
+/// demand gets at least two permits fewer than it wants. In this case a demand that changes by one moves no
+/// permits anyway, and a permit that was lent has to return to its owner. Not used among processes: their
+/// demands change by more than one, and a permit that moves between processes is not usable until the move is
+/// confirmed.
 pub fn reallocate_tenants(total: u32, demands: &[Demand], previous: &[u32]) -> Vec<u32> {
     let exact = allocate_max_min(total, demands);
     let had_permits = |index: usize| previous.get(index).copied().unwrap_or(0) > 0;
-    // A tenant lacks at least two permits, or takes no part: without demand and without previous permits.
+    // True for a tenant that lacks at least two permits, and for a tenant without demand and without previous
+    // permits, which takes no part.
     let is_short = |index: usize| match demands[index].max() {
         0 => !had_permits(index),
         max => exact[index] + 1 < max,
@@ -31,7 +33,7 @@
     Allocation::new(total, demands, exact).keep_previous(previous)
 }
 
-/// Fair allocation that previous permits are compared with.
+/// Fair allocation, which previous permits are compared with to decide whether a claimant keeps them.
 struct Allocation<'a> {
     total: u32,
     demands: &'a [Demand],
--- a/quota/src/registry.rs
+++ b/quota/src/registry.rs
@@ -5,29 +5,30 @@
 use siphasher::sip::SipHasher13;
 use std::hash::{Hash, Hasher};
 
-/// Name, in the operators' configuration, of the default tenant: it stands for calls without a tenant or with
-/// an unknown one.
+/// Name of the default tenant in the operators' configuration. Calls without a tenant, or with an unknown
+/// one, belong to the default tenant.
 pub const DEFAULT_TENANT: &str = "others";
-/// Number of tenants that fits into a report, including the default tenant.
+/// Highest number of tenants that a report has room for, including the default tenant.
 const MAX_TENANT_COUNT: usize = 256;
 const MAX_NAME_BYTES: usize = 64;
 /// Weight of a tenant that has a portion of 1, which is the whole service.
 const WEIGHT_PER_PORTION: f64 = 1_000_000.0;
-/// Bound on a tenant's portion that prevents an overflow of its weight.
+/// Upper bound on a tenant's portion that prevents an overflow of its weight.
 const MAX_PORTION: f64 = 1e6;
 
-/// Quota settings as written by the operators, not yet validated.
+/// Quota configuration as written by the operators, not yet validated.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct QuotaConfig {
     /// Highest number of processes that run at a time. Each cap has room for the guaranteed minimums of that
-    /// many.
+    /// many processes.
     pub max_proxies: u32,
-    /// Percentage of each cap that is used for guaranteed minimums, 1 to 100.
+    /// Percentage of each cap that is divided into guaranteed minimums of equal size for `max_proxies`
+    /// processes, 1 to 100.
     pub guaranteed_percent: u32,
     /// Number of calls that a host of size 1 can have in flight when it is fully warmed up; 0: no fair shares
     /// are calculated.
     pub calls_per_host: u32,
-    /// Percentage of the hosts' capacity that is not distributed, 0 to 99.
+    /// Percentage of the hosts' capacity that is kept free, and not divided into fair shares, 0 to 99.
     pub margin_percent: u32,
     /// Lines with the name of a tenant and its cap in permits over all processes, such as `banca-trinacria
     /// 40`.
@@ -96,7 +97,7 @@
 /// Tenant with its weight for fair shares, and its cap.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Tenant {
-    /// Name, which no other tenant of the registry has.
+    /// Name, which is unique in the registry.
     pub name: String,
     /// Weight for fair shares in millionths of the service; at least 1.
     pub weight: u64,
@@ -118,13 +119,15 @@
 pub struct TenantRegistry {
     /// Tenants in the order of the settings. The last one is the default tenant, which always exists.
     pub tenants: Vec<Tenant>,
-    /// See [`QuotaConfig::max_proxies`].
+    /// Highest number of processes that run at a time ([`QuotaConfig::max_proxies`]).
     pub max_proxies: u32,
-    /// See [`QuotaConfig::calls_per_host`].
+    /// Number of calls that a host of size 1 can have in flight; 0: no fair shares
+    /// ([`QuotaConfig::calls_per_host`]).
     pub calls_per_host: u32,
-    /// See [`QuotaConfig::margin_percent`].
+    /// Percentage of the hosts' capacity that is kept free ([`QuotaConfig::margin_percent`]).
     pub margin_percent: u32,
-    /// Hash of all other fields. Processes with the same digest have the same configuration.
+    /// Hash of the tenants, limits and percentages above. Processes with the same digest have the same
+    /// configuration.
     pub digest: u64,
 }
 
@@ -183,14 +186,16 @@
         Ok(())
     }
 
-    /// Returns the permits of a cap that can be granted, after the guaranteed minimums of all processes are
-    /// set aside; `None`: the tenant has no cap, or does not exist.
+    /// Returns how many permits of a tenant's cap the leader can grant: those that are left when
+    /// `max_proxies` processes have their guaranteed minimums; `None`: the tenant has no cap, or does not
+    /// exist.
     pub fn pool(&self, tenant: usize) -> Option<u32> {
         let tenant = self.tenants.get(tenant)?;
         Some(tenant.cap?.saturating_sub(tenant.guaranteed.saturating_mul(self.max_proxies)))
     }
 
-    /// Returns the index of the tenant with this name, or of the default tenant if there is none.
+    /// Returns the index of the tenant with this name; without a name, or with an unknown one, the index of
+    /// the default tenant.
     pub fn index(&self, name: Option<&str>) -> usize {
         let last = self.tenants.len().saturating_sub(1);
         name.and_then(|name| self.tenants.iter().position(|tenant| tenant.name == name)).unwrap_or(last)
@@ -227,8 +232,8 @@
         total += portion;
         named.push(Tenant::uncapped(name, weight(portion)));
     }
-    // The default tenant gets the weight that the portions of all tenants leave, and no less than the
-    // lightest tenant.
+    // The default tenant gets the portion of the service that the named tenants leave, but no lower weight
+    // than the lightest named tenant has.
     let lightest = named.iter().map(|tenant| tenant.weight).min().unwrap_or(1);
     named.push(Tenant::uncapped(DEFAULT_TENANT, weight(1.0 - total).max(lightest)));
     Ok(named)
--- a/quota/src/report.rs
+++ b/quota/src/report.rs
@@ -5,13 +5,14 @@
 use flaxhead_lease::{Ballot, Micros};
 use serde::{Deserialize, Serialize};
 
-/// Version of a grant, ordered by the ballot of the leader, then by the leader's count of grants.
+/// Version of a grant, ordered by the ballot of the leader, then by the leader's count of grants to the
+/// process.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct GrantVersion {
     /// Ballot of the leader that issued the grant.
     pub ballot: Ballot,
-    /// Number that the leader raises with each changed grant to the process; 0: the process knows of the
-    /// leader, but has no grant of it.
+    /// Number of the grant, which the leader raises with each changed grant to the process; 0: the process
+    /// knows of the leader, but has no grant of it.
     pub seq: u64,
 }
 
@@ -33,9 +34,9 @@
 pub struct Usage {
     /// Calls by tenant, in the order of the process's settings; a tenant beyond the end has no calls.
     pub tenants: Vec<TenantUsage>,
-    /// Number of attempts that ended since the last report.
+    /// Number of attempts at hosts that ended since the last report.
     pub attempts: u32,
-    /// Number of those attempts that hosts rejected because they were full.
+    /// Number of these ended attempts that hosts rejected because they were full.
     pub rejected_by_hosts: u32,
 }
 
@@ -43,7 +44,8 @@
 /// room for the minimums of that many processes only.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Slot {
-    /// The process has just started, and the leader has not decided yet.
+    /// The process has just started, and no leader has decided yet whether it gets a slot. It uses no
+    /// guaranteed minimums.
     #[default]
     #[serde(rename = "Waits")]
     Pending,
@@ -54,36 +56,40 @@
     Denied,
 }
 
-/// Configuration of a process, sent to a leader that has another one.
+/// Quota configuration of a process, as reported to a leader whose own configuration may differ.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ReportedConfig {
     /// Tenants with their caps and weights, in the order of the process's settings.
     pub tenants: Vec<Tenant>,
-    /// Number of processes for which each cap has room for guaranteed minimums.
+    /// Highest number of processes that run at a time; each cap has room for that many guaranteed minimums.
     pub max_proxies: u32,
 }
 
 /// Report that a process sends to the leader with each renewal of its lease.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct QuotaReport {
-    /// Newest grant that the process has received; it applies no older one from then on. `None`: it knows of
-    /// no leader.
+    /// Version of the newest grant, or of the newest leader without a grant, that the process knows. The
+    /// process ignores grants with lower versions. `None`: the process knows no leader.
     pub grant_version: Option<GrantVersion>,
-    /// Permits of that grant, beyond the guaranteed minimums, by tenant; empty: no grant, or an expired one.
+    /// Permits of the grant that the process uses, beyond the guaranteed minimums, by tenant; empty: no
+    /// grant, or an expired one.
     pub granted: Vec<u32>,
-    /// Time until the grant expires, by the process's clock; 0: no valid grant.
+    /// Time until the grant that the process uses expires, by the process's clock; 0: no valid grant.
     pub grant_left: Micros,
     /// Whether the process may use its guaranteed minimums.
     pub slot: Slot,
-    /// Calls at the process, from which the leader derives how many permits it needs.
+    /// Calls at the process, from which the leader derives the demand of the process.
     pub usage: Usage,
-    /// Digest of the process's configuration, which shows the leader whether it has the same one.
+    /// Digest of the process's configuration. If the leader's configuration has another digest, the two
+    /// differ.
     pub digest: u64,
-    /// Configuration of the process; `None`: the leader's last grant had the same digest.
+    /// Configuration of the process; `None`: the leader's last grant carried the digest of the same
+    /// configuration.
     pub config: Option<ReportedConfig>,
 }
 
-/// Guaranteed minimum that replaces a process's own one, because another process has configured a lower one.
+/// Guaranteed minimum that a process has to use instead of its configured one, because a lower one is
+/// configured for the tenant at the leader or at some other process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LoweredMinimum {
     /// Index of the tenant in the settings of the process that receives the grant.
@@ -107,10 +113,10 @@
     pub total: Option<u32>,
     /// Part of each tenant's fair share that falls to the process, in permits, in the process's order.
     pub fair_shares: Vec<u32>,
-    /// Guaranteed minimums to use instead of the configured ones.
+    /// Guaranteed minimums that the process has to use instead of its configured ones.
     pub lowered: Vec<LoweredMinimum>,
     /// Whether the leader knows the permits and configurations of all processes. If not, the process keeps
-    /// its previous `total`, `fair_shares` and lowered minimums.
+    /// its previous `total` and `fair_shares`, and its minimums can only be lowered further.
     pub is_complete: bool,
     /// Digest of the leader's configuration. A process with the same digest does not report its
     /// configuration.
--- a/quota/src/timing.rs
+++ b/quota/src/timing.rs
@@ -2,15 +2,16 @@
 
 use flaxhead_lease::Micros;
 
-/// Inverse of the maximum drift between the clocks of two machines: one part in this number.
+/// Bound on clock drift: the clocks of two machines diverge by at most 1 us in this many microseconds.
 const DRIFT_DIVISOR: Micros = 64;
 const MIN_REPORT_INTERVAL: Micros = 125_000;
-/// Rate of reports that a leader can process, from all processes together.
+/// Highest rate at which all processes together may send reports to the leader.
 const MAX_REPORTS_PER_SECOND: Micros = 800;
 const MICROS_PER_SECOND: Micros = 1_000_000;
-/// Number of windows that a lease is divided into. Two reports of a process within one window count as one.
+/// Number of coalescing windows per lease. Two reports of a process that arrive within the length of one
+/// window count as one report.
 const COALESCING_WINDOWS_PER_LEASE: Micros = 48;
-/// Number of reports per lease that a process sends even if there are very many processes.
+/// Lowest number of reports that a process sends per lease, however many processes there are.
 const MIN_REPORTS_PER_LEASE: Micros = 4;
 
 /// Time spans, in microseconds, which must be configured the same at all processes.
@@ -33,20 +34,20 @@
         span + span / DRIFT_DIVISOR + 1
     }
 
-    /// Returns the time after which all grants issued before have expired, and all calls admitted under them
-    /// have ended.
+    /// Returns how long the permits of a grant can be in use after its issue: until the grant has expired by
+    /// any machine's clock, and all calls admitted under it have ended.
     pub fn max_grant_lifetime(&self) -> Micros {
         QuotaTiming::with_max_drift(self.lease) + QuotaTiming::with_max_drift(self.max_call_duration)
     }
 
-    /// Returns the time between two reports of a process within which both count as one, and the higher
-    /// demand is used.
+    /// Returns the time within which two reports of a process count as one report. The higher demand of the
+    /// two applies.
     pub fn coalescing_window(&self) -> Micros {
         self.lease / COALESCING_WINDOWS_PER_LEASE
     }
 
     /// Returns the interval at which each of `processes` processes reports. The interval is shorter than a
-    /// lease, so that grants follow changes of demand, and is longer in large fleets to limit the load of the
+    /// lease, so that grants follow changes of demand, and grows with the fleet to limit the load of the
     /// leader.
     pub fn report_interval(&self, processes: usize) -> Micros {
         let shared = processes as Micros * MICROS_PER_SECOND / MAX_REPORTS_PER_SECOND;
--- a/quota/src/view.rs
+++ b/quota/src/view.rs
@@ -1,4 +1,4 @@
-//! Status of quotas in the fleet, for the status pages, whose JSON keys the serde names are.
+//! Status of the fleet's quotas for the status pages. The serde names are the JSON keys of these pages.
 
 use crate::ledger::{ProcessUsage, QuotaLedger};
 use flaxhead_lease::Micros;
@@ -11,9 +11,10 @@
 pub struct PermitHolderView {
     /// Name by which the process takes part in the lease protocol.
     pub name: String,
-    /// Permits granted beyond the guaranteed minimum, or calls in flight beyond it if there are more of them.
+    /// Number of permits beyond the guaranteed minimum that the process may use, or has in use if that is
+    /// more.
     pub granted: u32,
-    /// Number of calls in flight according to the last report.
+    /// Number of calls of the tenant in flight according to the process's last report.
     #[serde(rename = "in_hand")]
     pub in_flight: u32,
 }
@@ -23,26 +24,27 @@
 pub struct TenantView {
     /// Name of the tenant in the settings; `others`: the default tenant.
     pub name: String,
-    /// Highest number of calls in flight; `None`: the tenant has no cap.
+    /// Cap on the tenant's calls in flight at all processes together; `None`: the tenant has no cap.
     pub cap: Option<u32>,
     /// Portion of the hosts' capacity by the tenant's weight, in calls; `None`: the capacity is unknown or
     /// not configured.
     #[serde(rename = "share")]
     pub fair_share: Option<u32>,
-    /// Granted permits, and the guaranteed minimums of all processes that have a slot.
+    /// Sum of the guaranteed minimums of all processes that have a slot, and of the permits beyond them
+    /// ([`PermitHolderView::granted`]).
     pub granted: u32,
-    /// Number of calls in flight according to the last reports.
+    /// Number of calls in flight according to the last report of each process.
     #[serde(rename = "in_hand")]
     pub in_flight: u32,
     /// Permits of the fair share that the tenant does not use, so that other tenants may use them.
     pub lent: u32,
-    /// Number of calls queued for a permit, according to the last reports.
+    /// Number of calls queued for a permit, according to the last report of each process.
     #[serde(rename = "waiting")]
     pub queued: u32,
     /// Number of calls rejected for lack of a permit, summed over the last report of each process.
     #[serde(rename = "refused")]
     pub rejected: u32,
-    /// Processes that have granted permits or calls in flight of the tenant.
+    /// Processes that have granted permits for the tenant, or calls of the tenant in flight.
     #[serde(rename = "held_by")]
     pub holders: Vec<PermitHolderView>,
 }
@@ -66,7 +68,8 @@
 pub struct QuotaView {
     /// Status by tenant, in the order of the leader's settings.
     pub tenants: Vec<TenantView>,
-    /// Number of calls that all hosts can have in flight, less the margin; `None`: unknown or not configured.
+    /// Number of calls that all hosts can have in flight, less the margin; `None`: the capacity is unknown or
+    /// not configured.
     #[serde(rename = "carried")]
     pub capacity: Option<u32>,
     /// Reasons why fewer permits are granted than the caps allow, such as `learning for 9 s more`, `not
--- a/quota/tests/admission.rs
+++ b/quota/tests/admission.rs
@@ -1,5 +1,5 @@
-//! Random events for the admission controller; after each, its outputs are compared with rules computed from
-//! the events alone.
+//! Random events for the admission controller. After each event, its outputs are compared with what the rules
+//! of admission require.
 #![expect(clippy::cast_possible_truncation, reason = "the counts of a test are small")]
 
 use flaxhead_quota::admission::{
@@ -53,7 +53,7 @@
     AdmissionConfig { classes, tenant_count: TENANTS, max_queue: 12, max_retry_after: 400 }
 }
 
-/// Admission controller, together with the state that its rules are checked against.
+/// Admission controller under test, and the calls and deficits that it should have after the same events.
 struct Harness {
     controller: AdmissionController,
     now: u64,
@@ -62,8 +62,8 @@
     in_flight_tenants: Vec<usize>,
     /// Tenant and timeout of each queued call.
     queued: BTreeMap<QueuedCall, (usize, u64)>,
-    /// Number of calls by which each tenant is behind its share, in two groups: among tenants that use less
-    /// than their share, and among the other tenants.
+    /// Number of calls by which each tenant is behind its share: in the first array by the admissions of
+    /// tenants below their share, in the second one by those of all other tenants.
     deficits: [[f64; TENANTS]; 2],
     requests: usize,
     verdict_count: usize,
@@ -116,8 +116,8 @@
         Ok(())
     }
 
-    /// Checks, for the admission of a queued call of `tenant`, that no tenant with less than its share was
-    /// passed over, and that no tenant is more than one call behind.
+    /// Checks, for the admission of a queued call of `tenant`, that no queued call of a tenant below its
+    /// share was passed over, and that no tenant is more than one call behind its share.
     fn check_order(&mut self, tenant: usize) -> Result<(), TestCaseError> {
         if self.allowance.total.is_none() {
             return Ok(());
@@ -316,8 +316,8 @@
 fn a_call_that_cannot_be_admitted_in_time_is_rejected_at_once() {
     let mut controller = one_tenant(1);
     assert_eq!(request(&mut controller, 0), AdmissionDecision::Decided(Verdict::Admitted));
-    // Permits were released at intervals of 400 us. Of calls that can be queued for 900 us, the second one in
-    // the queue can expect a permit after 800 us, and the third one too late.
+    // A permit has been released every 400 us, and a call can be queued for 900 us. So the second call in the
+    // queue can expect its permit in time, after 800 us, and the third call cannot.
     for now in [400, 800, 1_200, 1_600] {
         controller.release(now, None, &mut Verdicts::new());
         assert_eq!(request(&mut controller, now), AdmissionDecision::Decided(Verdict::Admitted));
@@ -328,8 +328,8 @@
         matches!(decisions[2], AdmissionDecision::Decided(Verdict::Rejected { retry_after: 400 })),
         "{decisions:?}"
     );
-    // The only permit has been in use for 850 us without any release. A first call may be queued, because the
-    // next release can be for it, but a second one is rejected.
+    // The only permit has been in use for 850 us without any release. One more call may be queued, because
+    // the next release can be for this call, but the call after it is rejected.
     let mut controller = one_tenant(1);
     assert_eq!(request(&mut controller, 0), AdmissionDecision::Decided(Verdict::Admitted));
     assert!(matches!(request(&mut controller, 850), AdmissionDecision::Queued(_)));
--- a/quota/tests/fleet/mod.rs
+++ b/quota/tests/fleet/mod.rs
@@ -27,7 +27,7 @@
 use std::net::SocketAddr;
 
 pub const SECOND: Micros = 1_000_000;
-/// Age above which a process's view of the membership is renewed, in microseconds.
+/// Age at which a process reads the membership again instead of using its cached copy, in microseconds.
 const MAX_FACTS_AGE: Micros = 200_000;
 
 /// Source of the limits that processes apply to their calls.
@@ -35,7 +35,7 @@
 pub enum Mode {
     /// Grants of the leader, by the quota protocol.
     Coordinated,
-    /// Equal, constant fraction of each cap.
+    /// Constant limits, with an equal fraction of each cap for each process.
     StaticSplit,
     /// No limits at all.
     Unlimited,
@@ -51,8 +51,9 @@
     pub hosts: usize,
     pub calls_per_host: u32,
     pub timing: QuotaTiming,
-    /// Median duration of a call, and whether one call in 200 lasts for the maximum duration.
+    /// Median duration of a call.
     pub call_duration: Micros,
+    /// Whether one call in 200 lasts for [`QuotaTiming::max_call_duration`].
     pub has_long_calls: bool,
     /// Interval at which each process ends calls that are due and starts new ones.
     pub call_interval: Micros,
@@ -60,7 +61,7 @@
     pub fault_interval: Micros,
     /// Mean time between two changes of demand at random processes; 0: the demand does not change.
     pub demand_change_interval: Micros,
-    /// Ratio of messages that are lost; a quarter of that ratio is duplicated.
+    /// Fraction of messages that are lost; a quarter as many are duplicated.
     pub loss_ratio: f64,
     pub mode: Mode,
     pub seed: u64,
@@ -73,11 +74,11 @@
     pub calls: u64,
     pub messages: u64,
     pub bytes: u64,
-    /// Highest number of permits that all processes together could use or had in use, by tenant, and the
-    /// number of checks in which it was above the cap.
+    /// Highest number of permits that all processes together could use or had in use, by tenant.
     pub peak_usage: Vec<u32>,
+    /// Number of checks in which a tenant's permits were above its cap.
     pub cap_violations: u64,
-    /// Number of times that the limits of a process changed.
+    /// Number of changes of any process's allowance.
     pub allowance_changes: u64,
 }
 
@@ -93,8 +94,9 @@
 
 struct Node {
     machine: Option<Machine>,
-    /// Difference between the process's clock and virtual time, and its drift in parts per ten thousand.
+    /// Difference between the process's clock and virtual time at the start.
     clock_offset: Micros,
+    /// Drift of the process's clock against virtual time, in parts per ten thousand.
     clock_drift: i64,
     is_paused: bool,
     is_partitioned: bool,
@@ -104,8 +106,9 @@
     allowance: Allowance,
     /// Number of calls that the process wants to have in flight, by tenant.
     demands: Vec<u32>,
-    /// Tenant and end of each call in flight, and the number of calls in flight by tenant.
+    /// Tenant and end time of each call in flight.
     calls: Vec<(usize, Micros)>,
+    /// Number of calls in flight, by tenant.
     in_flight: Vec<u32>,
     facts: Option<(Micros, Facts)>,
 }
@@ -122,9 +125,9 @@
     rng: Pcg64,
     pub hosts: Vec<HostCapacity>,
     incarnations: u64,
-    /// Permits that each process could use or had in use when it last acted, by process and tenant, and their
-    /// sums by tenant.
+    /// Permits that each process could use or had in use when it last acted, by process, then by tenant.
     usable_permits: Vec<Vec<u32>>,
+    /// Sums of `usable_permits` over all processes, by tenant.
     usable_totals: Vec<u32>,
     pub stats: Stats,
 }
--- a/quota/tests/fleet/simulation.rs
+++ b/quota/tests/fleet/simulation.rs
@@ -51,8 +51,8 @@
                 if has_exited {
                     self.start(index);
                 } else if was_paused {
-                    // After a pause, calls are admitted before any message is read: this must not use an
-                    // expired grant.
+                    // After a pause, the process admits calls before it reads any message, and must not use
+                    // an expired grant for them.
                     self.serve_calls(index);
                     self.schedule_wake(index);
                 }
@@ -94,7 +94,7 @@
         let mut effects = Vec::new();
         let mut context = Context { now: local_time, facts: &facts, random: &mut self.rng };
         handle(&mut machine, &mut context, &mut effects);
-        // Storage of the simulation writes without delay.
+        // The simulated storage writes without delay.
         if let Some(version) = machine.persistent_state_version() {
             machine.state_persisted(&mut context, version, &mut effects);
         }
@@ -117,7 +117,8 @@
         self.schedule_wake(index);
     }
 
-    /// Returns constant limits: an equal fraction of each cap and of the hosts' capacity.
+    /// Returns the constant limits of a process in [`Mode::StaticSplit`]: an equal fraction of each cap and
+    /// of the hosts' capacity.
     fn static_allowance(&self, index: usize) -> Allowance {
         let count = self.scenario.processes as u32;
         let part = |cap: u32| cap / count + u32::from((index as u32) < cap % count);
--- a/quota/tests/ledger.rs
+++ b/quota/tests/ledger.rs
@@ -1,4 +1,5 @@
-//! Reports and grants between a leader's ledger and the quotas of processes, one at a time.
+//! Exchange of single reports and grants between a leader's `QuotaLedger` and the `LocalQuota` of each
+//! process.
 #![expect(clippy::cast_possible_truncation, reason = "the counts of a test are small")]
 
 use flaxhead_quota::{
@@ -29,7 +30,8 @@
     Ballot { round, name: process(1).name, incarnation: 1 }
 }
 
-/// Returns the usage of a process with `calls` in flight for the first tenant, which needs `wanted` permits.
+/// Returns the usage of a process with `calls` calls of the first tenant in flight, and with a demand of
+/// `wanted` permits for this tenant.
 fn usage(calls: u32, wanted: u32) -> Usage {
     let tenant_usage = TenantUsage {
         in_flight: calls,
@@ -60,8 +62,8 @@
         self.local_quotas[index].report(self.now, usage)
     }
 
-    /// Sends a report of the process, and applies the grant that the ledger returns a tenth of a second
-    /// later.
+    /// Records a report of the process in the ledger, and applies the grant that the ledger issues a tenth of
+    /// a second later.
     fn renew(&mut self, index: usize, usage: Usage) -> QuotaGrant {
         let report = self.make_report(index, usage);
         self.ledger.record_report(self.now, &process(index as u8 + 1), self.now, report);
@@ -107,8 +109,8 @@
 #[test]
 fn a_delayed_or_repeated_report_does_not_replace_a_later_one() {
     let mut fleet = Fleet::new(vec![registry(&["etna 40"], 2), registry(&["etna 40"], 2)]);
-    // The early report of the first process shows no calls. It reaches the ledger only after the process
-    // has reported 35 calls.
+    // The first report of the first process shows no calls, and reaches the ledger only after a later report
+    // of this process with 35 calls.
     let (early_report, reported_at) = (fleet.make_report(0, usage(0, 40)), fleet.now);
     (0..3).for_each(|_| drop(fleet.renew(0, usage(0, 40))));
     (0..3).for_each(|_| drop(fleet.renew(1, usage(0, 40))));
@@ -157,8 +159,8 @@
         &roster,
     );
     let requested_at = fleet.now;
-    // Until the process knows the new leader, it may still apply grants of the previous one, so its permits
-    // are uncertain.
+    // Until the process knows the new leader, it may still apply grants of the previous leader, so the new
+    // leader cannot rely on its reported permits.
     let report = fleet.local_quotas[0].report(requested_at, usage(0, 40));
     fleet.ledger.record_report(requested_at, &process(1), requested_at, report);
     let grant = fleet.ledger.grant(requested_at, &process(1));
@@ -193,7 +195,7 @@
     // The third process has no slot, so that it has no permits once its grant has expired.
     fleet.now += 7 * SECOND;
     assert_eq!(fleet.cap(2), 0);
-    // A new process with the address of the first one replaces it, and takes over its slot.
+    // A new process with the address of the first process replaces it, and takes over its slot.
     let (replacement, now) = (Process { incarnation: 2, ..process(1) }, fleet.now);
     let mut local_quota = LocalQuota::new(now, registry(&["etna 8"], 2), timing());
     let report = local_quota.report(now, usage(0, 0));
--- a/quota/tests/max_min.rs
+++ b/quota/tests/max_min.rs
@@ -70,8 +70,8 @@
     }
 
     /// Guards against hysteresis that keeps an unfair allocation. Whatever the previous allocation was, each
-    /// claimant ends within two permits of the fair one, of which one is due to rounding, apart from
-    /// unclaimed permits. Minimums are met, and every claimant with a demand has a permit if there are enough
+    /// claimant ends less than two permits below its fair allocation, and less than three above it if all
+    /// permits are claimed. Minimums are met, and every claimant with demand has a permit if there are enough
     /// permits.
     #[test]
     fn a_previous_allocation_is_kept_only_within_the_tolerance(
--- a/quota/tests/model/main.rs
+++ b/quota/tests/model/main.rs
@@ -99,7 +99,8 @@
 /// Checks all mutations, and returns those that violate no invariant although they disable a rule of the
 /// protocol.
 fn undetected_mutations(topology: Topology) -> Vec<Mutation> {
-    // Calls are so long that they are still in flight when their permits are granted to the other proxy.
+    // Calls are so long that they are still in flight when their permits are granted to the second active
+    // node.
     let long_calls = Topology { call_steps: 10, ..topology };
     let cases = [
         (Mutation::AssumeConfirmed, 1, true),
--- a/quota/tests/model/system.rs
+++ b/quota/tests/model/system.rs
@@ -16,11 +16,12 @@
 /// Duration of a pause or partition in steps. It is longer than a lease, and longer than a restarted voter
 /// waits before an election.
 pub const LASTING_FAULT_STEPS: u8 = 13;
-/// Number of steps in which faults may begin, and number of steps after which the whole cap must be usable
-/// again.
+/// Number of steps, from the start of the check, in which faults may begin.
 pub const FAULT_STEPS: u8 = 10;
+/// Number of steps after which the whole cap must be usable again, whatever faults occurred.
 pub const TOTAL_STEPS: u8 = 80;
-/// Step from which on the second active node has calls instead of the first one.
+/// Number of steps after which demand moves from the first node of [`Topology::active_nodes`] to the second
+/// one.
 pub const DEMAND_MOVES_STEP: u8 = 7;
 /// Rule of the protocol that is disabled, to show that the check would detect its absence.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -59,12 +60,12 @@
 pub type FleetState = flaxhead_rig::SystemState<QuotaApplication, CallState>;
 pub type Fault = flaxhead_rig::Fault<NoCommand>;
 
-/// Nodes of the model, their calls, and the configured limits.
+/// Size of the simulated fleet, its demand, and its configured limits.
 #[derive(Clone, Copy, Debug)]
 pub struct Topology {
     /// Number of nodes. The first ones are the voters; the others are proxies that only request grants.
     pub nodes: usize,
-    /// Node that has calls at first, and node that has them from `DEMAND_MOVES_STEP` on.
+    /// Node that starts calls at first, and node that starts calls instead after `DEMAND_MOVES_STEP` steps.
     pub active_nodes: [usize; 2],
     pub cap: u32,
     /// Number of calls that an active node wants to have in flight.
@@ -93,7 +94,7 @@
     pub max_faults: u8,
     /// Whether a fault can occur between any two messages, or only between two steps.
     pub between_messages: bool,
-    /// Nodes that can be affected by faults.
+    /// Nodes at which faults may occur; the check tries every one of them.
     pub affected_nodes: Vec<usize>,
     pub initial: FleetState,
 }
@@ -158,8 +159,8 @@
         for _ in 0..40 {
             state = fleet.run_step(&state, Fault::Nothing).world;
         }
-        // Processes that start together without any state each assume the only slot until a leader answers,
-        // so that this violation is expected here.
+        // Processes that start together without any state each assume a slot until a leader answers. If there
+        // is only one slot, this violates an invariant before the check begins.
         let initial_violation =
             (topology.slots == 1).then_some("more processes have a slot than there are slots");
         assert!(
@@ -219,7 +220,7 @@
         }
     }
 
-    /// Changes a message to node `to` as the mutation requires.
+    /// Changes a message that node `to` receives, if the mutation affects messages of this kind.
     fn mutate_message(&self, state: &FleetState, to: usize, mut message: Message) -> Message {
         match (&mut message, self.mutation) {
             (Message::Renew(renewal), Mutation::AssumeConfirmed) => {
--- a/quota/tests/restarts.rs
+++ b/quota/tests/restarts.rs
@@ -17,8 +17,8 @@
 const NODE_COUNT: usize = 8;
 const LEASE: u64 = 6 * SECOND;
 
-/// Returns a fleet that stores its state and wants more permits than there are, after all permits have been
-/// granted.
+/// Returns a fleet whose processes store their state and have more demand than the caps allow, after all
+/// permits have been granted.
 fn fully_granted_fleet(seed: u64, loss_ratio: f64) -> Fleet {
     let mut fleet = Fleet::new(Scenario {
         processes: NODE_COUNT,
@@ -67,10 +67,10 @@
     fleet.now - started_at
 }
 
-/// Stops the processes `nodes` and starts them a second later; a process for which `keeps_state` is true has
-/// its stored state. Returns the time until all permits of every cap may be used again.
+/// Stops the processes `nodes` and starts them a second later; a process for which `keeps_state` is true
+/// reads its stored state back. Returns the time until all permits of every cap may be used again.
 fn restart(fleet: &mut Fleet, nodes: std::ops::Range<usize>, keeps_state: impl Fn(usize) -> bool) -> u64 {
-    // Voters store with their next lease renewal that their state is complete.
+    // Voters record in their stored state that it is complete only at their next lease renewal.
     fleet.run(2 * LEASE);
     let found: Vec<_> =
         (0..NODE_COUNT).map(|node| fleet.persistent_state(node).filter(|_| keeps_state(node))).collect();
--- a/quota/tests/wire_format.rs
+++ b/quota/tests/wire_format.rs
@@ -1,5 +1,5 @@
 //! Encoding of reports and grants in the messages of the lease protocol. postcard encodes fields and variants
-//! by position, so that these bytes change if one is moved or inserted.
+//! by position, so that the bytes expected here change if a field or a variant is moved or inserted.
 
 use flaxhead_lease::{
     LeaseGrant, Message, PersistentState, Promise, Renewal, Roster, Version, Versioned, VoterSetHashes,
