--- a/quota/benches/shares.rs
+++ b/quota/benches/shares.rs
@@ -153,7 +153,8 @@
     fleet.run(40 * SECOND);
     let mut elapsed_secs = Vec::new();
     for round in 0..rounds {
-        // In turn, the demand of the owner returns at all processes, at half of them, and at one.
+        // The owner is the tenant whose permits are lent. Its demand returns at all processes, at half of
+        // them or at one, in turn by round.
         let is_active = |node: usize| match round % 3 {
             0 => true,
             1 => node * 2 < processes,
--- a/quota/src/admission/mod.rs
+++ b/quota/src/admission/mod.rs
@@ -40,7 +40,7 @@
     pub classes: Vec<ClassTiming>,
     /// Number of tenants, including the default tenant, which is the last one.
     pub tenant_count: usize,
-    /// Number of queued calls of one tenant above which its new calls are rejected.
+    /// Highest number of queued calls of one tenant; further calls are rejected.
     pub max_queue: usize,
     /// Longest Retry-After that clients respect, as an upper limit for rejected calls; 0: no Retry-After is
     /// sent.
--- a/quota/src/allowance.rs
+++ b/quota/src/allowance.rs
@@ -1,4 +1,4 @@
-//! Limits on the calls in flight at a process, which its admission controller applies.
+//! Limits on the calls in flight at a process, which the process's admission controller applies.
 
 use flaxhead_lease::Micros;
 use serde::{Deserialize, Serialize};
--- a/quota/src/ledger/process_entry.rs
+++ b/quota/src/ledger/process_entry.rs
@@ -1,4 +1,4 @@
-//! The leader's record of one process: its last report, and the grants that it may still use.
+//! The leader's record of one process: its last report, and the grants that the process may still use.
 
 use crate::registry::TenantRegistry;
 use crate::report::{GrantVersion, QuotaReport, ReportedConfig, Slot, TenantUsage};
--- a/quota/tests/admission.rs
+++ b/quota/tests/admission.rs
@@ -132,8 +132,9 @@
         let group: Vec<usize> =
             eligible.into_iter().filter(|t| self.is_at_share(*t) == is_above_share).collect();
         let group_deficits = &self.deficits[usize::from(is_above_share)];
-        // Tenants with eligible queued calls compete for the permit, and so do tenants that are ahead of
-        // their share until they no longer are. The deficits of all other tenants do not grow.
+        // Tenants whose queued calls could be admitted compete for the permit, and so do tenants that are
+        // ahead of their share, until they no longer are ahead. The deficits of all other tenants do not
+        // grow.
         let takes_part = |t: &usize| group.contains(t) || group_deficits[*t] < 0.0;
         let total: f64 = (0..TENANTS).filter(takes_part).map(|t| self.weight(t)).sum();
         for t in 0..TENANTS {
--- a/quota/tests/fault_injection.rs
+++ b/quota/tests/fault_injection.rs
@@ -47,7 +47,7 @@
     }
 }
 
-/// Guards against minimums that add up to more than the cap if there are two processes more than slots. No
+/// Guards against minimums that add up to more than the cap if there are two more processes than slots. No
 /// process assumes a slot here, because the autonomy timeout never passes.
 #[test]
 fn no_cap_is_exceeded_with_more_processes_than_slots() {
