--- a/quota/src/ledger/process_entry.rs
+++ b/quota/src/ledger/process_entry.rs
@@ -153,9 +153,9 @@
             now + QuotaTiming::with_max_drift(report.grant_left.min(timing.lease));
     }
 
-    /// Returns the demand of the process for a tenant, in permits: the higher one if two reports count as
-    /// one. Reports carry the peak since the previous report, so that a short drop in demand moves no
-    /// permits.
+    /// Returns the demand of the process for a tenant, in permits: that of the last report, or the higher one
+    /// of the last two reports if they arrived less than [`QuotaTiming::coalescing_window`] apart. Reports
+    /// carry the peak since the previous report, so that a short drop in demand moves no permits.
     pub fn demand(&self, tenant: usize) -> u32 {
         let demands = [&self.demand, &self.coalesced_demand];
         demands.iter().filter_map(|demand| demand.get(tenant)).copied().max().unwrap_or(0)
--- a/quota/src/registry.rs
+++ b/quota/src/registry.rs
@@ -99,7 +99,8 @@
 pub struct Tenant {
     /// Name, which is unique in the registry.
     pub name: String,
-    /// Weight for fair shares in millionths of the service; at least 1.
+    /// Weight of the tenant when the hosts' capacity is divided into fair shares, at least 1; 1,000,000 for a
+    /// tenant that is entitled to the whole service.
     pub weight: u64,
     /// Highest number of permits over all processes; `None`: the tenant has no cap.
     pub cap: Option<u32>,
--- a/quota/src/report.rs
+++ b/quota/src/report.rs
@@ -80,8 +80,8 @@
     pub slot: Slot,
     /// Calls at the process, from which the leader derives the demand of the process.
     pub usage: Usage,
-    /// Digest of the process's configuration. If the leader's configuration has another digest, the two
-    /// differ.
+    /// Digest of the process's configuration. The leader compares it with the digest of its own
+    /// configuration, and reads `config` only if the two digests differ.
     pub digest: u64,
     /// Configuration of the process; `None`: the leader's last grant carried the digest of the same
     /// configuration.
--- a/quota/src/view.rs
+++ b/quota/src/view.rs
@@ -44,7 +44,8 @@
     /// Number of calls rejected for lack of a permit, summed over the last report of each process.
     #[serde(rename = "refused")]
     pub rejected: u32,
-    /// Processes that have granted permits for the tenant, or calls of the tenant in flight.
+    /// Processes that may use permits of the tenant beyond the guaranteed minimum, or have calls of the
+    /// tenant in flight.
     #[serde(rename = "held_by")]
     pub holders: Vec<PermitHolderView>,
 }
--- a/quota/tests/fleet/mod.rs
+++ b/quota/tests/fleet/mod.rs
@@ -156,7 +156,7 @@
         let nodes = (0..scenario.processes).map(|_| Node {
             machine: None,
             clock_offset: u64::from(rng.next_u32()),
-            // Drifts of up to 0.7% keep any two clocks within the bound of the protocol, one part in 64.
+            // Within the protocol's bound on the drift between two clocks.
             clock_drift: i64::from(rng.next_u32() % 140) - 70,
             is_paused: false,
             is_partitioned: false,
--- a/quota/tests/model/system.rs
+++ b/quota/tests/model/system.rs
@@ -40,7 +40,8 @@
     SkipLearning,
     /// The leader assumes that a process from which it receives nothing has exited.
     TreatSilentAsExited,
-    /// Every process may use its guaranteed minimum, even without a free slot.
+    /// Every grant assigns a slot to the process that receives it, even if all slots are taken, so that more
+    /// processes use their guaranteed minimum than the cap has room for.
     AssignSlotToAll,
     /// Voters that have lost their state take part in elections as if they had it.
     IgnoreLoss,
