--- a/zones/src/allocation/admit.rs
+++ b/zones/src/allocation/admit.rs
@@ -1,15 +1,17 @@
-//! What is admitted where not all can be.
+//! Admission of demand that may exceed the capacity.
+
 use super::flow::Flow;
 use super::AllocationInput;
 
-/// Where a class does not fit whole, it is filled in so many rounds, so that all zones get about the same part.
+/// Rounds in which a class is admitted that does not fit as a whole, so that all origins get about the same
+/// ratio.
 const ROUND_COUNT: u64 = 32;
 
-/// By origin and class, how much is admitted.
+/// Admitted demand by origin and priority class, in thousandths of a call per second.
 pub type AdmittedDemand = Vec<Vec<u64>>;
 
-/// The largest flow, class by class, the first one first. A later class never takes from an earlier one: a flow that
-/// is made larger moves what others have, and lowers nobody's sum.
+/// Admits the maximum flow, class by class in the order of priority. A class never reduces what was admitted
+/// of an earlier one: an augmented flow may move traffic to other zones, but it lowers no origin's sum.
 pub fn admit(input: &AllocationInput<'_>) -> AdmittedDemand {
     let mut flow = Flow::new(input);
     let classes = input.demand.iter().map(Vec::len).max().unwrap_or(0);
@@ -26,7 +28,7 @@
     admitted
 }
 
-/// One class; by origin, how much of it.
+/// Admits one class. Returns the admitted amount of each origin.
 fn admit_class(flow: &mut Flow, demand: &[u64]) -> Vec<u64> {
     let mut trial_flow = flow.clone();
     if demand.iter().enumerate().all(|(origin, demand)| trial_flow.augment(origin, *demand) == *demand) {
@@ -39,7 +41,8 @@
             (u128::from(demand) * u128::from(round) / u128::from(ROUND_COUNT)) as u64
         };
         for (origin, (admitted, demand)) in admitted.iter_mut().zip(demand).enumerate() {
-            // One that was left short once gets no more: nothing that comes later frees a way for it.
+            // An origin that did not reach an earlier limit is done, as later augmentations free no capacity
+            // for it.
             if *admitted >= round_limit(*demand, round - 1) {
                 *admitted += flow.augment(origin, round_limit(*demand, round) - *admitted);
             }
--- a/zones/src/allocation/flow.rs
+++ b/zones/src/allocation/flow.rs
@@ -1,14 +1,14 @@
-//! A flow from origins to zones, and how it is made larger.
+//! A flow from origins to zones that can be augmented up to the maximum (Edmonds-Karp).
+
 use super::{AllocationInput, LinkState};
 
-/// By origin and zone, how much goes there; and what each zone has left.
 #[derive(Clone, Debug)]
 pub(super) struct Flow {
+    /// Amounts by origin and target.
     pub amounts: Vec<Vec<u64>>,
-
+    /// Free capacity by zone.
     pub remaining: Vec<u64>,
-
-    /// By origin, the zones that are open to it, the cheapest first.
+    /// Zones with a link from each origin that is not closed, in the order of cost.
     targets: Vec<Vec<usize>>,
 }
 
@@ -35,14 +35,14 @@
         self.remaining[target] -= amount.min(self.remaining[target]);
     }
 
-    /// Places up to so much more of an origin, moving others' to where they may go as well; how much it was. Shortest
-    /// ways first (Edmonds and Karp), so that it ends. Nobody's sum gets less.
+    /// Places up to `amount` more of an origin and returns how much was placed. Traffic of other origins is
+    /// moved to other zones where necessary, but no origin's sum decreases. Augmenting paths are found
+    /// shortest first, so that their number is bounded (Edmonds-Karp).
     pub fn augment(&mut self, origin: usize, amount: u64) -> u64 {
         let mut placed = 0;
         while placed < amount {
             let Some(path) = self.augmenting_path(origin) else { break };
-
-            // The path goes origin, zone, origin, zone and so on; what is moved is the least along it.
+            // The path alternates between origins and zones; the least amount along it can be moved.
             let movable = path.iter().skip(1).map(|(origin, _, source)| self.amounts[*origin][*source]);
             let last_remaining = path.last().map_or(0, |(_, target, _)| self.remaining[*target]);
             let pushed = movable.min().unwrap_or(u64::MAX).min(last_remaining).min(amount - placed);
@@ -60,11 +60,11 @@
         placed
     }
 
-    /// Each step: whose traffic goes to which zone, and out of which.
+    /// Shortest augmenting path by breadth-first search. Each hop is an origin, the zone that gets its
+    /// traffic, and the zone that the traffic is taken from. The first hop takes new traffic.
     fn augmenting_path(&self, start: usize) -> Option<Vec<(usize, usize, usize)>> {
         let count = self.remaining.len();
-
-        // By zone, who came to it; by origin, out of which zone it was reached.
+        // The origin from which each zone was reached, and the zone through which each origin was reached.
         let mut reached_by: Vec<Option<usize>> = vec![None; count];
         let mut reached_through: Vec<Option<usize>> = vec![None; count];
         let mut frontier = vec![start];
--- a/zones/src/allocation/mod.rs
+++ b/zones/src/allocation/mod.rs
@@ -1,8 +1,9 @@
-//! Who sends how much where: what is admitted first, then by which ways.
+//! Allocation of the demand to the zones, in two stages.
 //!
-//! What is admitted is a largest flow, class by class: nothing of a class is refused while some of a worse one goes
-//! through in its place. The ways are then chosen near before far, over all zones of one cost in proportion to what
-//! they have to spare.
+//! First, a maximum flow, class by class, determines the admitted demand: a class is rejected only where none
+//! of a class with lower priority is admitted in its place. Then the admitted demand is routed over links in
+//! the order of their cost. All zones at the same cost are used in proportion to their free capacity.
+
 mod admit;
 mod flow;
 mod route;
@@ -14,33 +15,28 @@
 
 use crate::topology::Topology;
 
-/// Whether traffic of one zone may go to another.
+/// Whether traffic from one zone may go to another.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum LinkState {
-    /// It may.
+    /// Traffic is allowed.
     #[default]
     Open,
-
-    /// After all others, whatever it costs.
+    /// Traffic is allowed only if all open links lack capacity, whatever their cost.
     LastResort,
-
-    /// It may not.
+    /// Traffic is not allowed.
     Closed,
 }
 
-/// What is to be divided. All amounts are in thousandths of a call a second.
+/// The input of an allocation. Amounts are in thousandths of a call per second.
 #[derive(Clone, Debug)]
 pub struct AllocationInput<'a> {
-    /// The zones.
+    /// The zones and the costs between them.
     pub topology: &'a Topology,
-
-    /// By origin and class of worth, what is asked for.
+    /// Demand by origin and priority class.
     pub demand: Vec<Vec<u64>>,
-
-    /// By zone, what it can do.
+    /// Capacity by zone.
     pub capacity: Vec<u64>,
-
-    /// By origin and zone.
+    /// Link states by origin and target.
     pub links: Vec<Vec<LinkState>>,
 }
 
@@ -49,14 +45,14 @@
         self.links.get(origin).and_then(|links| links.get(target)).copied().unwrap_or(LinkState::Closed)
     }
 
-    /// The order in which ways are taken: home, near, far, and strained ones last.
+    /// Sort key of a link: the origin's own zone comes first, then links by their cost, then links of last
+    /// resort.
     pub(crate) fn cost(&self, origin: usize, target: usize) -> u64 {
         if origin == target {
             return 0;
         }
         let last_resort_cost = if self.link(origin, target) == LinkState::LastResort { 1 << 32 } else { 0 };
-
-        // Home comes first even where leaving it costs nothing.
+        // The own zone must come first even if calls to other zones cost nothing.
         1 + u64::from(self.topology.cost(origin, target)) + last_resort_cost
     }
 }
--- a/zones/src/allocation/route.rs
+++ b/zones/src/allocation/route.rs
@@ -1,11 +1,15 @@
-//! By which ways it goes.
+//! Routing of the admitted demand to zones.
+
 use super::admit::AdmittedDemand;
 use super::flow::Flow;
 use super::AllocationInput;
 
-/// Home first, then cost by cost: all that look for room at one cost share it in proportion to what they look for, and
-/// each spreads over its zones in proportion to what those have to spare (progressive filling). What finds no room so,
-/// as others took what they could have done without, is placed by moving those.
+/// Places the admitted demand by progressive filling: first in the origin's own zone, then over links in the
+/// order of their cost. Origins that compete for zones at the same cost share them in proportion to what they
+/// still have to place, and each uses zones in proportion to their free capacity. Demand that is left after
+/// that, because others took capacity that they could have had elsewhere, is placed by moving theirs.
+///
+/// Returns amounts by origin and target, in thousandths of a call per second.
 pub fn route(input: &AllocationInput<'_>, admitted: &AdmittedDemand) -> Vec<Vec<u64>> {
     let count = input.topology.count();
     let mut flow = Flow::new(input);
@@ -19,7 +23,7 @@
     costs.sort_unstable();
     costs.dedup();
     for cost in costs {
-        // Each round fills a zone or satisfies somebody.
+        // Each round either fills a zone or places all demand of an origin, which bounds their number.
         for _ in 0..=2 * count {
             if !place_at_cost(input, &mut flow, &mut unplaced, cost) {
                 break;
@@ -32,7 +36,7 @@
     flow.amounts
 }
 
-/// One round at one cost; whether anything was placed.
+/// Runs one round of filling at one cost. Returns whether anything was placed.
 fn place_at_cost(input: &AllocationInput<'_>, flow: &mut Flow, unplaced: &mut [u64], cost: u64) -> bool {
     let count = unplaced.len();
     let mut bids = vec![vec![0_u128; count]; count];
@@ -58,8 +62,7 @@
             } else {
                 bids[origin][target]
             };
-
-            // The last crumbs go to whoever comes first.
+            // A bid that rounds down to nothing gets one unit, so that the round makes progress.
             let granted = if granted == 0 && bids[origin][target] > 0 { 1 } else { granted };
             let amount =
                 (granted.min(u128::from(u64::MAX)) as u64).min(flow.remaining[target]).min(unplaced[origin]);
--- a/zones/src/allocation/weights.rs
+++ b/zones/src/allocation/weights.rs
@@ -1,21 +1,22 @@
-//! Amounts as parts of a whole, as a plan states them.
+//! Admission levels and weights, the form in which a plan states amounts.
+
 use serde::{Deserialize, Serialize};
 
-/// Shares are counted in parts of so many.
+/// Sum of the weights of a split, and the weight of a class that is admitted in full.
 pub const TOTAL_WEIGHT: u32 = 10_000;
 
-/// What of one origin's calls is let through: the first classes whole, and a part of the next.
+/// Admitted part of an origin's requests: the classes with the highest priority in full, and a part of the
+/// next.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AdmissionLevel {
-    /// Classes that are let through whole.
+    /// Number of classes that are admitted in full.
     pub full_classes: u8,
-
-    /// How much of the next is, in parts of [`PARTS`].
+    /// Admitted part of the next class, out of [`TOTAL_WEIGHT`].
     pub partial_weight: u16,
 }
 
 impl AdmissionLevel {
-    /// How much of a class is let through, in parts of [`PARTS`].
+    /// Admitted part of a class, out of [`TOTAL_WEIGHT`].
     pub fn weight_of(&self, class: usize) -> u32 {
         match class.cmp(&usize::from(self.full_classes)) {
             std::cmp::Ordering::Less => TOTAL_WEIGHT,
@@ -25,8 +26,8 @@
     }
 }
 
-/// The level at which no more than what is admitted goes through. Classes that nobody asks for are let through up to
-/// the first that is not admitted whole.
+/// The highest level at which no more than `admitted` of the demand is admitted. Classes without demand count
+/// as admitted in full.
 pub fn admission_level(demand: &[u64], admitted: &[u64]) -> AdmissionLevel {
     for (class, demand) in demand.iter().enumerate() {
         let class_amount = admitted.get(class).copied().unwrap_or(0);
@@ -38,7 +39,7 @@
     AdmissionLevel { full_classes: u8::MAX, partial_weight: 0 }
 }
 
-/// How much of what is asked for goes through at a level.
+/// Part of the demand, given by class, that is admitted at a level.
 pub fn admitted_demand(demand: &[u64], admission: &AdmissionLevel) -> u64 {
     let class_amount = |(class, demand): (usize, &u64)| {
         u128::from(*demand) * u128::from(admission.weight_of(class)) / u128::from(TOTAL_WEIGHT)
@@ -46,7 +47,8 @@
     demand.iter().enumerate().map(class_amount).sum::<u128>().min(u128::from(u64::MAX)) as u64
 }
 
-/// Amounts as parts that add up to [`PARTS`] exactly, by largest remainder; `None`: there is nothing.
+/// Weights in proportion to amounts that add up to [`TOTAL_WEIGHT`], by the largest remainder method; `None`:
+/// all amounts are 0.
 pub fn normalized_weights(amounts: &[u64]) -> Option<Vec<u32>> {
     let sum: u128 = amounts.iter().map(|amount| u128::from(*amount)).sum();
     if sum == 0 {
--- a/zones/src/application.rs
+++ b/zones/src/application.rs
@@ -1,4 +1,5 @@
-//! The plan, as something that the proxies settle in common.
+//! The callbacks of the lease protocol.
+
 use crate::application_types::ZoneApplication;
 use crate::command::{Command, CommandResponse, Rejection};
 use crate::hosts::Host;
--- a/zones/src/application_types.rs
+++ b/zones/src/application_types.rs
@@ -1,4 +1,5 @@
-//! One process's part in the plan, and what it says.
+//! The state of one process, and the types that its messages carry.
+
 use crate::command::{Command, CommandResponse, Rejection};
 use crate::hosts::Host;
 use crate::local_stats::LocalStats;
@@ -8,35 +9,32 @@
 use crate::topology::Topology;
 use flaxhead_lease::{ApplicationTypes, Config, Micros};
 
-/// A step, for the trail and the log of the holder.
+/// An event at the leader, for the audit trail and the log. Operators' tools may match the texts.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct PlanEvent {
-    /// What happened.
+    /// Kind of the event.
     pub kind: &'static str,
-
-    /// To which zone, or of which process; empty: to the plan.
+    /// Name of the zone or process that it concerns; empty: the whole plan.
     pub subject: String,
-
-    /// Why.
+    /// Details and cause.
     pub reason: String,
 }
 
-/// The plan, as one process takes part in it.
+/// The application's state in one process.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ZoneApplication {
     pub(crate) topology: Topology,
     pub(crate) settings: FailoverSettings,
     pub(crate) local_stats: LocalStats,
     pub(crate) wants_early_renewal: bool,
-
-    /// The last plan that could be gone by, and why a later one could not.
+    /// The last valid plan, which is kept while a later one is invalid.
     pub(crate) last_valid_plan: Plan,
-
+    /// The reason why the last plan that was received is invalid.
     pub(crate) plan_error: Option<PlanError>,
 }
 
 impl ZoneApplication {
-    /// A process that starts in a zone of the map, by its place, and remembers nothing.
+    /// State of a process that starts in the zone with index `own_zone`, without a plan.
     pub fn new(
         now: Micros,
         topology: Topology,
@@ -54,8 +52,8 @@
         }
     }
 
-    /// How the machine is to be paced. A plan that is forgotten is made anew from figures; a lease is how long an old
-    /// one may be gone by at the longest.
+    /// Configuration of the lease protocol. No process follows a plan for longer than a lease, and a leader
+    /// can compute a lost plan anew from reports, so short timeouts are sufficient after a loss of state.
     pub fn lease_config(lease: Micros) -> Config {
         Config {
             lease,
@@ -71,27 +69,28 @@
         &self.topology
     }
 
-    /// Its own zone.
+    /// Index of the process's own zone.
     pub fn own_zone(&self) -> usize {
         self.local_stats.own_zone()
     }
 
-    /// Where what it sees is counted.
+    /// The statistics in which the driver records calls.
     pub fn local_stats_mut(&mut self) -> &mut LocalStats {
         &mut self.local_stats
     }
 
-    /// To be called now and then: a zone that is found otherwise than the last word said is told soon.
+    /// Requests an early renewal if the health of a zone differs from the last report. The driver calls this
+    /// regularly.
     pub fn update_early_renewal(&mut self, now: Micros) {
         self.wants_early_renewal = self.local_stats.has_health_change(now, &self.topology, &self.settings);
     }
 
-    /// The last plan that could be gone by. Whether it is now, [`Zones::in_force`] says.
+    /// The last valid plan, whether or not it is still in force (see [`ZoneApplication::current_plan`]).
     pub fn last_valid_plan(&self) -> &Plan {
         &self.last_valid_plan
     }
 
-    /// Why the plan that was told last is not gone by; `None`: it is.
+    /// The reason why the last plan that was received is invalid; `None`: it is valid.
     pub fn plan_error(&self) -> Option<&PlanError> {
         self.plan_error.as_ref()
     }
@@ -107,7 +106,8 @@
     type Facts = Vec<Host>;
     type Event = PlanEvent;
 
-    // As many zones as a map can have, with their longest names, each lost to and served by all.
+    // Holds the largest plan: the maximum number of zones with the longest names, a weight and a health for
+    // each pair.
     const MAX_STATE_BYTES: usize = 1 << 18;
     const MAX_REPORT_BYTES: usize = 1 << 12;
     const MAX_GRANT_BYTES: usize = 0;
--- a/zones/src/command.rs
+++ b/zones/src/command.rs
@@ -1,93 +1,83 @@
-//! What operators order, and what they are told.
+//! The commands of operators, and the responses to them. They are encoded by position: the order of fields
+//! and variants is fixed.
+
 use crate::topology::{is_valid_name, MAX_NAME_BYTES};
 use flaxhead_lease::CommandError;
 use serde::{Deserialize, Serialize};
 
-/// What an operator says.
+/// A command of an operator.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Command {
-    /// The plan shall not move, but out of zones that are lost.
+    /// Stops all changes of the plan but those away from unavailable zones.
     Hold {
-        /// Who says so.
+        /// Name of the operator.
         by: String,
     },
-
-    /// It moves again.
+    /// Ends a hold.
     Release {
-        /// Who says so.
+        /// Name of the operator.
         by: String,
     },
-
-    /// A zone shall take nothing.
+    /// Moves all traffic out of a zone.
     Evacuate {
-        /// Which.
+        /// Name of the zone.
         zone: String,
-
-        /// Who says so.
+        /// Name of the operator.
         by: String,
     },
-
-    /// It takes traffic again.
+    /// Ends the evacuation of a zone.
     Restore {
-        /// Which.
+        /// Name of the zone.
         zone: String,
-
-        /// Who says so.
+        /// Name of the operator.
         by: String,
     },
 }
 
-/// It stands. Asked for twice is one order.
+/// Response to a command that is in effect. Commands are idempotent.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct CommandResponse {
-    /// Whether it stood already.
+    /// Whether the command was in effect before.
     pub unchanged: bool,
 }
 
-/// Why nothing was changed.
+/// A reason why a command changed nothing.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, thiserror::Error)]
 pub enum Rejection {
-    /// No proxy that settles the plan could be reached.
+    /// No leader could be reached.
     #[error("no leader is reachable from here: retry once a majority of the voters runs")]
     NoLeader,
-
-    /// It was not confirmed in time; it may have been taken, and asking again does no harm.
+    /// The command was not committed in time; it may have been executed.
     #[error("the command was not confirmed in time; retry it: commands are idempotent")]
     TimedOut,
-
-    /// Too many wait.
+    /// Too many commands are pending.
     #[error("{0} commands are pending already; retry once they are answered")]
     TooManyPending(usize),
-
-    /// The settings have no such zone.
+    /// A zone that the settings do not have.
     #[error("zone {0} is unknown; use the name of a zone in the settings")]
     UnknownZone(String),
-
-    /// A text is empty, or too long.
+    /// A text that is empty, too long or not printable.
     #[error("{0}: use 1 to {MAX_NAME_BYTES} printable ASCII characters")]
     InvalidText(String),
-
-    /// Nobody knows for sure what is settled.
+    /// The replicated plan may be incomplete; the value is the time until it counts as complete, in seconds.
     #[error(
         "all voters have lost the plan, and it is not known yet which commands are in effect; retry in {0} s"
     )]
     StateLost(u64),
-
-    /// What the zones take is not known.
+    /// Not enough processes have reported their demand.
     #[error("the demand is not known yet; retry in a few seconds")]
     DemandUnknown,
-
-    /// The rest cannot take it.
-    #[error("without zone {zone} the other zones lack capacity for {shortfall} calls per second of the present demand")]
+    /// The other zones lack the capacity for the traffic of this one.
+    #[error(
+        "without zone {zone} the others lack capacity for {shortfall} calls per second of present demand"
+    )]
     InsufficientCapacity {
-        /// Which.
+        /// Name of the zone.
         zone: String,
-
-        /// By how much.
+        /// Missing capacity in calls per second.
         shortfall: u64,
     },
-
-    /// The plan does not move.
+    /// The plan is on hold by this operator.
     #[error("the plan is on hold by {0}; release it first")]
     OnHold(String),
 }
@@ -103,7 +93,7 @@
 }
 
 impl Command {
-    /// Who gives it.
+    /// Name of the operator.
     pub fn by(&self) -> &str {
         match self {
             Command::Hold { by }
@@ -113,7 +103,7 @@
         }
     }
 
-    /// What is wrong with it, whoever reads it.
+    /// Checks the texts, independently of the state.
     pub(crate) fn check(&self) -> Result<(), Rejection> {
         if !is_valid_name(self.by()) {
             return Err(Rejection::InvalidText("by".to_owned()));
--- a/zones/src/health_matrix/damped_health.rs
+++ b/zones/src/health_matrix/damped_health.rs
@@ -1,38 +1,34 @@
-//! One pair, held long enough that nothing swings.
+//! Health of one pair of zones, damped so that it does not flap.
+
 use crate::report::ZoneHealth;
 use crate::settings::FailoverSettings;
 use flaxhead_lease::Micros;
 
-/// A pair that got lost again within so many times what it must be seen better for has not forgotten the last time.
+/// Time without an outage after which earlier ones are forgotten, as a multiple of the recovery delay.
 const OUTAGE_MEMORY_RATIO: Micros = 32;
-
-/// The wait is doubled so often at the most.
+/// Maximum number of times that the recovery delay is doubled.
 const MAX_DOUBLING_COUNT: u32 = 3;
 
-/// How a pair is judged.
+/// Damped health of a pair.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct DampedHealth {
-    /// How.
+    /// Present health.
     pub health: ZoneHealth,
-
-    /// Since when.
+    /// Time of its last change.
     pub since: Micros,
-
-    /// By how many.
+    /// Number of processes that agree on it.
     pub witnesses: u32,
-
-    /// How often it got lost lately.
+    /// Number of recent outages, up to one more than the recovery delay is doubled.
     pub recent_outages: u32,
-
-    /// When anything was said last.
+    /// Time of the last votes.
     last_vote_at: Micros,
-
-    /// What is said otherwise, and since when.
+    /// The health that the votes are for if it differs from the present one, and the time since which they
+    /// are better or worse.
     pending: Option<(ZoneHealth, Micros)>,
 }
 
 impl DampedHealth {
-    /// Well, as far as is known.
+    /// Healthy, without outages.
     pub fn new(now: Micros) -> DampedHealth {
         DampedHealth {
             health: ZoneHealth::Healthy,
@@ -44,17 +40,19 @@
         }
     }
 
-    /// As another had it.
+    /// Health as a previous leader left it in the plan.
     pub fn restore(health: ZoneHealth, since: Micros, witnesses: u32, recent_outages: u32) -> DampedHealth {
         DampedHealth { health, since, witnesses, recent_outages, last_vote_at: since, pending: None }
     }
 
-    /// How long it must be seen better before it counts as better (flap damping, as RFC 2439 has it for routes).
+    /// Time for which the votes must be better before the health becomes better. It grows exponentially with
+    /// the number of recent outages (flap damping, as RFC 2439 has it for routes).
     pub fn recovery_delay(&self, settings: &FailoverSettings) -> Micros {
         settings.recovery_delay << self.recent_outages.saturating_sub(1).min(MAX_DOUBLING_COUNT)
     }
 
-    /// What is said now. Whether it is judged otherwise by it.
+    /// Takes the health by the present votes and the number of votes for it; `None`: there are too few votes.
+    /// Returns whether the damped health changed.
     pub fn update(
         &mut self,
         now: Micros,
@@ -66,8 +64,7 @@
         {
             self.recent_outages = 0;
         }
-
-        // Where few look, nothing is said for moments; where nothing is for longer, it begins anew.
+        // A zone with few observers may have no votes for a moment. Only a longer pause restarts the delay.
         if now.saturating_sub(self.last_vote_at) > settings.max_report_age {
             self.pending = None;
         }
@@ -77,8 +74,7 @@
             (self.pending, self.witnesses) = (None, witnesses);
             return false;
         }
-
-        // What is said of it may change among the better, or among the worse, while it is waited for.
+        // The delay runs on while the votes stay on the same side of the present health.
         let is_worse = health > self.health;
         let since = match self.pending {
             Some((pending, since)) if (pending > self.health) == is_worse => since,
--- a/zones/src/health_matrix/mod.rs
+++ b/zones/src/health_matrix/mod.rs
@@ -1,4 +1,5 @@
-//! How zones stand, by pairs of who looks and who is looked at.
+//! Health of zones, by pairs of an observing and an observed zone.
+
 mod damped_health;
 mod votes;
 
@@ -10,66 +11,59 @@
 use crate::topology::Topology;
 use flaxhead_lease::Micros;
 
-/// How a zone stands, from all sides.
+/// Status of a zone over all observing zones.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum ZoneStatus {
-    /// It takes traffic.
+    /// Available from all zones, and healthy from at least half of them.
     Healthy,
-
-    /// It answers late, or some calls fail, from more than half of the zones.
+    /// Available from all zones, and degraded from more than half of them.
     Degraded,
-
-    /// It is not reached from these, and from others it is.
+    /// Unavailable from these zones, and available from others.
     UnavailableFrom(Vec<usize>),
-
-    /// It is reached from nowhere.
+    /// Unavailable from all zones.
     Unavailable,
 }
 
-/// The judgement of all pairs.
+/// The damped health of all pairs.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct HealthMatrix {
     pairs: Vec<Vec<DampedHealth>>,
 }
 
-/// A pair is judged otherwise from now on.
+/// A change of a pair's health.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct HealthChange {
-    /// Who looks.
+    /// Index of the zone whose processes observe.
     pub observer: usize,
-
-    /// At whom.
+    /// Index of the observed zone.
     pub target: usize,
-
-    /// How it was.
+    /// Health before the change.
     pub previous: ZoneHealth,
-
-    /// How it is.
+    /// Health after the change.
     pub current: ZoneHealth,
-
-    /// How many say so.
+    /// Number of processes that agree on it.
     pub witnesses: u32,
 }
 
 impl HealthMatrix {
-    /// All is well as far as is known.
+    /// A matrix in which all pairs are healthy.
     pub fn new(now: Micros, topology: &Topology) -> HealthMatrix {
         HealthMatrix { pairs: vec![vec![DampedHealth::new(now); topology.count()]; topology.count()] }
     }
 
-    /// A pair.
+    /// Health of a pair.
     pub fn pair(&self, observer: usize, target: usize) -> &DampedHealth {
         &self.pairs[observer][target]
     }
 
-    /// A pair as another holder had it.
+    /// Sets the health of a pair, as the previous leader had it. Indices out of range are ignored.
     pub fn set(&mut self, observer: usize, target: usize, pair: DampedHealth) {
         if let Some(own_pair) = self.pairs.get_mut(observer).and_then(|pairs| pairs.get_mut(target)) {
             *own_pair = pair;
         }
     }
 
-    /// What is said now; what turned by it.
+    /// Updates all pairs with the present votes. Returns those whose health changed.
     pub fn update(
         &mut self,
         now: Micros,
@@ -89,7 +83,7 @@
         changes
     }
 
-    /// A zone, from all sides.
+    /// Status of a zone.
     pub fn zone_status(&self, zone: usize) -> ZoneStatus {
         let count = self.pairs.len();
         let observers_with = |health: ZoneHealth| {
@@ -104,7 +98,7 @@
         }
     }
 
-    /// Whether more than half of those that reach a zone find it strained.
+    /// Whether a zone is degraded from more than half of the zones from which it is available.
     pub fn is_degraded(&self, zone: usize) -> bool {
         let available = || {
             self.pairs.iter().map(|pairs| &pairs[zone]).filter(|pair| pair.health < ZoneHealth::Unavailable)
@@ -112,7 +106,7 @@
         available().filter(|pair| pair.health == ZoneHealth::Degraded).count() * 2 > available().count()
     }
 
-    /// Whether a zone was lost to somebody, and is back since a short time.
+    /// Whether a zone is in its recovery period after an outage seen from any zone.
     pub fn is_recovering(&self, now: Micros, zone: usize, settings: &FailoverSettings) -> bool {
         self.pairs.iter().any(|pairs| {
             let pair = &pairs[zone];
--- a/zones/src/health_matrix/votes.rs
+++ b/zones/src/health_matrix/votes.rs
@@ -1,18 +1,20 @@
-//! What witnesses say. Each weighs one, whatever it carries.
+//! Votes of processes on the health of zones. Each process has one vote on each zone, whatever its traffic.
+
 use crate::report::{ReportError, ZoneHealth, ZoneReport};
 use crate::settings::FailoverSettings;
 use crate::topology::Topology;
 
-/// By who looks and at whom, how many find it well, strained and lost.
+/// Vote counts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HealthVotes {
+    /// Number of votes by observing zone, observed zone and health.
     counts: Vec<Vec<[u32; 3]>>,
-
+    /// Number of votes by observed zone and health, from all observing zones.
     totals: Vec<[u32; 3]>,
 }
 
 impl HealthVotes {
-    /// None yet.
+    /// Counts without votes.
     pub fn new(topology: &Topology) -> HealthVotes {
         HealthVotes {
             counts: vec![vec![[0; 3]; topology.count()]; topology.count()],
@@ -20,8 +22,8 @@
         }
     }
 
-    /// A checked word of a process in this zone. One that has tried all zones and finds every one lost is cut off
-    /// itself.
+    /// Adds the votes of a report that was checked, from a process in zone `own_zone`. A process to which all
+    /// zones are unavailable is rejected, as it is probably cut off itself.
     pub fn add(
         &mut self,
         own_zone: usize,
@@ -44,13 +46,13 @@
         Ok(())
     }
 
-    /// How many speak of a zone, wherever they are.
+    /// Number of votes on a zone from all zones.
     pub fn vote_count(&self, zone: usize) -> u32 {
         self.totals.get(zone).map_or(0, |counts| counts.iter().sum())
     }
 
-    /// How a pair is found, and by how many. Where too few look from there, by what is said from everywhere; `None`:
-    /// too little is said.
+    /// Health of a pair by its votes, and the number of votes for it. If there are too few votes from the
+    /// observing zone, those from all zones count. `None`: there are too few in all.
     pub fn consensus(
         &self,
         observer: usize,
--- a/zones/src/hosts.rs
+++ b/zones/src/hosts.rs
@@ -1,28 +1,26 @@
-//! What a process knows of hosts, from discovery and its own calls.
+//! The hosts of each zone, as discovery and a process's own calls show them, and the capacity that follows.
+
 use crate::settings::{scale_per_mille, FailoverSettings};
 use crate::topology::Topology;
 
-/// A cold host does so much of what a warm one does, in thousandths: enough that it gets calls to warm up by.
+/// The warmth that a colder host counts with, so that it gets the calls that warm it up.
 const MIN_WARMTH_PER_MILLE: u32 = 100;
 
 /// A host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Host {
-    /// The place of its zone.
+    /// Index of its zone.
     pub zone: usize,
-
-    /// Discovery lists it as ready.
+    /// Whether discovery lists it as ready.
     pub ready: bool,
-
-    /// How warm it is, in thousandths.
+    /// Capacity reached in its recovery ramp, in thousandths of that of a warm host.
     pub warmth_per_mille: u32,
-
-    /// Its size beside the others', in thousandths.
+    /// Size relative to other hosts, in thousandths.
     pub size_per_mille: u32,
 }
 
-/// What each zone's hosts should do now, and would if all were warm, in thousandths of a call a second, less the
-/// margin.
+/// Capacity of each zone's ready hosts less the margin, in thousandths of a call per second: at their present
+/// warmth, and once all are warm.
 pub fn zone_capacities(
     hosts: &[Host],
     topology: &Topology,
--- a/zones/src/lib.rs
+++ b/zones/src/lib.rs
@@ -1,15 +1,16 @@
-//! Which zones take whose traffic, as the client proxies settle it among themselves: what is settled under a lease of
-//! [`flaxhead_lease`], as its [`flaxhead_lease::Application`]; no I/O, no clock.
+//! Distribution of traffic over zones, as the client proxies agree on it: an [`flaxhead_lease::Application`]
+//! under a leader lease of [`flaxhead_lease`], without I/O or clock.
 //!
-//! Each process tells what it asks for and how it finds each zone ([`Tally`], [`Word`]). Whoever holds the lease
-//! judges zones by pairs of who looks and who is looked at ([`Judge`]), divides what is asked for over what can be
-//! done ([`fill`]) and moves the [`Plan`] there by bounded steps ([`steps`]). The plan is told to all; a process goes
-//! by it while its leave lasts, and only ever narrows its own choice by it ([`Zones::allow`]). Operators hold and
-//! release the plan, and empty and return zones ([`Order`]).
+//! Each process reports its demand and the health of each zone as its own calls show it ([`LocalStats`],
+//! [`ZoneReport`]). The leader assesses the health of every pair of an observing and an observed zone
+//! ([`HealthMatrix`]), allocates the demand to the capacity ([`allocation`]) and moves the [`Plan`] towards
+//! that allocation in bounded steps ([`steps`]). The plan is replicated to all processes. A process follows
+//! it while its lease lasts, and the plan only ever removes zones from the process's own choice
+//! ([`ZoneApplication::routing`]). Operators put the plan on hold and release it, and evacuate and restore
+//! zones ([`Command`]).
 //!
-//! What is here decides only. Not plugged in yet: a driver on the peers' sockets, a section of the operators' file,
-//! commands, and the module's event that takes the shares. Why it is as it is, and what it promises and what not,
-//! stands in `docs/design/zones.md`.
+//! The package only decides. No driver, configuration section or operator command uses it yet. The design and
+//! its guarantees are described in `docs/design/zones.md`.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -42,17 +43,13 @@
 
 pub use flaxhead_lease::{Ballot, Micros, Name, Process};
 
-/// One process's part in the plan.
+/// The protocol's state machine in one process.
 pub type Machine = flaxhead_lease::Machine<ZoneApplication>;
-
-/// What one process says to another.
+/// A message between two processes.
 pub type Message = flaxhead_lease::Message<ZoneApplication>;
-
-/// What is to be done.
+/// An action that the driver carries out.
 pub type Effect = flaxhead_lease::Effect<ZoneApplication>;
-
-/// What a process knows from elsewhere.
+/// The membership and the hosts, as a process knows them from outside the protocol.
 pub type Facts = flaxhead_lease::Facts<Vec<Host>>;
-
-/// What a process is given with everything that happens.
+/// The time, facts and random numbers that accompany every input.
 pub type Context<'a> = flaxhead_lease::Context<'a, Vec<Host>>;
--- a/zones/src/local_stats.rs
+++ b/zones/src/local_stats.rs
@@ -1,21 +1,21 @@
-//! What a process has seen of the zones lately, smoothed and rounded so that its word does not change without need.
+//! A process's own calls over the last second, smoothed and rounded so that small changes do not change its
+//! report.
+
 use crate::report::{ZoneObservation, ZoneReport, MAX_CLASS_COUNT};
 use crate::settings::FailoverSettings;
 use crate::topology::Topology;
 use flaxhead_lease::Micros;
 
-/// A span is counted in so many parts, each of that length: a second in all.
+/// Slots of the sliding window, which covers a second.
 const SLOT_COUNT: usize = 8;
-
+/// Duration of a slot.
 const SLOT_US: Micros = 125_000;
-
-/// What was said stays said while it is right to so many eighths.
+/// A reported value is kept while the current one deviates from it by at most this many eighths.
 const MAX_DEVIATION_EIGHTHS: u64 = 1;
-
-/// Ends of calls beyond this number in a part are not counted.
+/// Maximum count in a slot; further calls are not counted.
 const MAX_CALLS_PER_SLOT: u32 = 1 << 24;
 
-/// A count over the last second.
+/// A count over a sliding window of a second.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct SlidingCount {
     slots: [u32; SLOT_COUNT],
@@ -31,7 +31,7 @@
         self.slots.iter().map(|count| u64::from(*count)).sum()
     }
 
-    /// A second's. The part that now is in has lasted so long.
+    /// Rate per second. `slot_elapsed` is the time since the current slot began.
     fn rate(&self, slot_elapsed: Micros) -> u64 {
         let span = (SLOT_COUNT as u64 - 1) * SLOT_US + slot_elapsed;
         (self.sum() * 1_000_000 + span / 2) / span
@@ -47,13 +47,12 @@
     unreachable: bool,
 }
 
-/// The tally of one process.
+/// The calls of one process, by zone.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LocalStats {
     own_zone: usize,
     slot: u64,
-
-    /// For how long the part has lasted.
+    /// Time since the current slot began.
     slot_elapsed: Micros,
     requests: Vec<SlidingCount>,
     zones: Vec<ZoneCounts>,
@@ -61,7 +60,7 @@
 }
 
 impl LocalStats {
-    /// Of a process in a zone of the map, by its place.
+    /// Statistics without calls, of a process in the zone with index `own_zone`.
     pub fn new(now: Micros, topology: &Topology, own_zone: usize) -> LocalStats {
         let zones = vec![ZoneCounts::default(); topology.count()];
         let requests = vec![SlidingCount::default(); MAX_CLASS_COUNT];
@@ -75,12 +74,12 @@
         }
     }
 
-    /// Its own zone.
+    /// Index of the process's own zone.
     pub fn own_zone(&self) -> usize {
         self.own_zone
     }
 
-    /// Calls were asked for, of a class of worth.
+    /// Counts requests of clients, in a priority class. Classes beyond the last count as the last.
     pub fn record_requests(&mut self, now: Micros, class: usize, count: u32) {
         self.advance(now);
         let slot = self.slot;
@@ -89,7 +88,8 @@
         }
     }
 
-    /// Attempts at a zone were answered, in so many milliseconds each.
+    /// Counts successful attempts at a zone, with their mean latency. They also show that the zone is
+    /// reachable.
     pub fn record_successes(&mut self, now: Micros, zone: usize, count: u32, latency_ms: u32) {
         self.advance(now);
         let slot = self.slot;
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Attempts at a zone failed.
+    /// Counts failed attempts at a zone.
     pub fn record_failures(&mut self, now: Micros, zone: usize, count: u32) {
         self.advance(now);
         let slot = self.slot;
@@ -109,14 +109,14 @@
         }
     }
 
-    /// Calls in hand at a zone, and whether all its hosts fail here.
+    /// Sets the number of calls in flight to a zone, and whether calls to all of its hosts fail.
     pub fn set_connectivity(&mut self, zone: usize, in_flight: u32, unreachable: bool) {
         if let Some(counts) = self.zones.get_mut(zone) {
             (counts.in_flight, counts.unreachable) = (in_flight, unreachable);
         }
     }
 
-    /// Time goes on: what is older than the span counts no more. A clock that stands still or goes back turns nothing.
+    /// Clears the slots that left the window. Does nothing if the clock stands still or goes back.
     fn advance(&mut self, now: Micros) {
         let slot = now / SLOT_US;
         let elapsed_slots = slot.saturating_sub(self.slot).min(SLOT_COUNT as u64);
@@ -157,7 +157,7 @@
         })
     }
 
-    /// The word as it is now.
+    /// The report at this time. It is kept, so that the next one differs only where values changed enough.
     pub fn report(&mut self, now: Micros, topology: &Topology) -> ZoneReport {
         self.advance(now);
         let previous = self.last_report.take().unwrap_or_default();
@@ -182,7 +182,7 @@
         report
     }
 
-    /// Whether some zone is found otherwise than was said last.
+    /// Whether the health of a zone differs from that in the last report.
     pub(crate) fn has_health_change(
         &mut self,
         now: Micros,
@@ -205,13 +205,13 @@
         })
     }
 
-    /// What was said last.
+    /// The last report; `None`: there was none yet.
     pub fn last_report(&self) -> Option<&ZoneReport> {
         self.last_report.as_ref()
     }
 }
 
-/// What was said, while it is near enough; else the number, to three places of two.
+/// Rounds a value to four significant bits. Returns the reported value while the new one is close to it.
 fn round(value: u64, reported: u32) -> u32 {
     let previous = u64::from(reported);
     if previous > 0
--- a/zones/src/local_stats/tests.rs
+++ b/zones/src/local_stats/tests.rs
@@ -1,4 +1,5 @@
-//! Unit tests of `tally`.
+//! Unit tests of the local statistics.
+
 use super::*;
 use crate::topology::TopologySettings;
 
--- a/zones/src/plan.rs
+++ b/zones/src/plan.rs
@@ -1,4 +1,5 @@
-//! The plan, as all proxies have it: what is settled.
+//! The plan, which is replicated to all processes. It is encoded by position: the order of fields is fixed.
+
 use crate::allocation::{AdmissionLevel, TOTAL_WEIGHT};
 use crate::report::ZoneHealth;
 use crate::topology::{is_valid_name, Topology, MAX_ZONE_COUNT};
@@ -6,134 +7,112 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// The traffic of one zone.
+/// The split of one zone's traffic over all zones.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct OriginSplit {
-    /// Where it is asked for.
+    /// Name of the zone whose processes receive the traffic from clients.
     pub origin: String,
-
-    /// How much of it is let through.
+    /// Part of the traffic that is admitted.
     pub admission: AdmissionLevel,
-
-    /// Where that goes, in parts of [`PARTS`]; they add up to it. Zones that get nothing are left out.
+    /// Weight of each zone in the admitted traffic, [`TOTAL_WEIGHT`] in all. Zones with weight 0 are left
+    /// out.
     pub weights: Vec<(String, u32)>,
 }
 
-/// A pair that is not well, or was not lately. Its time is a span beside the plan: it means the same at every clock.
+/// Health of one zone as seen from another. Times are spans, so that they mean the same by every clock.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PairHealth {
-    /// Who looks.
+    /// Name of the zone whose processes observe.
     pub observer: String,
-
-    /// At whom.
+    /// Name of the observed zone.
     pub target: String,
-
-    /// How it is found: 0 well, 1 strained, 2 lost.
+    /// Health: 0 healthy, 1 degraded, 2 unavailable.
     pub health: u8,
-
-    /// By how many.
+    /// Number of processes that agree on it.
     pub witnesses: u32,
-
-    /// How often it got lost lately.
+    /// Number of recent outages, for damping.
     pub recent_outages: u32,
-
-    /// For how long it has been so.
+    /// Time since the health last changed.
     pub age: Micros,
 }
 
-/// What a zone can do, as it was reckoned with.
+/// Capacity of a zone that the plan is based on.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ZoneCapacity {
-    /// Which.
+    /// Name of the zone.
     pub zone: String,
-
-    /// Calls a second.
+    /// Capacity in calls per second.
     pub calls_per_second: u32,
-
-    /// How much of what its hosts should do it was found to do, in thousandths.
+    /// Ratio of the capacity that the zone was found to have to the nominal capacity of its hosts.
     pub achieved_per_mille: u32,
 }
 
-/// An operator's word that stands.
+/// A command of an operator that is in effect.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ActiveCommand {
-    /// Who gave it.
+    /// Name of the operator.
     pub by: String,
-
-    /// How long ago.
+    /// Time since the command.
     pub age: Micros,
 }
 
-/// All of it.
+/// The plan.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Plan {
-    /// Its number; it only grows.
+    /// Version; it only grows.
     pub version: Version,
-
-    /// The traffic of each zone. One that reaches nothing has none.
+    /// The split of each zone's traffic. Zones from which no zone can be reached have none.
     pub splits: Vec<OriginSplit>,
-
-    /// Pairs that are of interest.
+    /// Pairs of zones that are not healthy or had a recent outage.
     pub pairs: Vec<PairHealth>,
-
-    /// By zone.
+    /// Capacity of each zone.
     pub capacities: Vec<ZoneCapacity>,
-
-    /// Nothing moves but out of a zone that is lost.
+    /// The hold in effect: the plan changes only away from unavailable zones. `None`: no hold.
     pub hold: Option<ActiveCommand>,
-
-    /// Zones that operators have emptied.
+    /// Names of the evacuated zones, each with its command.
     pub evacuated: Vec<(String, ActiveCommand)>,
 }
 
-/// Why a plan is not gone by. It is refused whole.
+/// A reason why a process does not follow a plan. Invalid plans are rejected as a whole.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum PlanError {
-    /// The settings differ.
+    /// A zone that the settings do not have.
     #[error(
-        "the plan names zone {0:?}, which the settings here do not have; configure the same zones for all proxies"
+        "the plan names zone {0:?}, which the settings here do not have; give all proxies the same zones"
     )]
     UnknownZone(String),
-
-    /// Which of the two?
+    /// Two splits of one origin, or two weights of one target in a split.
     #[error(
         "the plan has two weights of zone {target} for traffic from {origin}, or two splits of that traffic"
     )]
     DuplicateSplit {
-        /// Whose.
+        /// Name of the origin.
         origin: String,
-
-        /// Of which zone.
+        /// Name of the target; the origin's own name if the split itself is a duplicate.
         target: String,
     },
-
-    /// It does not add up.
+    /// Weights that do not add up to [`TOTAL_WEIGHT`].
     #[error("the plan's weights for traffic from {origin} add up to {sum}, not {TOTAL_WEIGHT}")]
     InvalidWeightSum {
-        /// Whose.
+        /// Name of the origin.
         origin: String,
-
-        /// What they add up to.
+        /// Sum of the weights.
         sum: u64,
     },
-
-    /// A level that cannot be.
+    /// An admission level above the maximum.
     #[error("the plan admits {weight} of {TOTAL_WEIGHT} of a priority class from {origin}")]
     InvalidAdmission {
-        /// Whose.
+        /// Name of the origin.
         origin: String,
-
-        /// What it says.
+        /// Admitted part of the class, out of [`TOTAL_WEIGHT`].
         weight: u16,
     },
-
-    /// It contradicts itself.
+    /// Traffic to a zone that the plan itself has as unavailable.
     #[error("the plan sends traffic from {origin} to {target}, which it marks as unavailable from there")]
     RoutedToUnavailable {
-        /// Whose.
+        /// Name of the origin.
         origin: String,
-
-        /// Where.
+        /// Name of the target.
         target: String,
     },
 }
@@ -147,7 +126,7 @@
 }
 
 impl Plan {
-    /// Whether it can be gone by.
+    /// Checks that a process with this topology can follow the plan.
     pub fn check(&self, topology: &Topology) -> Result<(), PlanError> {
         let index_of =
             |zone: &str| topology.index(zone).ok_or_else(|| PlanError::UnknownZone(printable(zone)));
@@ -199,12 +178,12 @@
         Ok(())
     }
 
-    /// The row of a zone.
+    /// The split of a zone's traffic.
     pub fn split(&self, origin: &str) -> Option<&OriginSplit> {
         self.splits.iter().find(|split| split.origin == origin)
     }
 
-    /// Whether operators have emptied a zone.
+    /// Whether operators have evacuated a zone.
     pub fn is_evacuated(&self, zone: &str) -> bool {
         self.evacuated.iter().any(|(evacuated, _)| evacuated == zone)
     }
@@ -218,7 +197,7 @@
         ages.for_each(|age| *age = age.saturating_add(elapsed));
     }
 
-    /// The later plan, with the orders that stand in either: what an operator emptied stays so.
+    /// Keeps the later of the two plans, with the evacuations of both, so that no operator's command is lost.
     fn absorb(&mut self, other: &Plan) -> bool {
         let before = self.clone();
         let mut earlier = other.clone();
--- a/zones/src/planner/assess.rs
+++ b/zones/src/planner/assess.rs
@@ -1,4 +1,5 @@
-//! What the holder hears, and how the zones stand by it.
+//! Assessment of the processes' reports: demand, capacity and health of the zones.
+
 use super::state::PlannerRun;
 use crate::allocation::{AllocationInput, LinkState};
 use crate::application_types::PlanEvent;
@@ -10,15 +11,13 @@
 use flaxhead_lease::Process;
 use std::collections::BTreeMap;
 
-/// So much of a zone's room is reckoned with where it is strained, each time that the plan may move; and so much of
-/// the whole more where it is not, down to the least.
+/// Factor on the achieved capacity of a degraded zone, at each step, so that its queues drain.
 const DEGRADED_FACTOR_PER_MILLE: u32 = 930;
-
+/// Increase of the achieved capacity of a zone that is not degraded, at each step.
 const RECOVERY_PER_MILLE: u32 = 2;
-
+/// Minimum of the achieved capacity.
 const MIN_ACHIEVED_PER_MILLE: u32 = 250;
-
-/// A process that asks for more than so many times what all hosts can do is not believed.
+/// Maximum plausible demand of one process, as a multiple of the capacity of all hosts.
 const MAX_DEMAND_RATIO: u64 = 4;
 
 impl PlannerRun<'_, '_> {
@@ -26,7 +25,7 @@
         self.context.record_event(PlanEvent { kind, subject: subject.to_owned(), reason });
     }
 
-    /// What each zone can do now, and would if all its hosts were warm.
+    /// Capacity of each zone now, and once all its hosts are warm, in thousandths of a call per second.
     fn capacities(&self) -> (Vec<u64>, Vec<u64>) {
         let (mut current, warm) =
             hosts::zone_capacities(&self.context.facts.application, self.topology, self.settings);
@@ -37,7 +36,7 @@
         (current, warm)
     }
 
-    /// Reads all words, and judges.
+    /// Updates demand and health with the latest report of each process.
     pub(super) fn assess(&mut self) {
         let (topology, settings, now) = (self.topology, self.settings, self.context.now);
         let max_calls_per_second = self.capacities().1.iter().sum::<u64>() / 1_000 * MAX_DEMAND_RATIO;
@@ -74,8 +73,7 @@
                 }
             }
         }
-
-        // Each is named once, until it is believed again.
+        // A process is recorded once, and again only after one of its reports was accepted.
         let new = rejected_reports
             .iter()
             .filter(|(process, _)| !self.planner.rejected_reports.contains_key(process));
@@ -120,7 +118,8 @@
         self.record(kind, self.topology.name(*target), reason);
     }
 
-    /// Whether enough is heard that what is asked for is known.
+    /// Whether two thirds of the processes have reported, or the leader has waited for a lease, and there is
+    /// any demand.
     pub(super) fn is_demand_known(&self) -> bool {
         let process_count = self.context.processes().count();
         let heard_count =
@@ -130,7 +129,8 @@
             && self.planner.demand.iter().flatten().any(|demand| *demand > 0)
     }
 
-    /// What is found of a zone's room. One that is strained does no more than it does now.
+    /// Lowers the achieved capacity of degraded zones below their present throughput, and raises that of
+    /// others slowly.
     pub(super) fn update_achieved_capacity(&mut self) {
         let (capacities, _) =
             hosts::zone_capacities(&self.context.facts.application, self.topology, self.settings);
@@ -146,14 +146,13 @@
         }
     }
 
-    /// What a step works on.
+    /// Input of the next step.
     pub(super) fn plan_step(&self) -> PlanStep<'_> {
         let (topology, health_matrix) = (self.topology, &self.planner.health_matrix);
         let (now, (mut capacity, warm_capacity)) = (self.context.now, self.capacities());
         let is_unobserved =
             |zone: usize| now.saturating_sub(self.planner.observed[zone].0) > self.settings.max_report_age;
-
-        // Spare that nobody measures is none: trials come first.
+        // A zone without recent votes gets no traffic until trial calls show its health.
         capacity
             .iter_mut()
             .enumerate()
@@ -168,8 +167,8 @@
             .map(|observer| (0..topology.count()).map(|target| link(observer, target)).collect())
             .collect();
         let mut demand = self.planner.demand.clone();
-
-        // Whoever begins to ask where nobody did finds a row: that of one call a second.
+        // A zone without demand is planned for one call per second, so that it has a split when its demand
+        // begins.
         for demand in &mut demand {
             if demand.iter().all(|demand| *demand == 0) {
                 *demand = vec![1_000];
--- a/zones/src/planner/commands.rs
+++ b/zones/src/planner/commands.rs
@@ -1,10 +1,11 @@
-//! What operators order.
+//! Execution of the commands of operators.
+
 use super::state::PlannerRun;
 use crate::command::{Command, CommandResponse, Rejection};
 use crate::plan::ActiveCommand;
 
 impl PlannerRun<'_, '_> {
-    /// Takes an order; the answer counts once it is on record.
+    /// Executes a command. The lease protocol sends the response once the change is committed.
     pub(crate) fn execute(&mut self, command: Command) -> Result<CommandResponse, Rejection> {
         command.check()?;
         if let Some(since) = self.context.state_lost_since() {
@@ -38,7 +39,7 @@
         !was_held
     }
 
-    /// What must be so for a zone to be emptied or filled again.
+    /// Checks that a zone may be evacuated or restored. Returns its index.
     fn check_may_move(&self, zone: &str) -> Result<usize, Rejection> {
         let index = self.topology.index(zone).ok_or_else(|| Rejection::UnknownZone(zone.to_owned()))?;
         match &self.context.state().hold {
--- a/zones/src/planner/mod.rs
+++ b/zones/src/planner/mod.rs
@@ -1,4 +1,5 @@
-//! The part of the one that settles the plan.
+//! The leader's part: the health of zones, the steps of the plan, and the commands of operators.
+
 mod assess;
 mod commands;
 mod publish;
--- a/zones/src/planner/publish.rs
+++ b/zones/src/planner/publish.rs
@@ -1,23 +1,23 @@
-//! When the plan moves, and how it is written.
+//! The times at which the plan changes, and its publication.
+
 use super::state::{traffic_splits, PlannerRun};
 use crate::plan::{OriginSplit, PairHealth, ZoneCapacity};
 use crate::report::ZoneHealth;
 use crate::steps::{is_significant_change, TrafficSplits};
 use flaxhead_lease::{Micros, Version};
 
-/// How often words are read at the most.
+/// Minimum time between two assessments of the reports.
 const ASSESSMENT_INTERVAL_US: Micros = 50_000;
 
 impl PlannerRun<'_, '_> {
-    /// Does what can be done.
+    /// Assesses the reports and moves the plan by a step if either is due.
     pub(crate) fn step(&mut self) {
         let now = self.context.now;
         if now < self.planner.next_assessment_at {
             return;
         }
         self.planner.next_assessment_at = now + ASSESSMENT_INTERVAL_US;
-
-        // Before it has a list itself it can say nothing of what zones can do.
+        // Without hosts from discovery, the capacity of the zones is not known.
         if self.context.facts.application.is_empty() {
             return;
         }
@@ -99,7 +99,7 @@
         self.record("plan", "", format!("{version}: {} of 100", own_percentages.join(", ")));
     }
 
-    /// The plan is another: it gets the next number, and all are told.
+    /// Gives the plan the next version and replicates it.
     pub(super) fn publish(&mut self) {
         self.context.publish();
         let version = Version { fence: Some(self.context.ballot().clone()), seq: self.context.state_seq() };
--- a/zones/src/planner/state.rs
+++ b/zones/src/planner/state.rs
@@ -1,4 +1,5 @@
-//! What the holder keeps.
+//! The leader's state.
+
 use crate::application_types::ZoneApplication;
 use crate::health_matrix::{DampedHealth, HealthMatrix};
 use crate::plan::Plan;
@@ -9,34 +10,30 @@
 use flaxhead_lease::{LeaderContext, Micros, Process, Version};
 use std::collections::BTreeMap;
 
-/// What the holder keeps of the plan; gone with the lease. All that must outlive it is in the plan.
+/// The leader's working state. It ends with the lease; what the next leader needs is in the plan.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Planner {
     pub(super) health_matrix: HealthMatrix,
-
-    /// By zone, how much of what it should do it does, in thousandths.
+    /// By zone: the ratio of the capacity that the zone was found to have to the nominal capacity of its
+    /// hosts.
     pub(super) achieved_per_mille: Vec<u32>,
-
-    /// By zone, when somebody spoke of it last, and since when somebody does without a break.
+    /// By zone: the time of the last vote on it, and the time since which there were votes without a long
+    /// pause.
     pub(super) observed: Vec<(Micros, Micros)>,
-
-    /// By zone, calls a second that are answered there.
+    /// By zone: successful calls per second.
     pub(super) completed: Vec<u64>,
-
-    /// Processes whose words are left out, and why.
+    /// Processes whose reports are ignored, and why.
     pub(super) rejected_reports: BTreeMap<Process, ReportError>,
-
-    /// By origin and class, in thousandths of a call a second.
+    /// Demand by origin and class, in thousandths of a call per second.
     pub(super) demand: Vec<Vec<u64>>,
     pub(super) started_at: Micros,
     pub(super) next_assessment_at: Micros,
     pub(super) next_step_at: Micros,
-
-    /// A pair got lost, and the plan does not know it yet.
+    /// Whether a zone became unavailable after the last step of the plan.
     pub(super) is_urgent: bool,
 }
 
-/// The holder, with the rules of the plan.
+/// The planner together with the settings and the leader's context, for the duration of a callback.
 pub(crate) struct PlannerRun<'a, 'b> {
     pub topology: &'a Topology,
     pub settings: &'a FailoverSettings,
@@ -45,7 +42,7 @@
 }
 
 impl Planner {
-    /// Goes on where the last holder was, as far as the plan says it.
+    /// Starts from the replicated plan, as the previous leader left it.
     pub(crate) fn begin(
         topology: &Topology,
         settings: &FailoverSettings,
@@ -55,7 +52,7 @@
         let mut health_matrix = HealthMatrix::new(now, topology);
         let mut achieved_per_mille = vec![1_000; topology.count()];
         if context.state().check(topology).is_err() {
-            // Nobody could go by it: only what it is not wrong about is of use, and that is not known.
+            // Processes reject an invalid plan as a whole, and it is not known which of its parts are right.
             *context.state_mut() = Plan::default();
         }
         for pair in &context.state().pairs {
@@ -93,17 +90,17 @@
         }
     }
 
-    /// How zones stand, by pairs.
+    /// Health of all pairs of zones.
     pub fn health_matrix(&self) -> &HealthMatrix {
         &self.health_matrix
     }
 
-    /// Whose words are left out, and why.
+    /// Processes whose reports are ignored, and why.
     pub fn rejected_reports(&self) -> &BTreeMap<Process, ReportError> {
         &self.rejected_reports
     }
 
-    /// By origin and class, what is asked for, in thousandths of a call a second.
+    /// Demand by origin and class, in thousandths of a call per second.
     pub fn demand(&self) -> &[Vec<u64>] {
         &self.demand
     }
@@ -113,7 +110,7 @@
     }
 }
 
-/// The shares of a checked plan, by places.
+/// The splits of a valid plan, by indices of zones.
 pub(super) fn traffic_splits(plan: &Plan, topology: &Topology) -> TrafficSplits {
     let traffic_split = |origin: usize| {
         let split = plan.split(topology.name(origin))?;
--- a/zones/src/report.rs
+++ b/zones/src/report.rs
@@ -1,93 +1,82 @@
-//! What a process tells of the zones.
+//! The report that a process sends with each renewal of its lease. It is encoded by position: the order of
+//! fields is fixed.
+
 use crate::topology::{is_valid_name, Topology, MAX_ZONE_COUNT};
 use serde::{Deserialize, Serialize};
 
-/// Classes of worth at the most; class 0 is worth most.
+/// Maximum number of priority classes; class 0 has the highest priority.
 pub const MAX_CLASS_COUNT: usize = 8;
-
-/// No process asks for more a second, nor waits longer: whoever says so is wrong.
+/// Call rate above which a report is implausible.
 const MAX_CALLS_PER_SECOND: u32 = 10_000_000;
-
+/// Latency above which a report is implausible.
 const MAX_LATENCY_MS: u32 = 600_000;
 
-/// What a process finds of one zone.
+/// A process's calls to one zone.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ZoneObservation {
-    /// Which.
+    /// Name of the zone.
     pub zone: String,
-
-    /// Calls in hand there.
+    /// Calls in flight.
     pub in_flight: u32,
-
-    /// Calls a second that it answers.
+    /// Successful attempts per second.
     pub completed_per_second: u32,
-
-    /// Attempts a second that fail.
+    /// Failed attempts per second.
     pub failed_per_second: u32,
-
-    /// How long an answer takes.
+    /// Mean latency of successful attempts.
     pub latency_ms: u32,
-
-    /// Nothing there is reached.
+    /// Whether no host of the zone can be reached.
     pub unreachable: bool,
 }
 
-/// A process's word with each renewal.
+/// A process's report.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ZoneReport {
-    /// Its own zone.
+    /// Name of the process's own zone.
     pub zone: String,
-
-    /// Calls a second that are asked for here, by class of worth, those that are refused included.
+    /// Calls per second that clients request from this process, by priority class, rejected ones included.
     pub demand: Vec<u32>,
-
-    /// Zones that it has tried lately.
+    /// Zones that the process sent calls to within the last second, still has calls in flight to, or cannot
+    /// reach.
     pub observations: Vec<ZoneObservation>,
 }
 
-/// Why a word is left out.
+/// A reason why the leader ignores a report. The texts are part of the audit trail.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum ReportError {
-    /// Its settings are others.
+    /// A zone that the leader's settings do not have.
     #[error("it speaks of the zone {0:?}, which the settings here do not have; give both the same zones")]
     UnknownZone(String),
-
-    /// Which of the two?
+    /// Two observations of one zone.
     #[error("it speaks of the zone {0} twice")]
     DuplicateZone(String),
-
-    /// No process does that.
+    /// A call rate that no process can have.
     #[error("it says {0} calls a second, which cannot be")]
     ImplausibleRate(u64),
-
-    /// No call takes that long.
+    /// A latency that no call can have.
     #[error("it says {0} ms for an answer, which cannot be")]
     ImplausibleLatency(u32),
-
-    /// More than there are.
+    /// More priority classes than there are.
     #[error("it has {0} classes of worth; there are {MAX_CLASS_COUNT}")]
     TooManyClasses(usize),
-
-    /// It is cut off itself.
+    /// A process that is probably cut off itself.
     #[error("it reaches no zone at all, not even its own: it is taken as cut off, and no witness")]
     ReachesNoZone,
 }
 
-/// How one process finds a zone.
+/// Health of a zone as seen from one process or one other zone, from best to worst.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ZoneHealth {
-    /// It answers.
+    /// Calls succeed within the latency limit.
     Healthy,
-
-    /// It answers late, or some fail.
+    /// Latency or failure ratio is above the limit for degraded zones.
     Degraded,
-
-    /// It does not answer.
+    /// No host is reachable, or the failure ratio is above the limit for unavailable zones.
     Unavailable,
 }
 
 impl ZoneReport {
-    /// The place of its own zone, if all that it says can be.
+    /// Checks that the report is plausible for a fleet that handles `max_calls_per_second`. Returns the index
+    /// of the process's own zone.
     pub fn check(&self, topology: &Topology, max_calls_per_second: u64) -> Result<usize, ReportError> {
         let max_calls_per_second = max_calls_per_second.min(u64::from(MAX_CALLS_PER_SECOND));
         let index_of = |zone: &str| {
@@ -121,7 +110,7 @@
 }
 
 impl ZoneObservation {
-    /// How the process finds the zone; `None`: it has not tried it.
+    /// Health of the zone by this observation; `None`: there were no attempts to judge it by.
     pub fn health(&self, settings: &crate::settings::FailoverSettings) -> Option<ZoneHealth> {
         let (completed, failed) = (u64::from(self.completed_per_second), u64::from(self.failed_per_second));
         let total = completed + failed;
--- a/zones/src/routing.rs
+++ b/zones/src/routing.rs
@@ -1,77 +1,69 @@
-//! What a process may do by the plan: fewer zones than it has by itself, never others.
+//! The zones that a process may send calls to under the plan: never others than it has by itself.
+
 use crate::allocation::{AdmissionLevel, TOTAL_WEIGHT};
 use crate::application_types::ZoneApplication;
 use crate::plan::Plan;
 use crate::report::ZoneHealth;
 use flaxhead_lease::{Member, Micros, Version};
 
-/// How a process finds a zone itself, now.
+/// Present state of a zone's hosts as the process itself sees it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct LocalHealth {
-    /// Its own list has hosts there.
+    /// Whether the process's endpoint list has hosts of the zone.
     pub is_listed: bool,
-
-    /// They fail here, all of them.
+    /// Whether calls to all of these hosts fail.
     pub all_failing: bool,
 }
 
-/// Why a process goes by itself alone.
+/// A reason why a process chooses zones without a plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, thiserror::Error)]
 pub enum FallbackReason {
-    /// Nothing was settled yet.
+    /// No valid plan was received, or it is empty.
     #[error("no plan was received yet")]
     NoPlan,
-
-    /// It was started and is not let in.
+    /// The process has started and is not on the roster yet.
     #[error("no leader has admitted this process yet")]
     NotAdmitted,
-
-    /// Cut off, or stopped for a time.
+    /// The process was cut off or paused for longer than its lease.
     #[error("the lease of this process has expired: it was cut off or paused, and its plan may be outdated")]
     LeaseExpired,
-
-    /// A later holder is known of.
+    /// A later leader is known, and its plan was not received yet.
     #[error("a later leader was elected, and its plan was not received yet")]
     Superseded,
-
-    /// The plan says nothing of this zone.
+    /// The plan has no split for the process's own zone.
     #[error("the plan has no split for the traffic of this zone")]
     NoSplit,
-
-    /// What the plan leaves is not reached from here.
+    /// None of the zones in the split can be reached.
     #[error("no zone that the plan sends this zone's traffic to is reachable from here")]
     NoReachableZone,
 }
 
-/// The plan, as it narrows one process's choice.
+/// The plan's split for a process, restricted to the zones that it can reach.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct PlannedSplit {
-    /// Which plan.
+    /// Version of the plan.
     pub version: Version,
-
-    /// How much of each class is let through.
+    /// Part of the requests that is admitted.
     pub admission: AdmissionLevel,
-
-    /// By zone, how much of that goes there, in parts of [`PARTS`]; they add up to it.
+    /// Weight of each zone in the admitted calls, [`TOTAL_WEIGHT`] in all.
     pub weights: Vec<u32>,
-
-    /// Zones with hosts that get nothing: a call now and then may try them, so that their return is seen.
+    /// Zones with hosts, but with weight 0, that should get an occasional trial call to detect their
+    /// recovery.
     pub trial_zones: Vec<usize>,
 }
 
-/// Which zones a process may choose from.
+/// How a process chooses zones.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Routing {
-    /// All that it has, by its own judgement.
+    /// Choice among all zones, by the process's own health checks only.
     Local(FallbackReason),
-
-    /// These.
+    /// Choice by the plan.
     Planned(PlannedSplit),
 }
 
 impl ZoneApplication {
-    /// What may be chosen now: by the plan in force, the own zone and what is found here. What is found here goes
-    /// first.
+    /// Routing at this time, by the current plan and the health of each zone as this process sees it. Zones
+    /// that it cannot reach are left out of the plan's split.
     pub fn routing(
         &self,
         now: Micros,
@@ -84,7 +76,7 @@
         }
     }
 
-    /// The plan that is gone by.
+    /// The plan that the process must follow at this time, or the reason why there is none.
     pub fn current_plan<'a>(
         &'a self,
         now: Micros,
@@ -96,8 +88,7 @@
         if now >= member.lease_expiry() {
             return Err(FallbackReason::LeaseExpired);
         }
-
-        // The last good one: where the one that was told last cannot be gone by, it is kept.
+        // If the last plan received is invalid, the one before it stays in force.
         let plan = &self.last_valid_plan;
         let Some(fence) = &plan.version.fence else { return Err(FallbackReason::NoPlan) };
         if member.fence().is_some_and(|known| known > fence) {
--- a/zones/src/settings.rs
+++ b/zones/src/settings.rs
@@ -1,55 +1,43 @@
-//! How fast things are judged and moved, and by what bounds.
+//! The thresholds, delays and step sizes of zone failover.
+
 use flaxhead_lease::Micros;
 
-/// Settings, the same at all processes. Portions are in thousandths.
+/// Settings, which must be the same at all processes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct FailoverSettings {
-    /// Calls a second that a warm host of size 1 does.
+    /// Capacity of a warm host of size 1.
     pub host_calls_per_second: u32,
-
-    /// What is left of that.
+    /// Part of the capacity that is kept free.
     pub margin_per_mille: u32,
-
-    /// An answer that takes longer makes its zone strained.
+    /// Latency above which a zone is degraded.
     pub degraded_latency_ms: u32,
-
-    /// So many failures make it strained, and so many lost.
+    /// Failure ratio from which a zone is degraded.
     pub degraded_failure_per_mille: u32,
-
-    /// See [`Pace::failing`].
+    /// Failure ratio from which a zone is unavailable.
     pub unavailable_failure_per_mille: u32,
-
-    /// Part of those of one zone who speak of another that must say the same, and how many at the least.
+    /// Part of the votes on a pair of zones that must agree on a worse health.
     pub quorum_per_mille: u32,
-
-    /// See [`Pace::quorum`].
+    /// Minimum number of votes on a pair of zones, and of those that agree on a worse health.
     pub min_witnesses: u32,
-
-    /// How old a word may be that is a witness.
+    /// Age up to which a report counts as a vote.
     pub max_report_age: Micros,
-
-    /// For how long a zone must be seen worse before it counts as worse.
+    /// Time for which the votes must be worse before the health of a pair becomes worse.
     pub worsening_delay: Micros,
-
-    /// For how long it must be seen better; doubled with each time that it got worse again, up to eight times.
+    /// Time for which the votes must be better before the health of a pair becomes better. It doubles with
+    /// each recent outage after the first, up to eight times this value.
     pub recovery_delay: Micros,
-
-    /// How often the plan moves at the most.
+    /// Minimum time between two steps of the plan, except away from a zone that became unavailable.
     pub step_interval: Micros,
-
-    /// How much of what a zone can do its traffic may rise by in a step, and for one that is just back.
+    /// Maximum increase of a zone's traffic in a step, relative to its capacity with warm hosts.
     pub max_step_per_mille: u32,
-
-    /// See [`Pace::step`].
+    /// Maximum increase of a zone's traffic in a step during its recovery period, relative to its capacity
+    /// with warm hosts.
     pub recovery_step_per_mille: u32,
-
-    /// How long a zone counts as just back.
+    /// Duration of the recovery period after an outage.
     pub recovery_period: Micros,
-
-    /// Moves of less than this wait for more.
+    /// Size up to which changes of a split are not published.
     pub min_change_per_mille: u32,
-
-    /// How long an order to hold the plan lasts.
+    /// Maximum duration of a hold; the plan is then released automatically.
     pub max_hold: Micros,
 }
 
@@ -76,7 +64,7 @@
     }
 }
 
-/// A portion in thousandths of a number.
+/// Multiplies a value by a ratio in thousandths; saturates.
 pub(crate) fn scale_per_mille(value: u64, per_mille: u32) -> u64 {
     (u128::from(value) * u128::from(per_mille) / 1_000).min(u128::from(u64::MAX)) as u64
 }
--- a/zones/src/steps.rs
+++ b/zones/src/steps.rs
@@ -1,40 +1,37 @@
-//! How the plan moves on: towards what filling says, by bounded steps.
+//! Bounded steps that move the plan towards the allocation for the present demand and capacity.
+
 use crate::allocation::{
     admission_level, admit, admitted_demand, normalized_weights, route, AdmissionLevel, AllocationInput,
     TOTAL_WEIGHT,
 };
 use crate::settings::{scale_per_mille, FailoverSettings};
 
-/// The traffic of one zone, by places.
+/// The split of one zone's traffic, by indices of zones.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct TrafficSplit {
-    /// How much is let through.
+    /// Part of the traffic that is admitted.
     pub admission: AdmissionLevel,
-
-    /// By zone; they add up.
+    /// Weight of each zone in the admitted traffic, [`TOTAL_WEIGHT`] in all.
     pub weights: Vec<u32>,
 }
 
-/// By origin; `None`: it reaches nothing.
+/// The splits by origin; `None`: the origin reaches no zone.
 pub type TrafficSplits = Vec<Option<TrafficSplit>>;
 
-/// What is around a step.
+/// The input of a step.
 #[derive(Clone, Debug)]
 pub struct PlanStep<'a> {
-    /// What is asked for, what each zone can do now, and by which ways.
+    /// Present demand, capacity and links.
     pub input: AllocationInput<'a>,
-
-    /// What each could do if all its hosts were warm.
+    /// Capacity of each zone once all its hosts are warm, in thousandths of a call per second.
     pub warm_capacity: Vec<u64>,
-
-    /// Zones that are just back.
+    /// Whether each zone is in its recovery period after an outage.
     pub recovering: Vec<bool>,
-
-    /// Zones that operators have emptied.
+    /// Whether operators have evacuated each zone.
     pub evacuated: Vec<bool>,
 }
 
-/// How much goes to each zone by these shares.
+/// Load on each zone if the present demand is split in this way, in thousandths of a call per second.
 pub fn planned_load(input: &AllocationInput<'_>, splits: &TrafficSplits) -> Vec<u64> {
     let mut sums = vec![0_u64; input.topology.count()];
     for (demand, split) in input.demand.iter().zip(splits) {
@@ -48,7 +45,8 @@
 }
 
 impl PlanStep<'_> {
-    /// The next shares, from the ones in force; `None`: there are none, and the aim is gone to at once.
+    /// The splits after the next step from `current`. `None` stands for no plan: the first one gets the whole
+    /// allocation at once.
     pub fn next(&self, current: Option<&TrafficSplits>, settings: &FailoverSettings) -> TrafficSplits {
         let Some(current) = current else {
             let mut input = self.input.clone();
@@ -70,8 +68,8 @@
             *capacity = (*capacity).min(load[zone].saturating_add(max_increase));
         }
         let admitted_before: u64 = admit(&input).iter().flatten().sum();
-
-        // A zone is emptied as fast as others take what it had, and no call is refused for it.
+        // The load of an evacuated zone is lowered only as far as other zones can take it without rejecting
+        // calls.
         for zone in (0..self.warm_capacity.len()).filter(|zone| self.evacuated[*zone]) {
             let previous = input.capacity[zone];
             input.capacity[zone] = previous.saturating_sub(
@@ -84,7 +82,8 @@
         allocate(&input)
     }
 
-    /// What could not be let through if these zones were empty, once all steps are done, beyond what cannot be now.
+    /// Demand that the zones can admit with the present evacuations but could not with those in `evacuated`,
+    /// in thousandths of a call per second. It compares full allocations, without the limits of a step.
     pub fn shortfall(&self, evacuated: &[bool]) -> u64 {
         let total_admitted = |evacuated: &[bool]| -> u64 {
             let mut input = self.input.clone();
@@ -110,7 +109,7 @@
     flow.iter().enumerate().map(split).collect()
 }
 
-/// Whether two differ by enough that it is worth telling.
+/// Whether the next splits differ enough from the current ones to publish them.
 pub fn is_significant_change(
     step: &PlanStep<'_>,
     current: &TrafficSplits,
@@ -122,8 +121,7 @@
         let demand = &step.input.demand[origin];
         let total = demand.iter().sum();
         let difference = admitted_demand(demand, before).abs_diff(admitted_demand(demand, after));
-
-        // That nothing is refused any more is told, however little it was.
+        // The end of all rejections is published even if only a small part of the demand was rejected.
         let is_unrestricted =
             admitted_demand(demand, after) == total && before.full_classes != after.full_classes;
         is_unrestricted || difference > scale_per_mille(total, settings.min_change_per_mille)
--- a/zones/src/topology.rs
+++ b/zones/src/topology.rs
@@ -1,72 +1,64 @@
-//! The zones, the regions above them, and what going from one to another costs.
+//! The zones, their regions, and the cost of calls between them.
+
 use serde::{Deserialize, Serialize};
 use siphasher::sip::SipHasher13;
 use std::collections::BTreeSet;
 use std::hash::{Hash, Hasher};
 
-/// Zones at the most, and bytes of a name: what a word and a plan can hold.
+/// Maximum number of zones; it bounds the size of reports and plans.
 pub(crate) const MAX_ZONE_COUNT: usize = 32;
-
+/// Maximum length of a name; it bounds the size of reports and plans.
 pub(crate) const MAX_NAME_BYTES: usize = 64;
-
-/// The dearest way.
+/// Maximum cost of a call between two zones, in the unit of the settings.
 const MAX_COST: u32 = 1_000_000;
 
-/// What the operators' file and the settings say, before it is checked.
+/// The zones and costs as operators configure them, not validated yet.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct TopologySettings {
-    /// Each zone with its region.
+    /// Names of the zones, with the name of the region of each.
     pub zones: Vec<(String, String)>,
-
-    /// What a call costs that leaves its zone, in any unit.
+    /// Cost of a call to another zone of the same region, in any unit.
     pub cross_zone: u32,
-
-    /// What a call costs that leaves its region, where the two are not named below.
+    /// Cost of a call to another region, for pairs of regions that are not listed in `regions`.
     pub cross_region: u32,
-
-    /// Two regions and what a call between them costs, either way.
+    /// Two regions and the cost of a call between them, in either direction.
     pub regions: Vec<(String, String, u32)>,
 }
 
-/// Why there is no map.
+/// A reason why the settings are invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum TopologyError {
-    /// None, or too many.
+    /// No zone or too many.
     #[error("{0} zones are configured; configure 1 to {MAX_ZONE_COUNT}")]
     ZoneCount(usize),
-
-    /// Empty, too long, or not printable.
+    /// A name that is empty, too long or not printable.
     #[error(
         "{0:?} is not a valid name of a zone or region; use 1 to {MAX_NAME_BYTES} printable ASCII characters"
     )]
     InvalidName(String),
-
-    /// Two lines of one zone.
+    /// A zone that is listed twice.
     #[error("zone {0} is configured twice; remove one of the entries")]
     DuplicateZone(String),
-
-    /// A cost of a region without zones.
+    /// A cost for a region without zones.
     #[error("a cost refers to region {0}, which has no zone; correct the name or remove the cost")]
     UnknownRegion(String),
-
-    /// A cost that cannot be.
+    /// A cost that is too high, or lower between regions than within one.
     #[error("a cost is {0}; use 0 to {MAX_COST}, and no less between regions than within one")]
     InvalidCost(u32),
 }
 
-/// The checked map. Zones are known by their places in it.
+/// The validated zones and costs. Elsewhere, a zone is identified by its index here.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Topology {
     zones: Vec<String>,
     regions: Vec<String>,
     costs: Vec<Vec<u32>>,
-
-    /// Tells apart maps by which other shares come out.
+    /// Hash of the zones, regions and costs: topologies that can lead to different plans have different ones.
     pub digest: u64,
 }
 
 impl Topology {
-    /// Checks the terms.
+    /// Validates the settings.
     pub fn new(settings: &TopologySettings) -> Result<Topology, TopologyError> {
         let count = settings.zones.len();
         if count == 0 || count > MAX_ZONE_COUNT {
@@ -115,33 +107,33 @@
         Ok(Topology { zones, regions, costs, digest: hasher.finish() })
     }
 
-    /// How many zones there are.
+    /// Number of zones.
     pub fn count(&self) -> usize {
         self.zones.len()
     }
 
-    /// The name of a zone.
+    /// Name of a zone; empty for an index out of range.
     pub fn name(&self, zone: usize) -> &str {
         self.zones.get(zone).map_or("", String::as_str)
     }
 
-    /// The region of a zone.
+    /// Region of a zone; empty for an index out of range.
     pub fn region(&self, zone: usize) -> &str {
         self.regions.get(zone).map_or("", String::as_str)
     }
 
-    /// Which zone a name means.
+    /// Index of the zone with this name.
     pub fn index(&self, name: &str) -> Option<usize> {
         self.zones.iter().position(|zone| zone == name)
     }
 
-    /// What a call costs from one zone to another.
+    /// Cost of a call from one zone to another; the maximum for an index out of range.
     pub fn cost(&self, from: usize, to: usize) -> u32 {
         self.costs.get(from).and_then(|costs| costs.get(to)).copied().unwrap_or(MAX_COST)
     }
 }
 
-/// Whether a text can stand in a table and a trail.
+/// Whether a text is safe to print in tables, logs and audit trails.
 pub(crate) fn is_valid_name(text: &str) -> bool {
     (1..=MAX_NAME_BYTES).contains(&text.len()) && text.bytes().all(|b| b.is_ascii_graphic() || b == b' ')
 }
--- a/zones/src/topology/tests.rs
+++ b/zones/src/topology/tests.rs
@@ -1,4 +1,5 @@
-//! Unit tests of `map`.
+//! Unit tests of the topology.
+
 use super::*;
 
 fn settings(zones: &[(&str, &str)]) -> TopologySettings {
