--- a/zones/tests/allocation.rs
+++ b/zones/tests/allocation.rs
@@ -1,4 +1,5 @@
-//! What filling promises, over drawn scenes.
+//! Properties of the allocation over random inputs, and examples.
+
 use flaxhead_zones::allocation::{
     admission_level, admit, admitted_demand, normalized_weights, route, AllocationInput, LinkState,
     TOTAL_WEIGHT,
@@ -16,7 +17,11 @@
 
 fn random_input() -> impl Strategy<Value = RandomInput> {
     (1..6_usize).prop_flat_map(|zones| {
-        let link = prop_oneof![5 => Just(LinkState::Open), 1 => Just(LinkState::LastResort), 2 => Just(LinkState::Closed)];
+        let link = prop_oneof![
+            5 => Just(LinkState::Open),
+            1 => Just(LinkState::LastResort),
+            2 => Just(LinkState::Closed)
+        ];
         let amount = || prop_oneof![1 => Just(0), 4 => 0..1_000_u64, 1 => 0..50_000_000_u64];
         (
             prop::collection::vec(prop::collection::vec(amount(), 0..4), zones),
@@ -32,25 +37,39 @@
 
 proptest! {
     #[test]
-    fn all_admitted_demand_is_routed_within_capacity_and_over_usable_links((demand, capacity, links) in random_input()) {
+    fn all_admitted_demand_is_routed_within_capacity_and_over_usable_links(
+        (demand, capacity, links) in random_input()
+    ) {
         let topology = topology(capacity.len());
-        let input = AllocationInput { topology: &topology, demand: demand.clone(), capacity: capacity.clone(), links: links.clone() };
+        let input = AllocationInput {
+            topology: &topology,
+            demand: demand.clone(),
+            capacity: capacity.clone(),
+            links: links.clone()
+        };
         let admitted = admit(&input);
         let flow = route(&input, &admitted);
         for origin in 0..capacity.len() {
             let sum: u64 = admitted[origin].iter().sum();
             prop_assert_eq!(flow[origin].iter().sum::<u64>(), sum);
-            prop_assert!(admitted[origin].iter().zip(&demand[origin]).all(|(admitted, demand)| admitted <= demand));
-            prop_assert!((0..capacity.len()).all(|target| links[origin][target] != LinkState::Closed || flow[origin][target] == 0));
+            prop_assert!(
+                admitted[origin].iter().zip(&demand[origin]).all(|(admitted, demand)| admitted <= demand)
+            );
+            prop_assert!((0..capacity.len())
+                .all(|target| links[origin][target] != LinkState::Closed || flow[origin][target] == 0));
             if let Some(weights) = normalized_weights(&flow[origin]) {
                 prop_assert_eq!(weights.iter().sum::<u32>(), TOTAL_WEIGHT);
-                prop_assert!((0..capacity.len()).all(|target| flow[origin][target] > 0 || weights[target] == 0));
+                prop_assert!(
+                    (0..capacity.len()).all(|target| flow[origin][target] > 0 || weights[target] == 0)
+                );
             }
-
-// A class is let through only where all before it are, and never more than is admitted.
-let level = admission_level(&demand[origin], &admitted[origin]);
+            // The admission level lets no more through than was admitted, and no less but for rounding.
+            let level = admission_level(&demand[origin], &admitted[origin]);
             prop_assert!(admitted_demand(&demand[origin], &level) <= sum);
-            prop_assert!(sum - admitted_demand(&demand[origin], &level) <= sum / 1_000 + 50_000_000 / 9_000, "{level:?}");
+            prop_assert!(
+                sum - admitted_demand(&demand[origin], &level) <= sum / 1_000 + 50_000_000 / 9_000,
+                "{level:?}"
+            );
         }
         for target in 0..capacity.len() {
             prop_assert!(flow.iter().map(|amounts| amounts[target]).sum::<u64>() <= capacity[target]);
@@ -68,10 +87,11 @@
         larger_input.capacity[zone] += increase;
         let (before, after) = (admit(&input), admit(&larger_input));
         prop_assert!(total(&after) >= total(&before));
-
-// Nor less of the classes that are worth most.
-for class in 0..4 {
-            let total_up_to_class = |admitted: &[Vec<u64>]| -> u64 { admitted.iter().flat_map(|classes| classes.iter().take(class + 1)).sum() };
+        // The same holds for the classes with the highest priority alone.
+        for class in 0..4 {
+            let total_up_to_class = |admitted: &[Vec<u64>]| -> u64 {
+                admitted.iter().flat_map(|classes| classes.iter().take(class + 1)).sum()
+            };
             prop_assert!(total_up_to_class(&after) >= total_up_to_class(&before), "class {class}");
         }
     }
@@ -90,8 +110,8 @@
 #[test]
 fn excess_demand_goes_to_the_cheapest_zones_in_proportion_to_free_capacity() {
     let topology = topology(5);
-
-    // Zone 0 is lost; zone 1 is of its region and has a little, 2 and 3 have two parts and one, 4 is strained.
+    // Zone 0 cannot use its own capacity. Zone 1 is in the same region and has little free capacity. Of the
+    // zones in other regions, 2 has twice as much as 3, and 4 is a last resort.
     let mut links = vec![vec![LinkState::Open; 5]; 5];
     links[0][0] = LinkState::Closed;
     links[0][4] = LinkState::LastResort;
@@ -114,16 +134,14 @@
     assert!(admitted.iter().all(|classes| classes[0] == 500), "{admitted:?}");
     let second_class: Vec<u64> = admitted.iter().map(|classes| classes[1]).collect();
     assert_eq!(second_class.iter().sum::<u64>(), 500);
-
-    // Each about its third.
+    // Each origin gets about a third.
     assert!(second_class.iter().all(|amount| amount.abs_diff(167) <= 20), "{second_class:?}");
 }
 
 #[test]
 fn an_origin_with_one_link_gets_the_capacity_that_others_can_do_without() {
     let topology = topology(3);
-
-    // Zone 1 may go to 2 only, zone 0 to 1 and 2.
+    // Zone 0 can use zones 1 and 2, and zone 1 only zone 2.
     let links = [
         [LinkState::Closed, LinkState::Open, LinkState::Open],
         [LinkState::Closed, LinkState::Closed, LinkState::Open],
--- a/zones/tests/failover.rs
+++ b/zones/tests/failover.rs
@@ -1,21 +1,22 @@
-//! Three hundred proxies and two hundred hosts in virtual time, through the loss of zones: nothing is driven past
-//! what it can do by the plan for longer than a second, no share swings, and all is back to normal in a stated time.
+//! Failover in a simulated fleet of 300 proxies and 200 hosts. After each fault, no zone stays overloaded by
+//! the plan for longer than a second, no weight oscillates, and traffic returns to its own zone within a time
+//! limit.
+
 mod fleet;
 
 use flaxhead_zones::{Command, FallbackReason, LocalHealth, Micros, Rejection, Routing};
 use fleet::{Fleet, FleetConfig, LEASE, SECOND};
 
-/// The longest that a zone may be sent more by the plan than it can do.
+/// Maximum time for which the plan may overload a zone.
 const MAX_OVERLOAD_US: Micros = SECOND;
-
-/// The same of one that gets slow itself, until that is found and its share is lowered.
+/// The same for a zone that becomes slow, including the time to detect that.
 const MAX_SLOW_ZONE_OVERLOAD_US: Micros = 6 * SECOND;
-
-/// Runs with drawn faults.
+/// Number of runs with random faults.
 const RANDOM_RUN_COUNT: u64 = 12;
 const FIVE_ZONES: [(&str, &str); 5] =
     [("a", "south"), ("b", "south"), ("c", "south"), ("d", "north"), ("e", "north")];
 
+/// A fleet that has reached a stable plan, which its processes follow, with statistics reset.
 fn stable_fleet(config: FleetConfig) -> Fleet {
     let mut fleet = Fleet::new(config);
     let is_stable = |fleet: &Fleet| {
@@ -40,7 +41,8 @@
     let stats = &fleet.stats;
     let to_ms = |spans: &[Micros]| spans.iter().map(|span| span / 1_000).collect::<Vec<_>>();
     println!(
-        "{label}: {} plan changes, {} reversals, overload {:?} ms ({:?} ms by all traffic), load {:.2?}, rejected {:.4}, served {:.4}",
+        "{label}: {} plan changes, {} reversals, overload {:?} ms ({:?} ms by all traffic), \
+         load {:.2?}, rejected {:.4}, served {:.4}",
         stats.plan_changes,
         stats.max_reversals(),
         to_ms(&stats.max_planned_overload),
@@ -56,14 +58,14 @@
     }
 }
 
-/// The number of the plan that a process goes by.
+/// The version of the plan that a process follows.
 fn followed_version(fleet: &Fleet, process: usize) -> Result<String, FallbackReason> {
     let machine = fleet.machine(process).expect("a running process");
     let now = fleet.processes[process].local_time(fleet.now);
     machine.application().current_plan(now, machine.member()).map(|plan| plan.version.to_string())
 }
 
-/// What must be so of every run.
+/// Checks the limits that hold in every run.
 fn assert_limits(fleet: &Fleet, max_reversals: u32) {
     let stats = &fleet.stats;
     assert!(
@@ -75,6 +77,7 @@
     assert!(stats.max_reversals() <= max_reversals, "{} reversals", stats.max_reversals());
 }
 
+/// Runs until traffic is back in its own zone, or panics after `timeout`.
 fn wait_for_local_traffic(fleet: &mut Fleet, timeout: Micros) -> Micros {
     let duration = fleet.run_until(timeout, |fleet| fleet.is_traffic_local(300));
     println!("traffic is local after {duration:?} us");
@@ -112,14 +115,17 @@
     fleet.stats.rejected_in_tick = 0.0;
     let (rejected, requested) = (fleet.stats.rejected, fleet.stats.requested);
     fleet.run_for(10 * SECOND);
-
-    // Two zones do 2.0 of 2.4.
+    // The two zones left have capacity for 2.0 of a demand of 2.4.
     let rejected_ratio = (fleet.stats.rejected - rejected) / (fleet.stats.requested - requested);
     println!("rejected {rejected_ratio:.3}");
     assert!((0.13..0.21).contains(&rejected_ratio), "{rejected_ratio}");
-
-    // All that is worth more goes through.
-    let rejects_higher_class = |process: &fleet::SimulatedProcess| matches!(&process.routing, Some(Routing::Planned(planned)) if planned.admission.full_classes < 2);
+    // The two classes with the highest priority are admitted in full.
+    let rejects_higher_class = |process: &fleet::SimulatedProcess| {
+        matches!(
+            &process.routing,
+            Some(Routing::Planned(split)) if split.admission.full_classes < 2
+        )
+    };
     assert!(!fleet.processes.iter().any(rejects_higher_class));
     fleet.hosts.recover(1, 0.1);
     fleet.run_for(15 * SECOND);
@@ -138,8 +144,7 @@
     fleet.run_for(15 * SECOND);
     assert!(fleet.leader().is_some_and(|next_leader| fleet.processes[next_leader].zone != zone));
     assert_eq!(fleet.weight(zone, zone).unwrap_or(0), 0);
-
-    // Those that are cut off go by themselves, once their leave has run out.
+    // Processes that are cut off stop following the plan when their lease expires.
     let zone_processes = (0..300).filter(|process| fleet.processes[*process].zone == zone);
     assert!(zone_processes
         .into_iter()
@@ -158,8 +163,7 @@
     assert!(fleet.weight(0, 1).is_some_and(|weight| weight > 2_000));
     fleet.hosts.cut_links.push((0, 1));
     fleet.run_for(5 * SECOND);
-
-    // Nothing of a goes to b any more, and b is as it was to others.
+    // No traffic goes from a to b any more, and b is available from the other zones.
     assert_eq!(fleet.weight(0, 1), Some(0));
     let machine = fleet.machine(fleet.leader().expect("a leader")).expect("a running process");
     let unavailable = machine.state().pairs.iter().filter(|pair| pair.health == 2 && pair.target == "b");
@@ -183,24 +187,21 @@
     assert!(fleet.stats.first_event(start, "strained", "b").is_some());
     assert!(fleet.stats.first_event(start, "lost", "b").is_none());
     assert!((1_000..7_000).contains(&own_weight), "{own_weight}");
-
-    // It gets rid of what waits there, and is not filled and emptied in turns.
+    // The zone's queue drains, and its load does not oscillate.
     assert!(
         fleet.stats.max_total_overload[1] <= MAX_SLOW_ZONE_OVERLOAD_US,
         "{:?}",
         fleet.stats.max_total_overload
     );
     assert!(fleet.stats.max_reversals() <= 1, "{} reversals", fleet.stats.max_reversals());
-
-    // What is sent to the others is never too much for them.
+    // The other zones are never overloaded by its traffic.
     assert!(
         [0, 2, 3].iter().all(|zone| fleet.stats.max_planned_overload[*zone] == 0),
         "{:?}",
         fleet.stats.max_planned_overload
     );
     fleet.hosts.set_slowdown(1, 1.0);
-
-    // It is believed again by two thousandths in each step: from a quarter in 190 s.
+    // The achieved capacity rises by two thousandths every half second: from a quarter to all in about 190 s.
     wait_for_local_traffic(&mut fleet, 190 * SECOND);
 }
 
@@ -228,8 +229,7 @@
     });
     fleet.fail_zone(3);
     fleet.fail_zone(4);
-
-    // Clients of the region come in elsewhere: what they ask for is asked for there.
+    // The region's processes receive no requests while they are cut off.
     fleet.run_for(10 * SECOND);
     fleet.recover_zone(3, 0.1);
     fleet.recover_zone(4, 0.1);
@@ -237,7 +237,7 @@
     print_stats(&fleet, "region fails with its processes");
     assert_limits(&fleet, 1);
 
-    // The hosts alone: their proxies go near first, and there is nothing near.
+    // Only the hosts fail: the region's traffic goes to the other region, as no closer zone is left.
     fleet.stats.reset();
     fleet.hosts.fail(3);
     fleet.hosts.fail(4);
@@ -272,8 +272,7 @@
     fleet.kill(fleet.leader().expect("a leader"));
     fleet.run_for(10 * SECOND);
     assert!(fleet.leader().is_some() && fleet.weight(1, 1) == Some(0));
-
-    // Again on the way back.
+    // The next leader is killed as well, while traffic returns to the zone.
     fleet.hosts.recover(1, 0.1);
     let plan_changes = fleet.stats.plan_changes;
     assert!(fleet.run_until(30 * SECOND, |fleet| fleet.stats.plan_changes > plan_changes + 2).is_some());
@@ -310,8 +309,8 @@
     fleet.run_for(8 * SECOND);
     println!("new plan after {:?} us", fleet.stats.first_event(failed_at, "plan", ""));
     assert_eq!(fleet.weight(1, 1), Some(0));
-
-    // One way there and back in two is lost, and a lease has four tries: one in sixteen goes by itself for a moment.
+    // About half of the renewals are lost, and a lease allows four attempts, so about one process in 16 has
+    // no lease at any moment.
     let follows_plan =
         |process: &&fleet::SimulatedProcess| matches!(process.routing, Some(Routing::Planned(_)));
     let follower_count = fleet.processes.iter().filter(follows_plan).count();
@@ -344,8 +343,7 @@
     let mut fleet = stable_fleet(FleetConfig { load_per_mille: 600, ..FleetConfig::default() });
     let by = || "night shift".to_owned();
     let zone = || "b".to_owned();
-
-    // It is known by then that nothing else is settled.
+    // By then the replicated plan counts as complete, so commands are accepted.
     fleet.run_for(2 * LEASE);
     let mut id = 0;
     let mut execute = |fleet: &mut Fleet, command: Command| {
@@ -364,11 +362,13 @@
     assert_eq!(execute(&mut fleet, Command::Evacuate { zone: zone(), by: by() }), Ok(true));
     fleet.run_for(5 * SECOND);
     assert_eq!(fleet.weight(1, 1), Some(0));
-
-    // With b empty the others cannot do without c.
+    // Without b, the other zones need the capacity of c.
     let rejected = execute(&mut fleet, Command::Evacuate { zone: "c".into(), by: by() });
     assert!(
-        matches!(&rejected, Err(Rejection::InsufficientCapacity { zone, shortfall }) if zone == "c" && *shortfall > 1_000),
+        matches!(
+            &rejected,
+            Err(Rejection::InsufficientCapacity { zone, shortfall }) if zone == "c" && *shortfall > 1_000
+        ),
         "{rejected:?}"
     );
     let unknown = execute(&mut fleet, Command::Evacuate { zone: "x".into(), by: by() });
@@ -379,8 +379,7 @@
         execute(&mut fleet, Command::Restore { zone: zone(), by: by() }),
         Err(Rejection::OnHold(by()))
     );
-
-    // A zone that is lost is left all the same.
+    // Traffic leaves an unavailable zone in spite of the hold, but does not return.
     fleet.hosts.fail(0);
     fleet.run_for(5 * SECOND);
     assert_eq!(fleet.weight(0, 0), Some(0));
@@ -399,7 +398,8 @@
 
 #[test]
 fn the_plan_prevents_an_overload_that_occurs_without_it() {
-    // Proxies of two zones whose own are lost run over to the others by themselves, whatever those can do.
+    // Without a plan, the processes of failed zones send their calls to all other zones, whatever their
+    // capacity.
     let run = |is_plan_followed: bool| {
         let mut fleet = stable_fleet(FleetConfig {
             load_per_mille: 600,
@@ -436,8 +436,7 @@
 #[test]
 fn a_zone_unreachable_for_a_minority_stays_in_the_plan_and_they_fall_back() {
     let mut fleet = stable_fleet(FleetConfig { load_per_mille: 600, ..FleetConfig::default() });
-
-    // A quarter of those that are there.
+    // A quarter of the processes of zone 1 cannot reach it.
     let affected: Vec<usize> = (0..300).filter(|process| process % 16 == 1).collect();
     fleet.hosts.unreachable_zones = affected.iter().map(|process| (*process, 1)).collect();
     fleet.run_for(10 * SECOND);
@@ -450,8 +449,7 @@
         fleet.processes[*process].routing,
         Some(Routing::Local(FallbackReason::NoReachableZone))
     )));
-
-    // One call in two seconds and process is lost, where each asks for nine a second and more.
+    // An affected process loses one trial call every two seconds, out of at least 18.
     let (served, requested) = (fleet.stats.served, fleet.stats.requested);
     fleet.run_for(10 * SECOND);
     assert!(fleet.stats.served - served > 0.98 * (fleet.stats.requested - requested));
@@ -488,8 +486,7 @@
     fleet.hosts.fail(2);
     fleet.run_for(20 * SECOND);
     fleet.stats.reset();
-
-    // Two thirds say nothing for a while: by what the others ask for there would be room for all.
+    // Two thirds of the processes do not report. The demand of the others alone would fit into the capacity.
     (90..300).for_each(|process| fleet.pause(process));
     fleet.kill(fleet.leader().expect("a leader"));
     assert!(fleet.run_until(30 * SECOND, |fleet| fleet.leader().is_some()).is_some());
@@ -526,8 +523,7 @@
         fleet.end_faults();
         let recovery_time = fleet.run_until(200 * SECOND, |fleet| fleet.is_traffic_local(300));
         assert!(recovery_time.is_some(), "seed {seed}, {faults:?}: {:?}", fleet.stats.events.last());
-
-        // What gets slow or cold itself has a longer bound of its own.
+        // A zone that becomes slow itself has a longer limit, as that must be detected first.
         let is_slow =
             |zone: usize| faults.iter().any(|(kind, fault_zone)| *kind == "slow" && *fault_zone == zone);
         let overloaded = (0..zone_count).filter(|zone| {
--- a/zones/tests/fleet/hosts.rs
+++ b/zones/tests/fleet/hosts.rs
@@ -1,23 +1,21 @@
-//! The zones' hosts, as they do calls, and the proxies' calls to them.
+//! The hosts of the zones, and the calls of the processes to them.
+
 use super::{Fleet, FleetConfig, SECOND, TICK};
 use flaxhead_lease::Application;
 use flaxhead_zones::{FailoverSettings, Host, LocalHealth, Micros, Routing, Topology};
 use rand_core::RngCore;
 
-/// How long an answer takes, and an attempt that gets none.
+/// Latency of a call to a host without a queue.
 const BASE_LATENCY_MS: f64 = 40.0;
-
+/// Timeout of an attempt.
 const ATTEMPT_TIMEOUT_US: Micros = 250_000;
-
-/// Calls that wait at a zone, in seconds of what it does.
+/// Maximum queue of a zone, relative to the calls that it completes in a second.
 const MAX_QUEUE_S: f64 = 0.5;
-
-/// How long a cold host takes to get warm, with calls.
+/// Time in which a cold host with calls warms up.
 const WARM_UP_S: f64 = 10.0;
-
-/// Parts of what is asked for, by class of worth.
+/// Ratio of each priority class to the demand.
 const CLASS_RATIOS: [f64; 3] = [0.5, 0.3, 0.2];
-
+/// Duration of a tick.
 const TICK_S: f64 = TICK as f64 / SECOND as f64;
 
 #[derive(Clone, Debug)]
@@ -26,8 +24,7 @@
     drained_count: usize,
     is_unreachable: bool,
     warmth: f64,
-
-    /// How much longer answers take, and how much less is done.
+    /// Factor on the latency, and divisor of the capacity.
     slowdown: f64,
     queue: f64,
 }
@@ -35,18 +32,14 @@
 #[derive(Clone, Debug)]
 pub struct SimulatedHosts {
     zones: Vec<ZoneHosts>,
-
-    /// From whom nothing comes to whom.
+    /// Pairs of zones: calls from the first do not reach the second.
     pub cut_links: Vec<(usize, usize)>,
-
-    /// Discovery lists nothing.
+    /// Whether the list from discovery is empty.
     pub is_list_empty: bool,
-
-    /// Processes that do not reach a zone.
+    /// Pairs of a process and a zone that it cannot reach.
     pub unreachable_zones: Vec<(usize, usize)>,
     host_calls_per_second: f64,
-
-    /// By zone, what is asked for a second.
+    /// Demand by zone, in calls per second.
     pub demand: Vec<f64>,
 }
 
@@ -87,7 +80,6 @@
             (false, warmth, 0.0);
     }
 
-    /// So many hosts of a zone are out for work.
     pub fn drain(&mut self, zone: usize, host_count: usize) {
         self.zones[zone].drained_count = host_count;
     }
@@ -100,7 +92,7 @@
         !self.cut_links.contains(&(origin, target)) && !self.unreachable_zones.contains(&(process, target))
     }
 
-    /// What a zone can do, a second.
+    /// Capacity of a zone in calls per second.
     pub fn capacity(&self, zone: usize) -> f64 {
         let hosts = &self.zones[zone];
         if hosts.is_unreachable {
@@ -111,7 +103,7 @@
         }
     }
 
-    /// As discovery lists them: a zone that is lost stays on the list.
+    /// The list from discovery. Unreachable hosts stay on it as ready.
     pub fn list(&self) -> Vec<Host> {
         let zone_hosts = |(zone, hosts): (usize, &ZoneHosts)| {
             let warmth_per_mille = (hosts.warmth * 1_000.0) as u32;
@@ -126,7 +118,8 @@
         self.zones.iter().enumerate().filter(|_| !self.is_list_empty).flat_map(zone_hosts).collect()
     }
 
-    /// Calls come; how much of them is done, how much turned away, and how long an answer takes.
+    /// Simulates the calls to a zone in a tick. Returns the served part, the rejected part, and the latency
+    /// in milliseconds.
     fn serve(&mut self, zone: usize, calls: f64) -> (f64, f64, f64) {
         let capacity = self.capacity(zone);
         let hosts = &mut self.zones[zone];
@@ -159,7 +152,7 @@
             .collect()
     }
 
-    /// What a process sends where in a tick, and how much it refuses.
+    /// The calls that a process sends to each zone in a tick, and the number that it rejects.
     fn route_calls(&mut self, process: usize, calls: [f64; 3]) -> (Vec<f64>, f64) {
         let (zone_count, local_time, local_health) =
             (self.topology.count(), self.local_time(process), self.local_health(process));
@@ -184,7 +177,8 @@
                 trial_zones.dedup();
             }
             _ => {
-                // By itself: at home, and where that fails over all that it finds well.
+                // Without a plan, calls go to the own zone, or to all zones that answer if the own zone does
+                // not.
                 let own_zone = self.processes[process].zone;
                 let answering: Vec<usize> =
                     (0..zone_count).filter(|zone| !local_health[*zone].all_failing).collect();
@@ -194,8 +188,7 @@
             }
         }
         self.processes[process].routing = routing;
-
-        // One call in two seconds tries what gets nothing.
+        // Zones on trial get a call every two seconds.
         trial_zones.into_iter().for_each(|zone| sent[zone] = sent[zone].max(0.5 * TICK_S));
         (sent, requested - admitted)
     }
@@ -264,7 +257,8 @@
         );
     }
 
-    /// What a process finds of its calls; how many were answered.
+    /// Records the results of a process's calls in its statistics. Returns the number of calls that were
+    /// served.
     fn record_results(
         &mut self,
         process: usize,
--- a/zones/tests/fleet/mod.rs
+++ b/zones/tests/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet in virtual time: proxies that settle the plan by messages that take time and are lost, and the zones'
-//! hosts as they do calls, get cold, slow and unreached. One seed gives one run.
+//! Simulation of a fleet in virtual time: proxies that agree on the plan over a lossy network, and hosts with
+//! limited capacity that can be cold, slow or unreachable. A run is determined by its seed.
 #![allow(dead_code)]
 
 mod hosts;
@@ -21,27 +21,22 @@
 use std::net::SocketAddr;
 
 pub const SECOND: Micros = 1_000_000;
-
-/// How often calls are reckoned.
+/// Interval at which calls are simulated.
 pub const TICK: Micros = 50_000;
 pub const LEASE: Micros = 6 * SECOND;
 
-/// What a run is made of.
+/// Configuration of a run.
 #[derive(Clone, Debug)]
 pub struct FleetConfig {
     pub process_count: usize,
     pub host_count: usize,
-
-    /// Zones with their regions.
+    /// Names of the zones, with the name of the region of each.
     pub zones: Vec<(&'static str, &'static str)>,
-
-    /// What is asked for, of all that warm hosts do less the margin, in thousandths.
+    /// Demand relative to the capacity of warm hosts less the margin.
     pub load_per_mille: u32,
-
-    /// Share of messages that are lost.
+    /// Part of the messages that are lost, from 0 to 1.
     pub message_loss: f64,
-
-    /// Whether the plan is gone by.
+    /// Whether the processes follow the plan; otherwise each routes by itself.
     pub follows_plan: bool,
     pub seed: u64,
 }
@@ -72,8 +67,7 @@
 
 pub struct SimulatedProcess {
     machine: Option<Machine>,
-
-    /// Its clock: how far ahead.
+    /// Difference between its clock and the simulation's.
     clock_offset: Micros,
     pub zone: usize,
     is_paused: bool,
@@ -81,17 +75,15 @@
     state_since: Micros,
     wake_at: Micros,
     incarnation: u64,
-
-    /// By zone: parts of calls not yet whole, failures since the last answer, when that was.
+    /// By zone: the fraction of a successful attempt that is not counted yet.
     completed: Vec<f64>,
-
+    /// By zone: the fraction of a failed attempt that is not counted yet.
     failed: Vec<f64>,
-
+    /// By class: the fraction of a request that is not counted yet.
     requested: [f64; 3],
-
+    /// By zone: the number of attempts without an answer since the last answer, and the time of that answer.
     unanswered: Vec<(u32, Micros)>,
-
-    /// Attempts that will turn out to have failed.
+    /// Attempts that will time out: when, the zone, and how many.
     pending_timeouts: Vec<(Micros, usize, f64)>,
     pub routing: Option<Routing>,
 }
@@ -177,7 +169,6 @@
         fleet
     }
 
-    /// Plays on for so long.
     pub fn run_for(&mut self, duration: Micros) {
         let end = self.now + duration;
         while self.queue.peek().is_some_and(|Reverse((at, _, _))| *at <= end) {
@@ -200,7 +191,7 @@
         self.now = end;
     }
 
-    /// Plays until it is so, at the most for so long; for how long.
+    /// Runs until the condition holds. Returns how long that took; `None`: it did not hold within `timeout`.
     pub fn run_until(&mut self, timeout: Micros, condition: impl Fn(&Fleet) -> bool) -> Option<Micros> {
         let start = self.now;
         while self.now < start + timeout {
@@ -261,20 +252,20 @@
         (state.is_paused, state.state_since) = (true, self.now);
     }
 
-    /// It goes on, with what it had.
+    /// Continues a paused process with the state that it had.
     pub fn resume(&mut self, process: usize) {
         let state = &mut self.processes[process];
         (state.is_paused, state.state_since) = (false, self.now);
         self.schedule_wake(process);
     }
 
-    /// The process is cut off, or no longer.
+    /// Sets whether a process is cut off from the network.
     pub fn set_cut_off(&mut self, process: usize, is_cut_off: bool) {
         let state = &mut self.processes[process];
         (state.is_cut_off, state.state_since) = (is_cut_off, self.now);
     }
 
-    /// A zone's hosts are lost, and its processes with them.
+    /// Makes a zone's hosts unreachable and cuts off its processes.
     pub fn fail_zone(&mut self, zone: usize) {
         self.hosts.fail(zone);
         let zone_processes =
@@ -289,7 +280,7 @@
         zone_processes.collect::<Vec<_>>().into_iter().for_each(|process| self.set_cut_off(process, false));
     }
 
-    /// An operator orders something at a process; the answer comes to [`Seen::answers`].
+    /// Submits an operator's command at a process. The result is added to [`RunStats::command_results`].
     pub fn submit(&mut self, process: usize, id: u64, command: flaxhead_zones::Command) {
         self.run_machine(process, |machine, context, effects| {
             machine.submit(context, id, command, 5 * SECOND, effects)
@@ -312,7 +303,8 @@
         self.processes[process].machine.as_ref()
     }
 
-    /// A process's word says, whatever it sees, that it reaches nothing.
+    /// Makes a process report all zones as unreachable, whatever its calls show, until its next successful
+    /// call.
     pub fn report_all_unreachable(&mut self, process: usize) {
         let zone_count = self.topology.count();
         let Some(machine) = self.processes[process].machine.as_mut() else { return };
@@ -324,7 +316,7 @@
         self.random_below(bound)
     }
 
-    /// One of the faults, at one of the zones.
+    /// Injects a random fault at a random zone. Returns the kind of fault and the zone.
     pub fn inject_fault(&mut self, zone_count: usize) -> (&'static str, usize) {
         let zone = self.random_below(zone_count as u64) as usize;
         let kind = match self.random_below(6) {
@@ -360,7 +352,7 @@
         (kind, zone)
     }
 
-    /// All is well again, and cold where it was lost.
+    /// Ends all faults. Hosts that were unreachable are cold.
     pub fn end_faults(&mut self) {
         self.hosts.cut_links.clear();
         for zone in 0..self.topology.count() {
@@ -376,7 +368,8 @@
         }
     }
 
-    /// How much of what is asked for in a zone goes to another, by the plan at the holder, in parts of ten thousand.
+    /// Weight of a target for an origin in the leader's plan; `None`: there is no leader, or no split for the
+    /// origin.
     pub fn weight(&self, origin: usize, target: usize) -> Option<u32> {
         let machine = self.machine(self.leader()?)?;
         let split = machine.state().split(self.topology.name(origin))?;
@@ -389,7 +382,7 @@
         )
     }
 
-    /// All traffic stays at home, but for so much, and nothing is refused.
+    /// Whether all traffic but `max_weight` stays in its zone, and no call is rejected.
     pub fn is_traffic_local(&self, max_weight: u32) -> bool {
         let is_local =
             |zone: usize| self.weight(zone, zone).is_some_and(|weight| weight + max_weight >= 10_000);
--- a/zones/tests/fleet/net.rs
+++ b/zones/tests/fleet/net.rs
@@ -1,4 +1,5 @@
-//! Messages between the processes.
+//! The network between the processes, and what each process knows of the others.
+
 use super::{process_address, process_name, Fleet, SimulatedEvent, SimulatedProcess, SECOND};
 use flaxhead_lease::{MemberStatus, Presence};
 use flaxhead_zones::{Context, Effect, Facts, Machine, Message};
@@ -8,7 +9,7 @@
     pub(super) fn deliver(&mut self, to: usize, message_id: u64) {
         let Some((from, message)) = self.messages.remove(&message_id) else { return };
         if self.processes[to].is_paused {
-            // It waits in the socket.
+            // Messages to a paused process wait in its socket.
             self.messages.insert(message_id, (from, message));
             return self.schedule(SECOND / 4, SimulatedEvent::Arrive { to, message_id });
         }
@@ -19,7 +20,7 @@
         self.run_machine(to, |machine, context, effects| machine.receive(context, &from, message, effects));
     }
 
-    /// Lets a machine do something, and takes what comes of it.
+    /// Runs a process's machine and carries out the effects.
     pub(super) fn run_machine(
         &mut self,
         process: usize,
@@ -27,8 +28,7 @@
     ) {
         let local_time = self.local_time(process);
         let Some(mut machine) = self.processes[process].machine.take() else { return };
-
-        // Only voters look at facts: for the others they need not be made.
+        // Only voters use the facts, so the other processes get none, to save time.
         let facts = if process < 5 { self.facts_for(process) } else { Facts::default() };
         let mut effects = Vec::new();
         machine.application_mut().update_early_renewal(local_time);
@@ -77,7 +77,7 @@
         self.schedule(delay, SimulatedEvent::Wake(process, at));
     }
 
-    /// What the membership and discovery know, a moment old.
+    /// The facts that a process has from membership and discovery, up to 200 ms old.
     fn facts_for(&mut self, process: usize) -> Facts {
         let cached = self.cached_facts.as_ref().filter(|(at, _)| self.now < at + SECOND / 5);
         let mut facts = match cached {
--- a/zones/tests/fleet/run_stats.rs
+++ b/zones/tests/fleet/run_stats.rs
@@ -1,9 +1,10 @@
-//! What is seen of a run.
+//! Statistics of a run.
+
 use super::TICK;
 use flaxhead_zones::{CommandResponse, Micros, PlanEvent, Rejection};
 use std::collections::BTreeMap;
 
-/// A share that moves by so much one way after the same the other way has swung.
+/// Change of a weight, against its last direction, that counts as a reversal.
 const MIN_REVERSAL_WEIGHT: u32 = 1_500;
 
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -12,30 +13,27 @@
     pub max_report_bytes: usize,
     pub command_results: BTreeMap<u64, Result<CommandResponse, Rejection>>,
     pub events: Vec<(Micros, PlanEvent)>,
-
-    /// How often the plan moved.
+    /// Number of published plans.
     pub plan_changes: u32,
-
-    /// By zone: how long it has been sent more than it can do by the plan, without a pause; and the longest that it
-    /// was.
+    /// By zone: how long the traffic of processes that follow the plan has exceeded the capacity without a
+    /// break.
     planned_overload: Vec<Micros>,
     pub max_planned_overload: Vec<Micros>,
-
-    /// The most that was sent by the plan to a zone that is not lost, of what it can do, over a second.
+    /// By zone: the traffic of processes that follow the plan relative to the capacity, as an average over a
+    /// second.
     planned_load: Vec<f64>,
     pub max_planned_load: Vec<f64>,
-
-    /// The same of all that comes, by the plan or not, in a mean of a second: for how long it was over.
+    /// By zone: all traffic relative to the capacity, as an average over a second.
     total_load: Vec<f64>,
-
+    /// By zone: how long that average has exceeded the capacity without a break.
     total_overload: Vec<Micros>,
     pub max_total_overload: Vec<Micros>,
     pub requested: f64,
     pub rejected: f64,
     pub served: f64,
     pub rejected_in_tick: f64,
-
-    /// By pair: the last turn of its share, which way it went, and how often it turned.
+    /// By origin and target: the extreme of the weight in its present direction, whether that is upwards, and
+    /// the number of reversals.
     weights: Vec<(u32, Option<bool>, u32)>,
 }
 
@@ -53,7 +51,7 @@
         }
     }
 
-    /// What comes from now on is counted anew.
+    /// Resets everything but the results of commands.
     pub fn reset(&mut self) {
         *self = RunStats {
             command_results: self.command_results.clone(),
@@ -75,8 +73,7 @@
     ) {
         for zone in 0..capacity.len() {
             let load = if capacity[zone] > 0.0 { planned[zone] / capacity[zone] } else { 0.0 };
-
-            // Arrivals of a single tick are noise: a second's mean counts.
+            // Arrivals vary from tick to tick, so the load is averaged over a second.
             self.planned_load[zone] += (load - self.planned_load[zone]) * 0.05;
             self.max_planned_load[zone] = self.max_planned_load[zone].max(self.planned_load[zone]);
             self.planned_overload[zone] = if load > 1.02 { self.planned_overload[zone] + TICK } else { 0 };
@@ -92,16 +89,14 @@
         self.rejected += rejected;
         self.served += served;
         self.rejected_in_tick = rejected;
-
-        // While nobody holds, no share is known.
+        // Weights are only known while there is a leader.
         if self.weights.is_empty() && weights.iter().all(Option::is_some) {
             self.weights = weights.iter().map(|weight| (weight.unwrap_or(0), None, 0)).collect();
         }
         for (history, weight) in self.weights.iter_mut().zip(weights) {
             let Some(weight) = *weight else { continue };
             let (extreme, is_rising, reversals) = history;
-
-            // The furthest point that way is kept; a move back from there by so much is a turn.
+            // A weight that moves far enough back from its extreme has reversed.
             match *is_rising {
                 Some(true) if weight >= *extreme => *extreme = weight,
                 Some(false) if weight <= *extreme => *extreme = weight,
@@ -114,12 +109,12 @@
         }
     }
 
-    /// The most that the share of a pair has turned.
+    /// Maximum number of reversals of a weight.
     pub fn max_reversals(&self) -> u32 {
         self.weights.iter().map(|(_, _, reversals)| *reversals).max().unwrap_or(0)
     }
 
-    /// When something was noted first after a moment.
+    /// Time from `start` to the first event of this kind and subject at or after it.
     pub fn first_event(&self, start: Micros, kind: &str, subject: &str) -> Option<Micros> {
         let mut events = self.events.iter().filter(|(at, _)| *at >= start);
         events.find(|(_, event)| event.kind == kind && event.subject == subject).map(|(at, _)| at - start)
--- a/zones/tests/health_matrix.rs
+++ b/zones/tests/health_matrix.rs
@@ -1,4 +1,5 @@
-//! How zones are judged: by whom, and how steadily.
+//! Health of zones: votes, damping, and the rejection of reports.
+
 use flaxhead_zones::{
     FailoverSettings, HealthMatrix, HealthVotes, ReportError, Topology, TopologySettings, ZoneHealth,
     ZoneObservation, ZoneReport, ZoneStatus,
@@ -11,7 +12,8 @@
     Topology::new(&TopologySettings { zones, ..TopologySettings::default() }).expect("valid settings")
 }
 
-/// A word that finds these zones so: well, slow, failing by half or unreached.
+/// A report of a process in zone `own_zone` that observes zones as well ('w'), slow ('s'), with half of the
+/// attempts failed ('f') or unreachable ('u').
 fn report(own_zone: &str, observed: &[(&str, char)]) -> ZoneReport {
     let observations = observed.iter().map(|(zone, state)| {
         let (completed_per_second, failed_per_second) =
@@ -39,7 +41,7 @@
     votes
 }
 
-/// The judge after the same words for so long.
+/// Updates the matrix with the same reports every 50 ms. Returns the number of changes.
 fn update_for(matrix: &mut HealthMatrix, start_ms: u64, duration_ms: u64, reports: &[ZoneReport]) -> usize {
     let votes = votes(reports);
     (0..=duration_ms / 50)
@@ -49,6 +51,7 @@
         .sum()
 }
 
+/// Four reports from each of the zones.
 fn reports_from_all(observed: [&[(&str, char)]; 3]) -> Vec<ZoneReport> {
     let zones = ["a", "b", "c"].iter().zip(observed);
     zones.flat_map(|(zone, observed)| std::iter::repeat_n(report(zone, observed), 4)).collect()
@@ -77,7 +80,7 @@
 fn one_process_that_reports_all_zones_as_unreachable_changes_nothing() {
     let healthy: &[(&str, char)] = &[("a", 'w'), ("b", 'w'), ("c", 'w')];
     for observed in [&[("a", 'u'), ("b", 'u'), ("c", 'u')][..], &[("b", 'u'), ("c", 'u')][..]] {
-        // Beside others, and alone in its zone with nobody else heard from there.
+        // Both with other votes from its zone and without.
         for others in
             [reports_from_all([healthy, healthy, healthy]), reports_from_all([&[], healthy, healthy])]
         {
@@ -138,8 +141,7 @@
             );
             now_ms += 3_000 + up_ms;
         }
-
-        // Three pairs look at the zone.
+        // Five changes for each of the three observing zones.
         assert!(changes <= 3 * 5, "up for {up_ms} ms: {changes} changes");
         let delay = matrix.pair(0, 2).recovery_delay(&FailoverSettings::default());
         update_for(&mut matrix, now_ms, delay / MS + 100, &reports_from_all([healthy, healthy, healthy]));
--- a/zones/tests/model/fleet_model.rs
+++ b/zones/tests/model/fleet_model.rs
@@ -1,4 +1,6 @@
-//! The processes, what is on the way between them, and what goes wrong; a step at a time.
+//! The state of the model, and its transitions: one step of all processes with their messages and at most one
+//! fault.
+
 use flaxhead_lease::{MemberStatus, Presence, Version, Voters};
 use flaxhead_zones::{
     Context, Effect, Facts, FailoverSettings, FallbackReason, Host, Machine, Message, Micros, Name,
@@ -11,63 +13,51 @@
 pub const PROCESS_COUNT: usize = 3;
 pub const LEASE_US: Micros = 6_000_000;
 pub const STEP_US: Micros = 1_000_000;
-
-/// Steps in a lease, with what clocks may run apart.
+/// Steps in a lease, with a margin for clock drift.
 const LEASE_STEP_COUNT: u8 = 7;
-
-/// Steps of a fault that lasts: longer than a lease, and than the silence of a restarted voter.
+/// Steps of an outage: longer than a lease and than the quarantine of a restarted voter.
 pub const OUTAGE_STEP_COUNT: u8 = 13;
-
-/// Steps in which faults may begin, and those after which all must go by one plan again.
+/// Steps in which faults may begin.
 pub const FAULT_STEP_COUNT: u8 = 6;
-
+/// Steps after which all processes must follow one plan again.
 pub const END_STEP_COUNT: u8 = 60;
-
-/// The zone of the last one is lost from this step to that one.
+/// The last process's zone is unreachable from the first of these steps until the second.
 const ZONE_FAILURE_STEPS: (u8, u8) = (2, 8);
-
-/// Most messages of a step: beyond that it would never end.
+/// Maximum number of messages in a step; more mean that the processes never stop sending.
 const MAX_MESSAGE_COUNT: usize = 2_000;
 
-/// A rule that is taken out, to see that the check sees it.
+/// A rule that is removed from the protocol, to test that the check detects it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Mutation {
     Unmodified,
-
-    /// A plan is gone by after the leave has run out.
+    /// Processes follow a plan after their lease has expired.
     IgnoreLeaseExpiry,
-
-    /// A plan is gone by though a later holder is known of.
+    /// Processes follow a plan although they know of a later leader.
     IgnoreFence,
-
-    /// A plan that is written anew keeps its number.
+    /// A changed plan keeps its version.
     ReuseVersion,
-
-    /// A process that was restarted goes by the plan that it had, until it is let in.
+    /// A restarted process follows its earlier plan until it is admitted.
     KeepPlanAfterRestart,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Outage {
-    /// Stopped, with all that comes meanwhile waiting for it.
+    /// The process stops, and messages to it are queued.
     Paused,
-    CutOff,
-    InboundCut,
-    OutboundCut,
+    Partitioned,
+    InboundBlocked,
+    OutboundBlocked,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ModelState {
     pub step: u8,
     pub machines: Vec<Machine>,
-
-    /// What each had when it was restarted.
+    /// The plan of each process before its last restart.
     plans_before_restart: Vec<Plan>,
-
-    /// The highest number that each process has gone by.
+    /// The highest version of a plan that each process has followed.
     highest_versions: Vec<Version>,
-
-    /// Plans by number: what they say, and when one was its holder's last.
+    /// The splits of each version, and the last step in which it was a leader's current plan.
     leader_plans: BTreeMap<Version, (Vec<OriginSplit>, u8)>,
     pub outage: Option<(usize, Outage, u8)>,
     queued_messages: Vec<(usize, Message)>,
@@ -77,36 +67,30 @@
     pub violation: Option<&'static str>,
 }
 
+/// A transition. Positions count the messages of the step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
     Proceed,
-
-    /// The message of this place in the step is lost.
     Lose(usize),
-
-    /// It is delivered, and once more later.
+    /// Delivers the message, and keeps a copy for [`Action::DeliverDuplicate`] in a later step.
     Duplicate(usize),
-
-    /// The kept one comes.
     DeliverDuplicate,
-
-    /// Before the message of this place.
+    /// Restarts a process without state before the message at the position.
     Restart(usize, usize),
     BeginOutage(usize, Outage, usize),
 }
 
 pub struct FleetModel {
     pub mutation: Mutation,
-
-    /// Faults in one history.
+    /// Maximum number of faults in a run.
     pub max_fault_count: u8,
-
-    /// Faults fall between any two messages, not only between steps.
+    /// Whether faults occur between any two messages; otherwise only between steps.
     pub between_messages: bool,
     pub initial: ModelState,
 }
 
-/// Draws what each node always draws: two that run at once must not do so for ever.
+/// Random numbers that are constant for a process and differ between processes, so that two candidates for
+/// leadership do not retry in lockstep.
 struct ConstantRandom(u32);
 
 impl RngCore for ConstantRandom {
@@ -192,7 +176,7 @@
         model
     }
 
-    /// The last one's zone is lost for a while.
+    /// Whether the hosts of the last process's zone are unreachable.
     fn is_zone_failed(&self, state: &ModelState) -> bool {
         let elapsed = state.step.saturating_sub(self.initial.step);
         self.initial.step > 0 && (ZONE_FAILURE_STEPS.0..ZONE_FAILURE_STEPS.1).contains(&elapsed)
@@ -224,18 +208,24 @@
     }
 
     fn can_receive(&self, state: &ModelState, process: usize) -> bool {
-        !matches!(state.outage, Some((affected, Outage::CutOff | Outage::InboundCut, _)) if affected == process)
+        !matches!(
+            state.outage,
+            Some((affected, Outage::Partitioned | Outage::InboundBlocked, _)) if affected == process
+        )
     }
 
     fn can_send(&self, state: &ModelState, process: usize) -> bool {
-        !matches!(state.outage, Some((affected, Outage::CutOff | Outage::OutboundCut, _)) if affected == process)
+        !matches!(
+            state.outage,
+            Some((affected, Outage::Partitioned | Outage::OutboundBlocked, _)) if affected == process
+        )
     }
 
     fn is_paused(&self, state: &ModelState, process: usize) -> bool {
         matches!(state.outage, Some((affected, Outage::Paused, _)) if affected == process)
     }
 
-    /// The plan that a process goes by now.
+    /// The plan that a process follows, with the mutation applied.
     fn followed_plan<'a>(&self, state: &'a ModelState, process: usize) -> Option<&'a Plan> {
         let machine = &state.machines[process];
         let (application, member) = (machine.application(), machine.member());
@@ -251,6 +241,8 @@
         .filter(|plan| !plan.splits.is_empty())
     }
 
+    /// Runs the machine of a process with a message, or with its timers if there is none. Returns the
+    /// messages that it sends.
     fn run_machine(
         &self,
         state: &mut ModelState,
@@ -291,7 +283,6 @@
             .collect()
     }
 
-    /// What a broken rule makes of a message.
     fn mutated(&self, mut message: Message) -> Message {
         if let (Message::StateUpdate { state }, Mutation::ReuseVersion) = (&mut message, self.mutation) {
             state.state.version.seq = 1;
@@ -352,7 +343,7 @@
         state.highest_versions[process] = Version::default();
     }
 
-    /// A step, and how many messages there were in it.
+    /// Runs a step. Returns the next state and the number of messages in the step.
     pub fn run(&self, state: &ModelState, action: Action) -> (ModelState, usize) {
         let mut state = state.clone();
         state.step += 1;
@@ -363,7 +354,8 @@
                 let ended = state.outage.take();
                 let queued_messages = std::mem::take(&mut state.queued_messages);
                 if let Some((process, Outage::Paused, _)) = ended {
-                    // What waited for it begins before any timer of its own, and before anything that it hears.
+                    // A resumed process receives queued messages first. The invariants must hold even before
+                    // that.
                     self.check_invariants(&mut state);
                     in_transit
                         .extend(queued_messages.into_iter().map(|(from, message)| (from, process, message)));
@@ -405,8 +397,7 @@
                 state.queued_messages.push((from, message));
                 continue;
             }
-
-            // A process that has gone says nothing more; what it said before arrives.
+            // Messages that a process sent before it restarted or paused still arrive.
             in_transit.extend(self.run_machine(&mut state, to, Some((from, message))));
         }
         (state, position)
@@ -414,7 +405,7 @@
 }
 
 impl ModelState {
-    /// Each goes by the same plan, and has its own zone's traffic at home.
+    /// Whether all processes follow the same plan, and each zone's traffic stays in the zone.
     pub fn all_follow_one_plan(&self) -> bool {
         let followed_version = |machine: &Machine| {
             let plan = machine.application().current_plan(time_of(self.step), machine.member()).ok()?;
--- a/zones/tests/model/main.rs
+++ b/zones/tests/model/main.rs
@@ -1,8 +1,9 @@
-//! Three voters, which are proxies themselves, each in a zone of its own, while one of the zones is lost and comes
-//! back, so that the plan is written anew again and again. Checked exhaustively on the real machines over every place
-//! at which a message is lost or comes again later, a process crashes and forgets, freezes for longer than its lease,
-//! or is cut off in one direction or both. A step is a sixth of a lease in which all that is sent arrives, but for
-//! what the fault takes.
+//! Exhaustive check of the protocol on the real machines: three voters, each a proxy in a zone of its own,
+//! while one zone fails and recovers, so that the plan keeps changing. Faults are injected at every point of
+//! the message exchange: messages are lost or duplicated, and processes restart without state, pause for
+//! longer than a lease, or are cut off in one or both directions. A step takes a sixth of a lease, and all
+//! messages sent in it arrive in it unless a fault prevents that.
+
 mod fleet_model;
 
 use fleet_model::{
@@ -46,7 +47,12 @@
             for process in 0..PROCESS_COUNT {
                 actions.push(Action::Restart(process, position));
                 if may_begin_outage {
-                    let outages = [Outage::Paused, Outage::CutOff, Outage::InboundCut, Outage::OutboundCut];
+                    let outages = [
+                        Outage::Paused,
+                        Outage::Partitioned,
+                        Outage::InboundBlocked,
+                        Outage::OutboundBlocked,
+                    ];
                     actions.extend(outages.map(|outage| Action::BeginOutage(process, outage, position)));
                 }
             }
--- a/zones/tests/plan.rs
+++ b/zones/tests/plan.rs
@@ -1,4 +1,5 @@
-//! What a plan may say, how long it can get, and how it narrows a process's choice.
+//! Validation of plans, the encoded size of reports and plans, and the merge of two plans.
+
 use flaxhead_lease::{Application, ApplicationTypes, Ballot, ReplicatedState, Version};
 use flaxhead_zones::allocation::{AdmissionLevel, TOTAL_WEIGHT};
 use flaxhead_zones::{
