--- a/zones/src/application.rs
+++ b/zones/src/application.rs
@@ -6,12 +6,12 @@
 use crate::plan::Plan;
 use crate::planner::{Planner, PlannerRun};
 use crate::report::ZoneReport;
-use flaxhead_lease::{Application, LeaderContext, Member, Micros, Process};
+use flaxhead_lease::{Application, LeaderContext, LocalReplica, Micros, Process};
 
 impl Application for ZoneApplication {
     type LeaderData = Planner;
 
-    fn report(&mut self, now: Micros, _: &Member<Self>, _: &Vec<Host>) -> ZoneReport {
+    fn report(&mut self, now: Micros, _: &LocalReplica<Self>, _: &Vec<Host>) -> ZoneReport {
         self.wants_early_renewal = false;
         self.local_stats.report(now, &self.topology)
     }
--- a/zones/src/application_types.rs
+++ b/zones/src/application_types.rs
@@ -54,13 +54,13 @@
 
     /// Configuration of the lease protocol. No process follows a plan for longer than a lease, and a leader
     /// can compute a lost plan anew from reports, so short timeouts are sufficient after a loss of state.
-    pub fn lease_config(lease: Micros) -> Config {
+    pub fn lease_config(lease_duration: Micros) -> Config {
         Config {
-            lease,
-            max_call_duration: lease,
-            state_loss_timeout: 2 * lease,
-            autonomy_timeout: 2 * lease,
-            operator_wait: 0,
+            lease_duration,
+            max_call_duration: lease_duration,
+            state_loss_timeout: 2 * lease_duration,
+            autonomy_timeout: 2 * lease_duration,
+            operator_timeout: 0,
         }
     }
 
--- a/zones/src/plan.rs
+++ b/zones/src/plan.rs
@@ -198,7 +198,7 @@
     }
 
     /// Keeps the later of the two plans, with the evacuations of both, so that no operator's command is lost.
-    fn absorb(&mut self, other: &Plan) -> bool {
+    fn merge(&mut self, other: &Plan) -> bool {
         let before = self.clone();
         let mut earlier = other.clone();
         if other.version > self.version {
--- a/zones/src/planner/assess.rs
+++ b/zones/src/planner/assess.rs
@@ -124,7 +124,8 @@
         let process_count = self.context.processes().count();
         let heard_count =
             self.context.processes().filter(|(_, peer)| self.context.heard_recently(peer)).count();
-        let has_waited = self.context.now.saturating_sub(self.planner.started_at) > self.context.config.lease;
+        let has_waited =
+            self.context.now.saturating_sub(self.planner.started_at) > self.context.config.lease_duration;
         (heard_count * 3 >= process_count * 2 || has_waited)
             && self.planner.demand.iter().flatten().any(|demand| *demand > 0)
     }
--- a/zones/src/planner/publish.rs
+++ b/zones/src/planner/publish.rs
@@ -102,7 +102,7 @@
     /// Gives the plan the next version and replicates it.
     pub(super) fn publish(&mut self) {
         self.context.publish();
-        let version = Version { fence: Some(self.context.ballot().clone()), seq: self.context.state_seq() };
+        let version = Version { ballot: Some(self.context.ballot().clone()), seq: self.context.state_seq() };
         self.context.state_mut().version = version;
     }
 }
--- a/zones/src/planner/state.rs
+++ b/zones/src/planner/state.rs
@@ -74,7 +74,7 @@
                 achieved_per_mille[zone] = capacity.achieved_per_mille.clamp(1, 1_000);
             }
         }
-        let version = Version { fence: Some(context.ballot().clone()), seq: context.state_seq() };
+        let version = Version { ballot: Some(context.ballot().clone()), seq: context.state_seq() };
         context.state_mut().version = version;
         Planner {
             health_matrix,
--- a/zones/src/routing.rs
+++ b/zones/src/routing.rs
@@ -4,7 +4,7 @@
 use crate::application_types::ZoneApplication;
 use crate::plan::Plan;
 use crate::report::ZoneHealth;
-use flaxhead_lease::{Member, Micros, Version};
+use flaxhead_lease::{LocalReplica, Micros, Version};
 
 /// Present state of a zone's hosts as the process itself sees it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
@@ -67,10 +67,10 @@
     pub fn routing(
         &self,
         now: Micros,
-        member: &Member<ZoneApplication>,
+        local_replica: &LocalReplica<ZoneApplication>,
         local_health: &[LocalHealth],
     ) -> Routing {
-        match self.current_plan(now, member).and_then(|plan| self.planned_split(plan, local_health)) {
+        match self.current_plan(now, local_replica).and_then(|plan| self.planned_split(plan, local_health)) {
             Ok(planned) => Routing::Planned(planned),
             Err(reason) => Routing::Local(reason),
         }
@@ -80,18 +80,18 @@
     pub fn current_plan<'a>(
         &'a self,
         now: Micros,
-        member: &'a Member<ZoneApplication>,
+        local_replica: &'a LocalReplica<ZoneApplication>,
     ) -> Result<&'a Plan, FallbackReason> {
-        if !member.is_admitted() {
+        if !local_replica.is_admitted() {
             return Err(FallbackReason::NotAdmitted);
         }
-        if now >= member.lease_expiry() {
+        if now >= local_replica.lease_expiry() {
             return Err(FallbackReason::LeaseExpired);
         }
         // If the last plan received is invalid, the one before it stays in force.
         let plan = &self.last_valid_plan;
-        let Some(fence) = &plan.version.fence else { return Err(FallbackReason::NoPlan) };
-        if member.fence().is_some_and(|known| known > fence) {
+        let Some(ballot) = &plan.version.ballot else { return Err(FallbackReason::NoPlan) };
+        if local_replica.highest_ballot().is_some_and(|highest| highest > ballot) {
             return Err(FallbackReason::Superseded);
         }
         if plan.splits.is_empty() {
--- a/zones/tests/failover.rs
+++ b/zones/tests/failover.rs
@@ -62,7 +62,7 @@
 fn followed_version(fleet: &Fleet, process: usize) -> Result<String, FallbackReason> {
     let machine = fleet.machine(process).expect("a running process");
     let now = fleet.processes[process].local_time(fleet.now);
-    machine.application().current_plan(now, machine.member()).map(|plan| plan.version.to_string())
+    machine.application().current_plan(now, machine.local_replica()).map(|plan| plan.version.to_string())
 }
 
 /// Checks the limits that hold in every run.
@@ -561,7 +561,7 @@
         let is_usable = |zone: &usize| {
             local_health[*zone].is_listed && !local_health[*zone].all_failing && is_planned(*zone)
         };
-        match machine.application().routing(now, machine.member(), &local_health) {
+        match machine.application().routing(now, machine.local_replica(), &local_health) {
             Routing::Local(reason) => {
                 assert_eq!((reason, (0..4).find(is_usable)), (FallbackReason::NoReachableZone, None));
             }
--- a/zones/tests/fleet/hosts.rs
+++ b/zones/tests/fleet/hosts.rs
@@ -160,7 +160,7 @@
         let routing = self.processes[process]
             .machine
             .as_ref()
-            .map(|m| m.application().routing(local_time, m.member(), &local_health));
+            .map(|m| m.application().routing(local_time, m.local_replica(), &local_health));
         let mut sent = vec![0.0; zone_count];
         let admitted;
         let mut trial_zones: Vec<usize> =
--- a/zones/tests/model/fleet_model.rs
+++ b/zones/tests/model/fleet_model.rs
@@ -33,7 +33,7 @@
     /// Processes follow a plan after their lease has expired.
     IgnoreLeaseExpiry,
     /// Processes follow a plan although they know of a later leader.
-    IgnoreFence,
+    IgnoreHigherBallot,
     /// A changed plan keeps its version.
     ReuseVersion,
     /// A restarted process follows its earlier plan until it is admitted.
@@ -228,11 +228,13 @@
     /// The plan that a process follows, with the mutation applied.
     fn followed_plan<'a>(&self, state: &'a ModelState, process: usize) -> Option<&'a Plan> {
         let machine = &state.machines[process];
-        let (application, member) = (machine.application(), machine.member());
-        match (application.current_plan(time_of(state.step), member), self.mutation) {
+        let (application, local_replica) = (machine.application(), machine.local_replica());
+        match (application.current_plan(time_of(state.step), local_replica), self.mutation) {
             (Ok(plan), _) => Some(plan),
             (Err(FallbackReason::LeaseExpired), Mutation::IgnoreLeaseExpiry)
-            | (Err(FallbackReason::Superseded), Mutation::IgnoreFence) => Some(application.last_valid_plan()),
+            | (Err(FallbackReason::Superseded), Mutation::IgnoreHigherBallot) => {
+                Some(application.last_valid_plan())
+            }
             (Err(FallbackReason::NotAdmitted), Mutation::KeepPlanAfterRestart) => {
                 Some(&state.plans_before_restart[process])
             }
@@ -316,10 +318,13 @@
             let is_outdated =
                 leader_plan.is_none_or(|(_, last_step)| state.step > last_step + LEASE_STEP_COUNT);
             let is_different = leader_plan.is_some_and(|(splits, _)| *splits != plan.splits);
-            let fence = state.machines[process].member().fence().cloned();
+            let highest_ballot = state.machines[process].local_replica().highest_ballot().cloned();
             let checks = [
                 (plan.version < state.highest_versions[process], "a process returned to a lower version"),
-                (plan.version.fence < fence, "a process follows a plan although it knows of a later leader"),
+                (
+                    plan.version.ballot < highest_ballot,
+                    "a process follows a plan although it knows of a later leader",
+                ),
                 (is_outdated, "a process follows a plan that was not current within the last lease"),
                 (is_different, "two plans have the same version"),
             ];
@@ -408,7 +413,8 @@
     /// Whether all processes follow the same plan, and each zone's traffic stays in the zone.
     pub fn all_follow_one_plan(&self) -> bool {
         let followed_version = |machine: &Machine| {
-            let plan = machine.application().current_plan(time_of(self.step), machine.member()).ok()?;
+            let plan =
+                machine.application().current_plan(time_of(self.step), machine.local_replica()).ok()?;
             let is_local = |split: &OriginSplit| {
                 split.weights.iter().any(|(target, weight)| *target == split.origin && *weight >= 9_500)
             };
--- a/zones/tests/model/main.rs
+++ b/zones/tests/model/main.rs
@@ -111,7 +111,7 @@
     let mut undetected = Vec::new();
     for (mutation, max_fault_count, between_messages) in [
         (Mutation::IgnoreLeaseExpiry, 1, false),
-        (Mutation::IgnoreFence, 2, false),
+        (Mutation::IgnoreHigherBallot, 2, false),
         (Mutation::ReuseVersion, 0, false),
         (Mutation::KeepPlanAfterRestart, 1, false),
     ] {
--- a/zones/tests/plan.rs
+++ b/zones/tests/plan.rs
@@ -26,8 +26,8 @@
 }
 
 fn plan(seq: u64, splits: Vec<OriginSplit>) -> Plan {
-    let fence = Some(Ballot { round: 1, name: Name::new("p1").expect("a valid name"), incarnation: 1 });
-    Plan { version: Version { fence, seq }, splits, ..Plan::default() }
+    let ballot = Some(Ballot { round: 1, name: Name::new("p1").expect("a valid name"), incarnation: 1 });
+    Plan { version: Version { ballot, seq }, splits, ..Plan::default() }
 }
 
 #[test]
@@ -154,9 +154,9 @@
     let later =
         Plan { evacuated: vec![evacuation("b")], ..plan(2, vec![split("a", &[("c", TOTAL_WEIGHT)])]) };
     for (mut merged, other) in [(earlier.clone(), later.clone()), (later.clone(), earlier.clone())] {
-        assert!(merged.absorb(&other));
+        assert!(merged.merge(&other));
         assert_eq!((merged.version.seq, &merged.splits), (2, &later.splits));
         assert!(merged.is_evacuated("a") && merged.is_evacuated("b") && merged.evacuated.len() == 2);
-        assert!(!merged.clone().absorb(&other));
+        assert!(!merged.clone().merge(&other));
     }
 }
