--- a/zones/src/command.rs
+++ b/zones/src/command.rs
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Checks the texts, independently of the state.
+    /// Checks that the names in the command are valid texts, without regard to the settings and the plan.
     pub(crate) fn check(&self) -> Result<(), Rejection> {
         if !is_valid_name(self.by()) {
             return Err(Rejection::InvalidText("by".to_owned()));
--- a/zones/src/health_matrix/damped_health.rs
+++ b/zones/src/health_matrix/damped_health.rs
@@ -9,7 +9,7 @@
 /// Maximum number of times that the recovery delay is doubled.
 const MAX_DOUBLING_COUNT: u32 = 3;
 
-/// Damped health of a pair.
+/// Health of a pair that changes only after the votes have differed from it for some time.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct DampedHealth {
     /// Present health.
@@ -51,8 +51,8 @@
         settings.recovery_delay << self.recent_outages.saturating_sub(1).min(MAX_DOUBLING_COUNT)
     }
 
-    /// Takes the health by the present votes and the number of votes for it; `None`: there are too few votes.
-    /// Returns whether the damped health changed.
+    /// Updates the health with the result of the present votes, which is a health and the number of votes for
+    /// it; `None`: there are too few votes. Returns whether the health changed.
     pub fn update(
         &mut self,
         now: Micros,
@@ -64,7 +64,8 @@
         {
             self.recent_outages = 0;
         }
-        // A zone with few observers may have no votes for a moment. Only a longer pause restarts the delay.
+        // A pair with few observers may have no votes for a moment. Only a longer pause restarts the delay
+        // after which the health changes.
         if now.saturating_sub(self.last_vote_at) > settings.max_report_age {
             self.pending = None;
         }
@@ -74,7 +75,8 @@
             (self.pending, self.witnesses) = (None, witnesses);
             return false;
         }
-        // The delay runs on while the votes stay on the same side of the present health.
+        // The delay also restarts if the votes turn from better than the present health to worse, or from
+        // worse to better.
         let is_worse = health > self.health;
         let since = match self.pending {
             Some((pending, since)) if (pending > self.health) == is_worse => since,
--- a/zones/src/health_matrix/mod.rs
+++ b/zones/src/health_matrix/mod.rs
@@ -1,4 +1,6 @@
-//! Health of zones, by pairs of an observing and an observed zone.
+//! Health of zones, by pairs of an observing and an observed zone. A recent report of a process is a vote for
+//! the health that it shows. The health of a pair changes only after the votes have differed from it for some
+//! time.
 
 mod damped_health;
 mod votes;
@@ -24,7 +26,7 @@
     Unavailable,
 }
 
-/// The damped health of all pairs.
+/// Damped health of all pairs of an observing and an observed zone.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct HealthMatrix {
     pairs: Vec<Vec<DampedHealth>>,
@@ -51,7 +53,7 @@
         HealthMatrix { pairs: vec![vec![DampedHealth::new(now); topology.count()]; topology.count()] }
     }
 
-    /// Health of a pair.
+    /// Damped health of a pair.
     pub fn pair(&self, observer: usize, target: usize) -> &DampedHealth {
         &self.pairs[observer][target]
     }
--- a/zones/src/health_matrix/votes.rs
+++ b/zones/src/health_matrix/votes.rs
@@ -4,7 +4,7 @@
 use crate::settings::FailoverSettings;
 use crate::topology::Topology;
 
-/// Vote counts.
+/// Counts of the votes in the present reports.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HealthVotes {
     /// Number of votes by observing zone, observed zone and health.
--- a/zones/src/hosts.rs
+++ b/zones/src/hosts.rs
@@ -3,19 +3,19 @@
 use crate::settings::{scale_per_mille, FailoverSettings};
 use crate::topology::Topology;
 
-/// The warmth that a colder host counts with, so that it gets the calls that warm it up.
+/// Minimum warmth that a host counts with, so that a cold host gets the calls that warm it up.
 const MIN_WARMTH_PER_MILLE: u32 = 100;
 
-/// A host.
+/// State of a host, from which the capacity of its zone is computed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Host {
-    /// Index of its zone.
+    /// Index of the host's zone.
     pub zone: usize,
-    /// Whether discovery lists it as ready.
+    /// Whether discovery lists the host as ready.
     pub ready: bool,
-    /// Capacity reached in its recovery ramp, in thousandths of that of a warm host.
+    /// Part of its full capacity that the host has reached while it warms up, in thousandths.
     pub warmth_per_mille: u32,
-    /// Size relative to other hosts, in thousandths.
+    /// Size of the host relative to a host of size 1, in thousandths.
     pub size_per_mille: u32,
 }
 
--- a/zones/src/local_stats.rs
+++ b/zones/src/local_stats.rs
@@ -157,7 +157,8 @@
         })
     }
 
-    /// The report at this time. It is kept, so that the next one differs only where values changed enough.
+    /// Report of the calls in the last second. Values that are close to those of the previous report are
+    /// repeated, so that the report does not change without need.
     pub fn report(&mut self, now: Micros, topology: &Topology) -> ZoneReport {
         self.advance(now);
         let previous = self.last_report.take().unwrap_or_default();
--- a/zones/src/plan.rs
+++ b/zones/src/plan.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// The split of one zone's traffic over all zones.
+/// Distribution of one zone's traffic over all zones, which are identified by their names.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct OriginSplit {
     /// Name of the zone whose processes receive the traffic from clients.
@@ -30,7 +30,7 @@
     pub health: u8,
     /// Number of processes that agree on it.
     pub witnesses: u32,
-    /// Number of recent outages, for damping.
+    /// Number of recent outages, which lengthen the recovery delay.
     pub recent_outages: u32,
     /// Time since the health last changed.
     pub age: Micros,
@@ -56,16 +56,16 @@
     pub age: Micros,
 }
 
-/// The plan.
+/// Distribution of the traffic of all zones, with the state that a new leader needs to continue.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Plan {
-    /// Version; it only grows.
+    /// Version: the ballot of the leader and the number of the plan under it. It only grows.
     pub version: Version,
     /// The split of each zone's traffic. Zones from which no zone can be reached have none.
     pub splits: Vec<OriginSplit>,
     /// Pairs of zones that are not healthy or had a recent outage.
     pub pairs: Vec<PairHealth>,
-    /// Capacity of each zone.
+    /// Capacity of each zone at the time of the plan.
     pub capacities: Vec<ZoneCapacity>,
     /// The hold in effect: the plan changes only away from unavailable zones. `None`: no hold.
     pub hold: Option<ActiveCommand>,
--- a/zones/src/planner/assess.rs
+++ b/zones/src/planner/assess.rs
@@ -73,7 +73,7 @@
                 }
             }
         }
-        // A process is recorded once, and again only after one of its reports was accepted.
+        // The event is recorded once for a process, and again only after one of its reports was accepted.
         let new = rejected_reports
             .iter()
             .filter(|(process, _)| !self.planner.rejected_reports.contains_key(process));
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Input of the next step.
+    /// Present demand, capacity and links, and the limits of each zone, for the next step of the plan.
     pub(super) fn plan_step(&self) -> PlanStep<'_> {
         let (topology, health_matrix) = (self.topology, &self.planner.health_matrix);
         let (now, (mut capacity, warm_capacity)) = (self.context.now, self.capacities());
--- a/zones/src/planner/state.rs
+++ b/zones/src/planner/state.rs
@@ -22,7 +22,7 @@
     pub(super) observed: Vec<(Micros, Micros)>,
     /// By zone: successful calls per second.
     pub(super) completed: Vec<u64>,
-    /// Processes whose reports are ignored, and why.
+    /// Processes whose reports are rejected, and why.
     pub(super) rejected_reports: BTreeMap<Process, ReportError>,
     /// Demand by origin and class, in thousandths of a call per second.
     pub(super) demand: Vec<Vec<u64>>,
@@ -33,7 +33,8 @@
     pub(super) is_urgent: bool,
 }
 
-/// The planner together with the settings and the leader's context, for the duration of a callback.
+/// References to the planner, the settings and the leader's context, as a callback of the lease protocol gets
+/// them.
 pub(crate) struct PlannerRun<'a, 'b> {
     pub topology: &'a Topology,
     pub settings: &'a FailoverSettings,
@@ -95,7 +96,7 @@
         &self.health_matrix
     }
 
-    /// Processes whose reports are ignored, and why.
+    /// Processes whose reports are rejected, and why.
     pub fn rejected_reports(&self) -> &BTreeMap<Process, ReportError> {
         &self.rejected_reports
     }
--- a/zones/src/report.rs
+++ b/zones/src/report.rs
@@ -28,7 +28,7 @@
     pub unreachable: bool,
 }
 
-/// A process's report.
+/// Report of a process: the demand of its clients, and the state of the zones that it sends calls to.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ZoneReport {
     /// Name of the process's own zone.
@@ -40,7 +40,7 @@
     pub observations: Vec<ZoneObservation>,
 }
 
-/// A reason why the leader ignores a report. The texts are part of the audit trail.
+/// A reason why the leader rejects a report. The texts are written to the audit trail.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum ReportError {
     /// A zone that the leader's settings do not have.
--- a/zones/src/settings.rs
+++ b/zones/src/settings.rs
@@ -2,7 +2,7 @@
 
 use flaxhead_lease::Micros;
 
-/// Settings, which must be the same at all processes.
+/// Settings of zone failover, which must be the same at all processes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct FailoverSettings {
     /// Capacity of a warm host of size 1.
@@ -19,7 +19,7 @@
     pub quorum_per_mille: u32,
     /// Minimum number of votes on a pair of zones, and of those that agree on a worse health.
     pub min_witnesses: u32,
-    /// Age up to which a report counts as a vote.
+    /// Age up to which a report counts as a vote on the health of zones.
     pub max_report_age: Micros,
     /// Time for which the votes must be worse before the health of a pair becomes worse.
     pub worsening_delay: Micros,
--- a/zones/src/steps.rs
+++ b/zones/src/steps.rs
@@ -6,7 +6,7 @@
 };
 use crate::settings::{scale_per_mille, FailoverSettings};
 
-/// The split of one zone's traffic, by indices of zones.
+/// Distribution of one zone's traffic over all zones, which are identified by their indices.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct TrafficSplit {
     /// Part of the traffic that is admitted.
@@ -18,7 +18,7 @@
 /// The splits by origin; `None`: the origin reaches no zone.
 pub type TrafficSplits = Vec<Option<TrafficSplit>>;
 
-/// The input of a step.
+/// Input of a step of the plan: the demand to distribute, and the limits of each zone.
 #[derive(Clone, Debug)]
 pub struct PlanStep<'a> {
     /// Present demand, capacity and links.
@@ -45,8 +45,8 @@
 }
 
 impl PlanStep<'_> {
-    /// The splits after the next step from `current`. `None` stands for no plan: the first one gets the whole
-    /// allocation at once.
+    /// Splits after the next step from the `current` ones. Without any (`None`), they are the whole
+    /// allocation at once, without the limits of a step.
     pub fn next(&self, current: Option<&TrafficSplits>, settings: &FailoverSettings) -> TrafficSplits {
         let Some(current) = current else {
             let mut input = self.input.clone();
--- a/zones/tests/failover.rs
+++ b/zones/tests/failover.rs
@@ -421,7 +421,7 @@
 }
 
 #[test]
-fn a_process_that_reports_all_zones_as_unreachable_is_ignored_and_named() {
+fn a_process_that_reports_all_zones_as_unreachable_is_rejected_and_named() {
     let mut fleet = stable_fleet(FleetConfig { load_per_mille: 600, ..FleetConfig::default() });
     let start = fleet.now;
     for _ in 0..200 {
@@ -457,7 +457,7 @@
 }
 
 #[test]
-fn a_leader_with_an_empty_host_list_changes_nothing_and_ignores_no_report() {
+fn a_leader_with_an_empty_host_list_changes_nothing_and_rejects_no_report() {
     let mut fleet =
         stable_fleet(FleetConfig { process_count: 60, load_per_mille: 600, ..FleetConfig::default() });
     fleet.hosts.is_list_empty = true;
--- a/zones/tests/fleet/mod.rs
+++ b/zones/tests/fleet/mod.rs
@@ -259,7 +259,6 @@
         self.schedule_wake(process);
     }
 
-    /// Sets whether a process is cut off from the network.
     pub fn set_cut_off(&mut self, process: usize, is_cut_off: bool) {
         let state = &mut self.processes[process];
         (state.is_cut_off, state.state_since) = (is_cut_off, self.now);
--- a/zones/tests/model/fleet_model.rs
+++ b/zones/tests/model/fleet_model.rs
@@ -67,7 +67,7 @@
     pub violation: Option<&'static str>,
 }
 
-/// A transition. Positions count the messages of the step.
+/// A step of the model with at most one fault. Positions are indices of the messages within the step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
     Proceed,
