--- a/zones/src/allocation/weights.rs
+++ b/zones/src/allocation/weights.rs
@@ -2,7 +2,8 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Sum of the weights of a split, and the weight of a class that is admitted in full.
+/// Sum of the weights of a split. Admission ratios have the same unit: this is the ratio of a class that is
+/// admitted in full.
 pub const TOTAL_WEIGHT: u32 = 10_000;
 
 /// Admitted part of an origin's requests: the classes with the highest priority in full, and a part of the
@@ -11,16 +12,16 @@
 pub struct AdmissionLevel {
     /// Number of classes that are admitted in full.
     pub full_classes: u8,
-    /// Admitted part of the next class, out of [`TOTAL_WEIGHT`].
-    pub partial_weight: u16,
+    /// Admitted ratio of the next class, in units of 1 / [`TOTAL_WEIGHT`].
+    pub partial_ratio: u16,
 }
 
 impl AdmissionLevel {
-    /// Admitted part of a class, out of [`TOTAL_WEIGHT`].
-    pub fn weight_of(&self, class: usize) -> u32 {
+    /// Admitted ratio of a class, in units of 1 / [`TOTAL_WEIGHT`].
+    pub fn ratio_of(&self, class: usize) -> u32 {
         match class.cmp(&usize::from(self.full_classes)) {
             std::cmp::Ordering::Less => TOTAL_WEIGHT,
-            std::cmp::Ordering::Equal => u32::from(self.partial_weight),
+            std::cmp::Ordering::Equal => u32::from(self.partial_ratio),
             std::cmp::Ordering::Greater => 0,
         }
     }
@@ -32,17 +33,17 @@
     for (class, demand) in demand.iter().enumerate() {
         let class_amount = admitted.get(class).copied().unwrap_or(0);
         if class_amount < *demand {
-            let partial_weight = u128::from(class_amount) * u128::from(TOTAL_WEIGHT) / u128::from(*demand);
-            return AdmissionLevel { full_classes: class as u8, partial_weight: partial_weight as u16 };
+            let partial_ratio = u128::from(class_amount) * u128::from(TOTAL_WEIGHT) / u128::from(*demand);
+            return AdmissionLevel { full_classes: class as u8, partial_ratio: partial_ratio as u16 };
         }
     }
-    AdmissionLevel { full_classes: u8::MAX, partial_weight: 0 }
+    AdmissionLevel { full_classes: u8::MAX, partial_ratio: 0 }
 }
 
 /// Part of the demand, given by class, that is admitted at a level.
 pub fn admitted_demand(demand: &[u64], admission: &AdmissionLevel) -> u64 {
     let class_amount = |(class, demand): (usize, &u64)| {
-        u128::from(*demand) * u128::from(admission.weight_of(class)) / u128::from(TOTAL_WEIGHT)
+        u128::from(*demand) * u128::from(admission.ratio_of(class)) / u128::from(TOTAL_WEIGHT)
     };
     demand.iter().enumerate().map(class_amount).sum::<u128>().min(u128::from(u64::MAX)) as u64
 }
--- a/zones/src/application_types.rs
+++ b/zones/src/application_types.rs
@@ -9,14 +9,15 @@
 use crate::topology::Topology;
 use flaxhead_lease::{ApplicationTypes, Config, Micros};
 
-/// An event at the leader, for the audit trail and the log. Operators' tools may match the texts.
+/// An event at the leader, for the audit trail and the log.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct PlanEvent {
-    /// Kind of the event.
+    /// Kind of the event: `plan` for a new plan, `healthy`, `degraded` or `unavailable` for a new health of a
+    /// zone as seen from another, `report rejected`, or the name of an operator's command.
     pub kind: &'static str,
     /// Name of the zone or process that it concerns; empty: the whole plan.
     pub subject: String,
-    /// Details and cause.
+    /// Details of the event and its cause, for a human reader.
     pub reason: String,
 }
 
--- a/zones/src/command.rs
+++ b/zones/src/command.rs
@@ -20,14 +20,14 @@
     },
     /// Moves all traffic out of a zone.
     Evacuate {
-        /// Name of the zone.
+        /// Name of the zone to evacuate.
         zone: String,
         /// Name of the operator.
         by: String,
     },
     /// Ends the evacuation of a zone.
     Restore {
-        /// Name of the zone.
+        /// Name of the zone to restore.
         zone: String,
         /// Name of the operator.
         by: String,
@@ -45,13 +45,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, thiserror::Error)]
 pub enum Rejection {
     /// No leader could be reached.
-    #[error("no leader is reachable from here: retry once a majority of the voters runs")]
+    #[error("no leader is reachable from this process; retry once a majority of the voters is running")]
     NoLeader,
     /// The command was not committed in time; it may have been executed.
-    #[error("the command was not confirmed in time; retry it: commands are idempotent")]
+    #[error("the command was not confirmed in time and may have been executed; retry it")]
     TimedOut,
-    /// Too many commands are pending.
-    #[error("{0} commands are pending already; retry once they are answered")]
+    /// Too many commands are pending at the process.
+    #[error("{0} commands are already pending at this process; retry after they have completed")]
     TooManyPending(usize),
     /// A zone that the settings do not have.
     #[error("zone {0} is unknown; use the name of a zone in the settings")]
@@ -72,7 +72,7 @@
         "without zone {zone} the others lack capacity for {shortfall} calls per second of present demand"
     )]
     InsufficientCapacity {
-        /// Name of the zone.
+        /// Name of the zone that was to be evacuated.
         zone: String,
         /// Missing capacity in calls per second.
         shortfall: u64,
--- a/zones/src/health_matrix/damped_health.rs
+++ b/zones/src/health_matrix/damped_health.rs
@@ -18,7 +18,8 @@
     pub since: Micros,
     /// Number of processes that agree on it.
     pub witnesses: u32,
-    /// Number of recent outages, up to one more than the recovery delay is doubled.
+    /// Number of recent outages, which are changes to [`ZoneHealth::Unavailable`]. Those that could not
+    /// lengthen the recovery delay any further are not counted.
     pub recent_outages: u32,
     /// Time of the last votes.
     last_vote_at: Micros,
--- a/zones/src/health_matrix/mod.rs
+++ b/zones/src/health_matrix/mod.rs
@@ -13,7 +13,7 @@
 use crate::topology::Topology;
 use flaxhead_lease::Micros;
 
-/// Status of a zone over all observing zones.
+/// Status of a zone, by its health from all observing zones together.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum ZoneStatus {
     /// Available from all zones, and healthy from at least half of them.
--- a/zones/src/health_matrix/votes.rs
+++ b/zones/src/health_matrix/votes.rs
@@ -22,8 +22,8 @@
         }
     }
 
-    /// Adds the votes of a report that was checked, from a process in zone `own_zone`. A process to which all
-    /// zones are unavailable is rejected, as it is probably cut off itself.
+    /// Adds the votes of a valid report, from a process in zone `own_zone`. A report by which all zones are
+    /// unavailable is rejected, as its process is probably cut off itself.
     pub fn add(
         &mut self,
         own_zone: usize,
--- a/zones/src/hosts.rs
+++ b/zones/src/hosts.rs
@@ -13,7 +13,7 @@
     pub zone: usize,
     /// Whether discovery lists the host as ready.
     pub ready: bool,
-    /// Part of its full capacity that the host has reached while it warms up, in thousandths.
+    /// Ratio of the host's present capacity to that of a warm host, in thousandths.
     pub warmth_per_mille: u32,
     /// Size of the host relative to a host of size 1, in thousandths.
     pub size_per_mille: u32,
--- a/zones/src/plan.rs
+++ b/zones/src/plan.rs
@@ -10,7 +10,7 @@
 /// Distribution of one zone's traffic over all zones, which are identified by their names.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct OriginSplit {
-    /// Name of the zone whose processes receive the traffic from clients.
+    /// Name of the zone that the traffic comes from.
     pub origin: String,
     /// Part of the traffic that is admitted.
     pub admission: AdmissionLevel,
@@ -30,7 +30,7 @@
     pub health: u8,
     /// Number of processes that agree on it.
     pub witnesses: u32,
-    /// Number of recent outages, which lengthen the recovery delay.
+    /// Number of recent changes to unavailable, which lengthen the recovery delay.
     pub recent_outages: u32,
     /// Time since the health last changed.
     pub age: Micros,
@@ -77,42 +77,41 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum PlanError {
     /// A zone that the settings do not have.
-    #[error(
-        "the plan names zone {0:?}, which the settings here do not have; give all proxies the same zones"
-    )]
+    #[error("the plan names zone {0:?}, which the settings here lack; give all proxies the same zones")]
     UnknownZone(String),
     /// Two splits of one origin, or two weights of one target in a split.
     #[error(
         "the plan has two weights of zone {target} for traffic from {origin}, or two splits of that traffic"
     )]
     DuplicateSplit {
-        /// Name of the origin.
+        /// Name of the zone that the traffic comes from.
         origin: String,
-        /// Name of the target; the origin's own name if the split itself is a duplicate.
+        /// Name of the zone that the traffic goes to; the name of the origin if the whole split is a
+        /// duplicate.
         target: String,
     },
     /// Weights that do not add up to [`TOTAL_WEIGHT`].
     #[error("the plan's weights for traffic from {origin} add up to {sum}, not {TOTAL_WEIGHT}")]
     InvalidWeightSum {
-        /// Name of the origin.
+        /// Name of the zone that the traffic comes from.
         origin: String,
         /// Sum of the weights.
         sum: u64,
     },
     /// An admission level above the maximum.
-    #[error("the plan admits {weight} of {TOTAL_WEIGHT} of a priority class from {origin}")]
+    #[error("the plan admits {ratio} of {TOTAL_WEIGHT} of a priority class from {origin}")]
     InvalidAdmission {
-        /// Name of the origin.
+        /// Name of the zone that the traffic comes from.
         origin: String,
-        /// Admitted part of the class, out of [`TOTAL_WEIGHT`].
-        weight: u16,
+        /// Admitted ratio of the class, in units of 1 / [`TOTAL_WEIGHT`].
+        ratio: u16,
     },
     /// Traffic to a zone that the plan itself has as unavailable.
     #[error("the plan sends traffic from {origin} to {target}, which it marks as unavailable from there")]
     RoutedToUnavailable {
-        /// Name of the origin.
+        /// Name of the zone that the traffic comes from.
         origin: String,
-        /// Name of the target.
+        /// Name of the zone that the traffic goes to.
         target: String,
     },
 }
@@ -151,10 +150,10 @@
             if !origins.insert(origin_index) {
                 return Err(PlanError::DuplicateSplit { origin: origin.clone(), target: origin.clone() });
             }
-            if u32::from(admission.partial_weight) > TOTAL_WEIGHT {
+            if u32::from(admission.partial_ratio) > TOTAL_WEIGHT {
                 return Err(PlanError::InvalidAdmission {
                     origin: origin.clone(),
-                    weight: admission.partial_weight,
+                    ratio: admission.partial_ratio,
                 });
             }
             let mut seen = [false; MAX_ZONE_COUNT];
--- a/zones/src/planner/assess.rs
+++ b/zones/src/planner/assess.rs
@@ -79,7 +79,7 @@
             .filter(|(process, _)| !self.planner.rejected_reports.contains_key(process));
         let new: Vec<(String, String)> =
             new.map(|(process, error)| (process.name.to_string(), error.to_string())).collect();
-        new.into_iter().for_each(|(subject, reason)| self.record("left out", &subject, reason));
+        new.into_iter().for_each(|(subject, reason)| self.record("report rejected", &subject, reason));
         (self.planner.rejected_reports, self.planner.demand, self.planner.completed) =
             (rejected_reports, demand, completed);
         for (zone, (last_vote_at, since)) in self.planner.observed.iter_mut().enumerate() {
@@ -99,22 +99,23 @@
         let HealthChange { observer, target, current, witnesses, .. } = change;
         self.planner.is_urgent |= *current == ZoneHealth::Unavailable;
         let kind = match current {
-            ZoneHealth::Healthy => "well",
-            ZoneHealth::Degraded => "strained",
-            ZoneHealth::Unavailable => "lost",
+            ZoneHealth::Healthy => "healthy",
+            ZoneHealth::Degraded => "degraded",
+            ZoneHealth::Unavailable => "unavailable",
         };
         let status = match self.planner.health_matrix.zone_status(*target) {
-            ZoneStatus::Healthy => "in".to_owned(),
-            ZoneStatus::Degraded => "strained".to_owned(),
-            ZoneStatus::Unavailable => "lost".to_owned(),
+            ZoneStatus::Healthy => "healthy".to_owned(),
+            ZoneStatus::Degraded => "degraded".to_owned(),
+            ZoneStatus::Unavailable => "unavailable".to_owned(),
             ZoneStatus::UnavailableFrom(observers) => {
                 let observers: Vec<&str> =
                     observers.into_iter().map(|observer| self.topology.name(observer)).collect();
-                format!("cut from {}", observers.join(", "))
+                format!("unavailable from {}", observers.join(", "))
             }
         };
         let observer = self.topology.name(*observer);
-        let reason = format!("to {observer}, by the word of {witnesses}; the zone is {status}");
+        let reason =
+            format!("from {observer}, by the votes of {witnesses} processes; status of the zone: {status}");
         self.record(kind, self.topology.name(*target), reason);
     }
 
--- a/zones/src/planner/commands.rs
+++ b/zones/src/planner/commands.rs
@@ -20,10 +20,10 @@
         };
         if changed {
             let (kind, subject) = match &command {
-                Command::Hold { .. } => ("held", ""),
-                Command::Release { .. } => ("released", ""),
-                Command::Evacuate { zone, .. } => ("evacuated", zone.as_str()),
-                Command::Restore { zone, .. } => ("returned", zone.as_str()),
+                Command::Hold { .. } => ("hold", ""),
+                Command::Release { .. } => ("release", ""),
+                Command::Evacuate { zone, .. } => ("evacuate", zone.as_str()),
+                Command::Restore { zone, .. } => ("restore", zone.as_str()),
             };
             self.record(kind, subject, format!("by {}", command.by()));
             self.planner.next_step_at = self.context.now;
--- a/zones/src/planner/publish.rs
+++ b/zones/src/planner/publish.rs
@@ -24,7 +24,7 @@
         let expired_hold =
             self.context.state().hold.as_ref().filter(|hold| hold.age > self.settings.max_hold);
         if let Some(by) = expired_hold.map(|hold| hold.by.clone()) {
-            self.record("released", "", format!("{by} held it for too long"));
+            self.record("release", "", format!("the hold by {by} reached its maximum duration"));
             self.context.state_mut().hold = None;
             self.planner.next_step_at = now;
             self.publish();
@@ -90,13 +90,15 @@
         (plan.splits, plan.capacities, plan.pairs) = (splits, capacities, pairs);
         self.publish();
         let own_percentage = |(origin, split): (usize, &Option<crate::steps::TrafficSplit>)| {
-            split
-                .as_ref()
-                .map(|split| format!("{} keeps {}", topology.name(origin), split.weights[origin] / 100))
+            split.as_ref().map(|split| format!("{} {}%", topology.name(origin), split.weights[origin] / 100))
         };
         let own_percentages: Vec<String> = next.iter().enumerate().filter_map(own_percentage).collect();
         let version = self.context.state().version.to_string();
-        self.record("plan", "", format!("{version}: {} of 100", own_percentages.join(", ")));
+        self.record(
+            "plan",
+            "",
+            format!("version {version}; traffic that stays in its zone: {}", own_percentages.join(", ")),
+        );
     }
 
     /// Gives the plan the next version and replicates it.
--- a/zones/src/report.rs
+++ b/zones/src/report.rs
@@ -40,26 +40,26 @@
     pub observations: Vec<ZoneObservation>,
 }
 
-/// A reason why the leader rejects a report. The texts are written to the audit trail.
+/// A reason why the leader rejects a report.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum ReportError {
     /// A zone that the leader's settings do not have.
-    #[error("it speaks of the zone {0:?}, which the settings here do not have; give both the same zones")]
+    #[error("the report names zone {0:?}, which the settings here lack; give all proxies the same zones")]
     UnknownZone(String),
     /// Two observations of one zone.
-    #[error("it speaks of the zone {0} twice")]
+    #[error("the report has two observations of zone {0}")]
     DuplicateZone(String),
     /// A call rate that no process can have.
-    #[error("it says {0} calls a second, which cannot be")]
+    #[error("the report has an implausible rate of {0} calls per second")]
     ImplausibleRate(u64),
     /// A latency that no call can have.
-    #[error("it says {0} ms for an answer, which cannot be")]
+    #[error("the report has an implausible latency of {0} ms")]
     ImplausibleLatency(u32),
     /// More priority classes than there are.
-    #[error("it has {0} classes of worth; there are {MAX_CLASS_COUNT}")]
+    #[error("the report has {0} priority classes; the maximum is {MAX_CLASS_COUNT}")]
     TooManyClasses(usize),
     /// A process that is probably cut off itself.
-    #[error("it reaches no zone at all, not even its own: it is taken as cut off, and no witness")]
+    #[error("the process reaches no zone, not even its own, and is probably cut off")]
     ReachesNoZone,
 }
 
@@ -68,9 +68,9 @@
 pub enum ZoneHealth {
     /// Calls succeed within the latency limit.
     Healthy,
-    /// Latency or failure ratio is above the limit for degraded zones.
+    /// The latency is above the limit for degraded zones, or the failure ratio has reached it.
     Degraded,
-    /// No host is reachable, or the failure ratio is above the limit for unavailable zones.
+    /// No host of the zone is reachable, or the failure ratio has reached the limit for unavailable zones.
     Unavailable,
 }
 
--- a/zones/src/routing.rs
+++ b/zones/src/routing.rs
@@ -52,7 +52,7 @@
     pub trial_zones: Vec<usize>,
 }
 
-/// How a process chooses zones.
+/// Choice of zones by a process.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Routing {
     /// Choice among all zones, by the process's own health checks only.
--- a/zones/src/settings.rs
+++ b/zones/src/settings.rs
@@ -7,7 +7,7 @@
 pub struct FailoverSettings {
     /// Capacity of a warm host of size 1.
     pub host_calls_per_second: u32,
-    /// Part of the capacity that is kept free.
+    /// Ratio of the capacity that is kept free.
     pub margin_per_mille: u32,
     /// Latency above which a zone is degraded.
     pub degraded_latency_ms: u32,
@@ -15,16 +15,17 @@
     pub degraded_failure_per_mille: u32,
     /// Failure ratio from which a zone is unavailable.
     pub unavailable_failure_per_mille: u32,
-    /// Part of the votes on a pair of zones that must agree on a worse health.
+    /// Ratio of the votes on a pair of an observing and an observed zone that must agree for the pair to be
+    /// degraded or unavailable.
     pub quorum_per_mille: u32,
-    /// Minimum number of votes on a pair of zones, and of those that agree on a worse health.
+    /// Minimum number of votes on a pair, and of those that must agree for it to be degraded or unavailable.
     pub min_witnesses: u32,
     /// Age up to which a report counts as a vote on the health of zones.
     pub max_report_age: Micros,
-    /// Time for which the votes must be worse before the health of a pair becomes worse.
+    /// Time for which the votes on a pair must be worse than its health before the health becomes worse.
     pub worsening_delay: Micros,
-    /// Time for which the votes must be better before the health of a pair becomes better. It doubles with
-    /// each recent outage after the first, up to eight times this value.
+    /// Time for which the votes on a pair must be better than its health before the health becomes better. It
+    /// doubles with each recent outage after the first, up to eight times this value.
     pub recovery_delay: Micros,
     /// Minimum time between two steps of the plan, except away from a zone that became unavailable.
     pub step_interval: Micros,
--- a/zones/tests/failover.rs
+++ b/zones/tests/failover.rs
@@ -1,6 +1,6 @@
-//! Failover in a simulated fleet of 300 proxies and 200 hosts. After each fault, no zone stays overloaded by
-//! the plan for longer than a second, no weight oscillates, and traffic returns to its own zone within a time
-//! limit.
+//! Failover in a simulated fleet of 300 processes and 200 hosts. After each fault, no zone stays overloaded
+//! by the plan for longer than a second, no weight oscillates, and traffic returns to its own zone within a
+//! time limit.
 
 mod fleet;
 
@@ -184,8 +184,8 @@
     let own_weight = fleet.weight(1, 1).expect("a split");
     print_stats(&fleet, "slow zone");
     println!("weight of the own zone: {own_weight}");
-    assert!(fleet.stats.first_event(start, "strained", "b").is_some());
-    assert!(fleet.stats.first_event(start, "lost", "b").is_none());
+    assert!(fleet.stats.first_event(start, "degraded", "b").is_some());
+    assert!(fleet.stats.first_event(start, "unavailable", "b").is_none());
     assert!((1_000..7_000).contains(&own_weight), "{own_weight}");
     // The zone's queue drains, and its load does not oscillate.
     assert!(
@@ -430,7 +430,7 @@
     }
     let is_local = (0..4).all(|zone| fleet.weight(zone, zone) == Some(10_000));
     assert!(is_local && fleet.stats.plan_changes == 0, "{} plan changes", fleet.stats.plan_changes);
-    assert!(fleet.stats.first_event(start, "left out", "p077").is_some());
+    assert!(fleet.stats.first_event(start, "report rejected", "p077").is_some());
 }
 
 #[test]
--- a/zones/tests/fleet/hosts.rs
+++ b/zones/tests/fleet/hosts.rs
@@ -7,8 +7,8 @@
 
 /// Latency of a call to a host without a queue.
 const BASE_LATENCY_MS: f64 = 40.0;
-/// Timeout of an attempt.
-const ATTEMPT_TIMEOUT_US: Micros = 250_000;
+/// Timeout of a call.
+const CALL_TIMEOUT_US: Micros = 250_000;
 /// Maximum queue of a zone, relative to the calls that it completes in a second.
 const MAX_QUEUE_S: f64 = 0.5;
 /// Time in which a cold host with calls warms up.
@@ -118,8 +118,8 @@
         self.zones.iter().enumerate().filter(|_| !self.is_list_empty).flat_map(zone_hosts).collect()
     }
 
-    /// Simulates the calls to a zone in a tick. Returns the served part, the rejected part, and the latency
-    /// in milliseconds.
+    /// Simulates the calls to a zone in a tick. Returns the ratio of served calls, the ratio of rejected
+    /// calls, and the latency in milliseconds.
     fn serve(&mut self, zone: usize, calls: f64) -> (f64, f64, f64) {
         let capacity = self.capacity(zone);
         let hosts = &mut self.zones[zone];
@@ -167,7 +167,7 @@
             (0..zone_count).filter(|zone| local_health[*zone].all_failing).collect();
         match &routing {
             Some(Routing::Planned(planned)) if self.config.follows_plan => {
-                let admitted_ratio = |class: usize| f64::from(planned.admission.weight_of(class)) / 10_000.0;
+                let admitted_ratio = |class: usize| f64::from(planned.admission.ratio_of(class)) / 10_000.0;
                 admitted = calls.iter().enumerate().map(|(class, calls)| calls * admitted_ratio(class)).sum();
                 for (target, weight) in planned.weights.iter().enumerate() {
                     sent[target] = admitted * f64::from(*weight) / 10_000.0;
@@ -177,18 +177,18 @@
                 trial_zones.dedup();
             }
             _ => {
-                // Without a plan, calls go to the own zone, or to all zones that answer if the own zone does
-                // not.
+                // Without a plan, calls go to the process's own zone, or to all reachable zones if that one
+                // is not.
                 let own_zone = self.processes[process].zone;
-                let answering: Vec<usize> =
+                let reachable: Vec<usize> =
                     (0..zone_count).filter(|zone| !local_health[*zone].all_failing).collect();
-                let targets = if !local_health[own_zone].all_failing { vec![own_zone] } else { answering };
+                let targets = if !local_health[own_zone].all_failing { vec![own_zone] } else { reachable };
                 targets.iter().for_each(|zone| sent[*zone] = requested / targets.len() as f64);
                 admitted = if targets.is_empty() { 0.0 } else { requested };
             }
         }
         self.processes[process].routing = routing;
-        // Zones on trial get a call every two seconds.
+        // Zones that get only trial calls, to detect their recovery, get one every two seconds.
         trial_zones.into_iter().for_each(|zone| sent[zone] = sent[zone].max(0.5 * TICK_S));
         (sent, requested - admitted)
     }
@@ -290,7 +290,7 @@
         for (target, calls) in sent.iter().enumerate() {
             let (served, rejected, latency_ms) = results[target];
             if is_unanswered[target] {
-                state.pending_timeouts.push((now + ATTEMPT_TIMEOUT_US, target, *calls));
+                state.pending_timeouts.push((now + CALL_TIMEOUT_US, target, *calls));
                 continue;
             }
             total_served += calls * served;
--- a/zones/tests/fleet/mod.rs
+++ b/zones/tests/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! Simulation of a fleet in virtual time: proxies that agree on the plan over a lossy network, and hosts with
-//! limited capacity that can be cold, slow or unreachable. A run is determined by its seed.
+//! Simulation of a fleet in virtual time: processes that agree on the plan over a lossy network, and hosts
+//! with limited capacity that can be cold, slow or unreachable. A run is determined by its seed.
 #![allow(dead_code)]
 
 mod hosts;
@@ -75,15 +75,15 @@
     state_since: Micros,
     wake_at: Micros,
     incarnation: u64,
-    /// By zone: the fraction of a successful attempt that is not counted yet.
+    /// By zone: the fraction of a successful call that is not counted yet.
     completed: Vec<f64>,
-    /// By zone: the fraction of a failed attempt that is not counted yet.
+    /// By zone: the fraction of a failed call that is not counted yet.
     failed: Vec<f64>,
     /// By class: the fraction of a request that is not counted yet.
     requested: [f64; 3],
-    /// By zone: the number of attempts without an answer since the last answer, and the time of that answer.
+    /// By zone: the number of calls without an answer since the last answer, and the time of that answer.
     unanswered: Vec<(u32, Micros)>,
-    /// Attempts that will time out: when, the zone, and how many.
+    /// Calls that will time out: when, the zone, and how many.
     pending_timeouts: Vec<(Micros, usize, f64)>,
     pub routing: Option<Routing>,
 }
--- a/zones/tests/fleet/run_stats.rs
+++ b/zones/tests/fleet/run_stats.rs
@@ -4,7 +4,7 @@
 use flaxhead_zones::{CommandResponse, Micros, PlanEvent, Rejection};
 use std::collections::BTreeMap;
 
-/// Change of a weight, against its last direction, that counts as a reversal.
+/// Change of a weight in a split, against its last direction, above which it counts as a reversal.
 const MIN_REVERSAL_WEIGHT: u32 = 1_500;
 
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -32,8 +32,8 @@
     pub rejected: f64,
     pub served: f64,
     pub rejected_in_tick: f64,
-    /// By origin and target: the extreme of the weight in its present direction, whether that is upwards, and
-    /// the number of reversals.
+    /// By origin and target: the extreme of the split's weight in its present direction, whether that is
+    /// upwards, and the number of reversals.
     weights: Vec<(u32, Option<bool>, u32)>,
 }
 
--- a/zones/tests/plan.rs
+++ b/zones/tests/plan.rs
@@ -20,7 +20,7 @@
     let weights = weights.iter().map(|(zone, weight)| (zone.to_string(), *weight)).collect();
     OriginSplit {
         origin: origin.into(),
-        admission: AdmissionLevel { full_classes: 2, partial_weight: 0 },
+        admission: AdmissionLevel { full_classes: 2, partial_ratio: 0 },
         weights,
     }
 }
@@ -48,7 +48,7 @@
         ..valid.clone()
     };
     let excessive_admission = OriginSplit {
-        admission: AdmissionLevel { full_classes: 0, partial_weight: 10_001 },
+        admission: AdmissionLevel { full_classes: 0, partial_ratio: 10_001 },
         ..valid.splits[0].clone()
     };
     type Case = (Plan, fn(&PlanError) -> bool);
--- a/zones/tests/steps.rs
+++ b/zones/tests/steps.rs
@@ -34,9 +34,9 @@
         ];
         let amount = || prop_oneof![1 => Just(0), 5 => 1_000..100_000_u64];
         let split = (vec(0..100_u64, zones), 0..4_u8, 0..=TOTAL_WEIGHT as u16).prop_map(
-            |(amounts, full_classes, partial_weight)| {
+            |(amounts, full_classes, partial_ratio)| {
                 normalized_weights(&amounts).map(|weights| TrafficSplit {
-                    admission: AdmissionLevel { full_classes, partial_weight },
+                    admission: AdmissionLevel { full_classes, partial_ratio },
                     weights,
                 })
             },
