--- a/coordination/src/codec.rs
+++ b/coordination/src/codec.rs
@@ -1,21 +1,21 @@
-//! Messages as bytes, none longer than its application allows.
+//! Encoding and decoding of messages, with the size limits of the application.
 
 use flaxhead_lease::{Application, Message};
 
-/// Why a message is dropped.
+/// Reason for dropping a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CodecError {
-    /// It is longer than its application allows.
+    /// Encoded size above the limit of the application.
     #[error(
-        "it is longer than its application allows: see whether names and texts in the settings are that long"
+        "the message exceeds the size limit of its application; check for overlong names and texts in the settings"
     )]
     TooLong,
-    /// It cannot be decoded.
-    #[error("it cannot be decoded: see whether all proxies run versions that go together")]
+    /// Undecodable bytes.
+    #[error("the message cannot be decoded; check that all proxies run compatible versions")]
     Malformed,
 }
 
-/// Encodes a message.
+/// Encodes a message and checks its size.
 pub(crate) fn encode<A: Application>(message: &Message<A>) -> Result<Vec<u8>, CodecError> {
     let bytes = postcard::to_allocvec(message).map_err(|_| CodecError::Malformed)?;
     if bytes.len() > message.max_len() {
@@ -24,7 +24,7 @@
     Ok(bytes)
 }
 
-/// Decodes a message.
+/// Checks the size of a message and decodes it.
 pub(crate) fn decode<A: Application>(bytes: &[u8]) -> Result<Message<A>, CodecError> {
     if bytes.len() > Message::<A>::MAX_BYTES {
         return Err(CodecError::TooLong);
--- a/coordination/src/codec/tests.rs
+++ b/coordination/src/codec/tests.rs
@@ -7,9 +7,9 @@
 };
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Texts;
+struct TextApplication;
 
-impl ApplicationTypes for Texts {
+impl ApplicationTypes for TextApplication {
     type State = ();
     type Report = String;
     type Grant = String;
@@ -24,7 +24,7 @@
     const MAX_COMMAND_BYTES: usize = 0;
 }
 
-impl Application for Texts {
+impl Application for TextApplication {
     type LeaderData = ();
 
     fn report(&mut self, _: Micros, _: &LocalReplica<Self>, (): &()) -> String {
@@ -47,27 +47,27 @@
     }
 }
 
-fn granted(length: usize) -> Message<Texts> {
-    let ballot = Ballot { round: 1, name: Name::new("a").expect("a name"), incarnation: 1 };
+fn grant_message(length: usize) -> Message<TextApplication> {
+    let ballot = Ballot { round: 1, name: Name::new("a").expect("valid name"), incarnation: 1 };
     let grant = "x".repeat(length);
     let grant = LeaseGrant { ballot, incarnation: 1, requested_at: 1, is_recovered: true, grant };
     Message::Granted(Box::new(grant))
 }
 
 #[test]
-fn a_message_that_is_longer_than_its_application_allows_is_neither_sent_nor_taken() {
-    let good = granted(1_000);
-    let bytes = encode(&good).expect("it fits");
-    assert_eq!(decode::<Texts>(&bytes), Ok(good));
-    // As long as a report may be, but it is a grant.
-    let long = granted(1_900);
-    assert_eq!(encode(&long), Err(CodecError::TooLong));
-    let bytes = postcard::to_allocvec(&long).expect("bytes");
-    assert_eq!(decode::<Texts>(&bytes), Err(CodecError::TooLong));
-    let huge = vec![0; Message::<Texts>::MAX_BYTES + 1];
-    assert_eq!(decode::<Texts>(&huge), Err(CodecError::TooLong));
-    assert_eq!(decode::<Texts>(&[0xff, 1, 2]), Err(CodecError::Malformed));
-    let mut excess = encode(&granted(1)).expect("it fits");
-    excess.push(0);
-    assert_eq!(decode::<Texts>(&excess), Err(CodecError::Malformed));
+fn oversized_and_malformed_messages_are_rejected() {
+    let largest = grant_message(1_000);
+    let bytes = encode(&largest).expect("within the size limit");
+    assert_eq!(decode::<TextApplication>(&bytes), Ok(largest));
+    // Within the size limit of a report, but above that of a grant.
+    let oversized = grant_message(1_900);
+    assert_eq!(encode(&oversized), Err(CodecError::TooLong));
+    let bytes = postcard::to_allocvec(&oversized).expect("encodable");
+    assert_eq!(decode::<TextApplication>(&bytes), Err(CodecError::TooLong));
+    let oversized_bytes = vec![0; Message::<TextApplication>::MAX_BYTES + 1];
+    assert_eq!(decode::<TextApplication>(&oversized_bytes), Err(CodecError::TooLong));
+    assert_eq!(decode::<TextApplication>(&[0xff, 1, 2]), Err(CodecError::Malformed));
+    let mut with_trailing_byte = encode(&grant_message(1)).expect("within the size limit");
+    with_trailing_byte.push(0);
+    assert_eq!(decode::<TextApplication>(&with_trailing_byte), Err(CodecError::Malformed));
 }
--- a/coordination/src/coordinator.rs
+++ b/coordination/src/coordinator.rs
@@ -1,4 +1,4 @@
-//! The timers and messages of one machine.
+//! Driver of a lease machine: its timers, messages, commands and effects.
 
 use crate::participant::{Clock, Participant};
 use crate::store::StateStore;
@@ -19,25 +19,25 @@
 use tokio::sync::{oneshot, watch, Notify};
 use tokio::time::{sleep_until, Instant};
 
-/// Maximum age of what is known of hosts and members when something is decided.
+/// Maximum age of the host and member data that a decision uses.
 const MAX_FACTS_AGE: Duration = Duration::from_millis(50);
-/// The machine is ticked this often at the least: nobody tells when facts have changed.
+/// Maximum time between two ticks of the machine, because changes of the facts send no notification.
 const MAX_TICK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How an application is run at one process.
+/// Configuration of a coordinator.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings<A> {
-    /// Tells its messages from those of other applications.
+    /// Channel that separates the messages of this application from those of others.
     pub channel: Channel,
-    /// Who grants leases.
+    /// Voters that grant leases.
     pub voters: Voters,
-    /// The time spans of the protocol.
+    /// Time limits of the protocol.
     pub config: Config,
-    /// The application.
+    /// Application that is run.
     pub application: A,
 }
 
-/// The result of a command.
+/// Result of an operator's command.
 type CommandResult<A> = Result<
     <A as flaxhead_lease::ApplicationTypes>::Response,
     <A as flaxhead_lease::ApplicationTypes>::Rejection,
@@ -51,19 +51,19 @@
     facts_read_at: Cell<Option<Instant>>,
     random: RefCell<Pcg32>,
     participant: RefCell<Option<Rc<dyn Participant<A>>>>,
-    /// Who waits for the result of a command, by its number.
-    pending: RefCell<HashMap<u64, oneshot::Sender<CommandResult<A>>>>,
-    next_command: Cell<u64>,
+    /// Waiting submitters, by command id.
+    pending_commands: RefCell<HashMap<u64, oneshot::Sender<CommandResult<A>>>>,
+    next_command_id: Cell<u64>,
     clock: Clock,
-    /// Notified also by the thread that writes to the disk.
+    /// Wakes the loop; also notified by the thread that writes the state to disk.
     wake: Arc<Notify>,
     store: Option<RefCell<StateStore<A>>>,
-    /// Whether the process was admitted, or serves autonomously.
+    /// True once the process was admitted or serves autonomously.
     may_serve: watch::Sender<bool>,
-    dropped: Cell<u64>,
+    dropped_messages: Cell<u64>,
 }
 
-/// One process's part in an application, shared by the tasks of one thread.
+/// Driver of one application in one process, shared by the tasks of one thread.
 pub struct Coordinator<A: Application>(Rc<Inner<A>>);
 
 impl<A: Application> Clone for Coordinator<A> {
@@ -82,24 +82,25 @@
 where
     A::Facts: Default + 'static,
 {
-    /// Runs over these peers, with a store if there is one. `seed` is new with each start, and differs between
-    /// applications.
+    /// Creates a coordinator on the sockets of `peers` and registers its channel. `store` keeps state over
+    /// restarts; `None`: nothing is kept. `seed` must differ between starts and between applications.
     pub fn start(
         settings: Settings<A>,
         peers: Peers,
         seed: u64,
         mut store: Option<StateStore<A>>,
     ) -> Coordinator<A> {
-        let own = peers.with_machine(|machine, _| machine.table().me().clone());
-        let me = Process { name: own.name, incarnation: own.stamp.incarnation, address: own.address };
+        let record = peers.with_machine(|machine, _| machine.table().me().clone());
+        let me =
+            Process { name: record.name, incarnation: record.stamp.incarnation, address: record.address };
         let Settings { channel, voters, config, application } = settings;
         let mut machine = Machine::new(config, application, voters, me, 0);
         let wake = Arc::new(Notify::new());
         if let Some(store) = &mut store {
             let wake = wake.clone();
             store.on_write(move || wake.notify_one());
-            let found = store.take_found();
-            machine = machine.with_persistence(0, found.state, found.age);
+            let previous = store.take_previous();
+            machine = machine.with_persistence(0, previous.state, previous.age);
         }
         let coordinator = Coordinator(Rc::new(Inner {
             peers,
@@ -109,25 +110,28 @@
             facts_read_at: Cell::new(None),
             random: RefCell::new(Pcg32::seed_from_u64(seed)),
             participant: RefCell::new(None),
-            pending: RefCell::default(),
-            // Commands of an earlier process with this name may still be answered.
-            next_command: Cell::new(seed | 1),
+            pending_commands: RefCell::default(),
+            // Starts at the seed, because responses to commands of an earlier process with this name may
+            // still arrive.
+            next_command_id: Cell::new(seed | 1),
             clock: Clock::start(),
             wake,
             store: store.map(RefCell::new),
             may_serve: watch::Sender::new(false),
-            dropped: Cell::new(0),
+            dropped_messages: Cell::new(0),
         }));
         coordinator.0.peers.register(channel, Rc::new(coordinator.clone()));
         coordinator
     }
 
-    /// Tells when the process was admitted, or has waited for that for so long that it serves autonomously.
+    /// Reports, as a watch channel, whether the process may serve: it was admitted, or gave up waiting and
+    /// serves autonomously.
     pub fn may_serve(&self) -> watch::Receiver<bool> {
         self.0.may_serve.subscribe()
     }
 
-    /// Takes part, with this participant, until it is dropped. Runs inside a [`tokio::task::LocalSet`].
+    /// Runs the machine with `participant` until the future is dropped. Must run inside a
+    /// [`tokio::task::LocalSet`].
     pub async fn serve(&self, participant: Rc<dyn Participant<A>>) {
         self.0.participant.replace(Some(participant));
         loop {
@@ -145,39 +149,40 @@
         }
     }
 
-    /// Reads something from the machine, at its time.
+    /// Calls `read` with the machine and its current time.
     pub fn with_machine<R>(&self, read: impl FnOnce(&Machine<A>, Micros) -> R) -> R {
         read(&self.0.machine.borrow(), self.0.clock.now())
     }
 
-    /// The participant has something new: the machine is ticked soon.
+    /// Requests a tick of the machine, after the participant's data has changed.
     pub fn wake(&self) {
         self.0.wake.notify_one();
     }
 
-    /// Messages that were dropped, when sent or received: too long, or not to be decoded.
+    /// Number of messages that were dropped on sending or receiving because they were too long or
+    /// undecodable.
     pub fn dropped_messages(&self) -> u64 {
-        self.0.dropped.get()
+        self.0.dropped_messages.get()
     }
 
-    /// Submits an operator's command, and waits for its result, no longer than `timeout`.
+    /// Submits an operator's command and waits at most `timeout` for its result.
     ///
     /// # Errors
     ///
-    /// The application's rejection, or why the command did not come to it.
+    /// The application's rejection, or a [`CommandError`] if the command did not reach the application.
     pub async fn submit(&self, command: A::Command, timeout: Duration) -> CommandResult<A> {
         let (sender, receiver) = oneshot::channel();
-        let id = self.0.next_command.get();
-        self.0.next_command.set(id.wrapping_add(1));
-        self.0.pending.borrow_mut().insert(id, sender);
+        let id = self.0.next_command_id.get();
+        self.0.next_command_id.set(id.wrapping_add(1));
+        self.0.pending_commands.borrow_mut().insert(id, sender);
         let timeout = Micros::try_from(timeout.as_micros()).unwrap_or(Micros::MAX);
         self.step(|machine, context, effects| machine.submit(context, id, command, timeout, effects));
         self.wake();
-        // The machine completes each command, at the latest after its timeout.
+        // The machine completes every command by its deadline, so this error is not expected.
         receiver.await.unwrap_or_else(|_| Err(CommandError::TimedOut.into()))
     }
 
-    /// Reads the facts anew, if they are older than [`MAX_FACTS_AGE`].
+    /// Reads the facts again if they are older than [`MAX_FACTS_AGE`].
     fn refresh_facts(&self) {
         let read_at = self.0.facts_read_at.get();
         if read_at.is_some_and(|at| at.elapsed() < MAX_FACTS_AGE) {
@@ -189,19 +194,19 @@
             facts.members = members::statuses(machine, now);
             facts.participates = machine.participates();
         });
-        // The membership's clock started a little before this one.
-        let ahead = self.0.peers.with_machine(|_, now| now).saturating_sub(self.0.clock.now());
+        // The clock of the membership started earlier than the clock of this machine.
+        let clock_offset = self.0.peers.with_machine(|_, now| now).saturating_sub(self.0.clock.now());
         for member in facts.members.values_mut() {
-            member.since = member.since.saturating_sub(ahead);
+            member.since = member.since.saturating_sub(clock_offset);
         }
         if let Some(participant) = &*self.0.participant.borrow() {
             facts.application = participant.facts();
         }
     }
 
-    /// Has the machine do something, and carries out its effects. What it decided takes effect here before any other
-    /// process hears of it.
-    fn step(&self, act: impl FnOnce(&mut Machine<A>, &mut Context<'_, A::Facts>, &mut Vec<Effect<A>>)) {
+    /// Calls `operation` on the machine and executes the effects. The participant applies the decision before any
+    /// message about it is sent.
+    fn step(&self, operation: impl FnOnce(&mut Machine<A>, &mut Context<'_, A::Facts>, &mut Vec<Effect<A>>)) {
         self.refresh_facts();
         let participant = self.0.participant.borrow().clone();
         let clock = self.0.clock;
@@ -213,7 +218,7 @@
             }
             let (facts, mut random) = (self.0.facts.borrow(), self.0.random.borrow_mut());
             let mut context = Context { now: clock.now(), facts: &facts, random: &mut *random };
-            act(&mut machine, &mut context, &mut effects);
+            operation(&mut machine, &mut context, &mut effects);
         }
         {
             let machine = self.0.machine.borrow();
@@ -227,19 +232,19 @@
             self.0.may_serve.send_if_modified(|was| std::mem::replace(was, may_serve) != may_serve);
         }
         for effect in effects {
-            self.carry_out(effect, participant.as_deref());
+            self.execute_effect(effect, participant.as_deref());
         }
     }
 
-    fn carry_out(&self, effect: Effect<A>, participant: Option<&dyn Participant<A>>) {
+    fn execute_effect(&self, effect: Effect<A>, participant: Option<&dyn Participant<A>>) {
         match effect {
             Effect::Send { to, message } => match codec::encode(&message) {
                 Ok(bytes) => self.0.peers.send(self.0.channel, &to, &bytes),
-                Err(error) => self.count_dropped(&to, error),
+                Err(error) => self.record_dropped_message(&to, error),
             },
             Effect::CommandCompleted { id, result } => {
-                if let Some(sender) = self.0.pending.borrow_mut().remove(&id) {
-                    // Whoever submitted it may have gone.
+                if let Some(sender) = self.0.pending_commands.borrow_mut().remove(&id) {
+                    // The submitter may have stopped waiting.
                     let _ = sender.send(result);
                 }
             }
@@ -256,9 +261,9 @@
         }
     }
 
-    fn count_dropped(&self, other: &Name, error: codec::CodecError) {
-        self.0.dropped.set(self.0.dropped.get() + 1);
-        tracing::debug!("a message of {:?} to or from {other} is dropped: {error}", self.0.channel);
+    fn record_dropped_message(&self, other: &Name, error: codec::CodecError) {
+        self.0.dropped_messages.set(self.0.dropped_messages.get() + 1);
+        tracing::debug!("dropped a message on channel {:?} to or from {other}: {error}", self.0.channel);
     }
 }
 
@@ -272,7 +277,7 @@
                 self.step(|machine, context, effects| machine.receive(context, from, message, effects));
                 self.wake();
             }
-            Err(error) => self.count_dropped(from, error),
+            Err(error) => self.record_dropped_message(from, error),
         }
     }
 }
--- a/coordination/src/lib.rs
+++ b/coordination/src/lib.rs
@@ -1,9 +1,9 @@
-//! The driver of a [`flaxhead_lease::Machine`].
+//! Driver of a [`flaxhead_lease::Machine`].
 //!
-//! It owns the timers, encodes messages within the application's size limits, gathers what the process knows of members,
-//! and leaves every decision to the machine. It runs on the sockets of [`flaxhead_peers`], on a [`Channel`] of its own, on
-//! the thread that it is started on. Where a process takes part in several applications, each has a coordinator of its
-//! own, and they share nothing but the sockets.
+//! The driver owns the timers, encodes messages within the size limits of the application, collects the
+//! membership data, and leaves every decision to the machine. It runs on the sockets of [`flaxhead_peers`],
+//! on its own [`Channel`], and on the thread that starts it. A process that runs several applications has one
+//! coordinator for each of them; they share only the sockets.
 
 mod codec;
 mod coordinator;
--- a/coordination/src/members.rs
+++ b/coordination/src/members.rs
@@ -1,4 +1,4 @@
-//! The membership, as a machine sees it.
+//! Conversion of the membership into the member list of a lease machine.
 
 use flaxhead_lease::{MemberStatus, Presence};
 use flaxhead_membership::{Cause, Machine, Member, Micros, Name, State};
@@ -6,7 +6,7 @@
 
 const MICROS_PER_MILLI: Micros = 1_000;
 
-/// All other members that are known.
+/// Status of all known members but the local one.
 pub(crate) fn statuses(machine: &Machine, now: Micros) -> BTreeMap<Name, MemberStatus> {
     let view = machine.view(now);
     let since = |name: &Name| {
@@ -30,7 +30,7 @@
     let has_exited = || member.suspicions.iter().any(|suspicion| suspicion.cause == Cause::Refused);
     match member.state {
         State::Left => Presence::Left,
-        // Only its own machine's report that nothing listens there is proof that the process has ended.
+        // Only a refused connection, reported by the member's own machine, proves that the process has ended.
         State::Dead if has_exited() => Presence::Exited,
         State::Dead => Presence::Unreachable,
         State::Suspect => Presence::Suspected,
--- a/coordination/src/participant.rs
+++ b/coordination/src/participant.rs
@@ -1,10 +1,10 @@
-//! What the process contributes to an application, and how it carries out what is decided.
+//! Callbacks through which an application reads data of the process and applies decisions to it.
 
 use flaxhead_lease::{Application, Ballot, Machine, Micros};
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The clock of a machine: the time since its coordinator started.
+/// Clock of a machine: microseconds since its coordinator started.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock(Instant);
 
@@ -13,30 +13,29 @@
         Clock(Instant::now())
     }
 
-    /// The time of the machine.
+    /// Current time in microseconds.
     pub fn now(self) -> Micros {
         Micros::try_from(self.0.elapsed().as_micros()).unwrap_or(Micros::MAX)
     }
 
-    /// A time of the machine as a moment of the process.
+    /// Converts a time of the machine to a [`tokio::time::Instant`].
     pub fn to_instant(self, at: Micros) -> Instant {
         self.0 + Duration::from_micros(at)
     }
 }
 
-/// The process's side of an application. None of the methods may wait, or call the coordinator.
+/// Callbacks of an application into its process. They must not block, and must not call the coordinator.
 pub trait Participant<A: Application> {
-    /// What the application decides by; asked for some twenty times a second at the most.
+    /// Returns the application's input. Called at most every 50 ms.
     fn facts(&self) -> A::Facts;
-    /// Called before the machine does anything, to give the application what only the process knows.
+    /// Called before each step of the machine, to pass local data to the application.
     fn before_step(&self, application: &mut A) {
         let _ = application;
     }
-    /// Called after the machine did something, and before any other process hears of it: what it decided takes effect
-    /// here.
+    /// Called after each step of the machine, before its messages are sent, to apply the decision locally.
     fn after_step(&self, machine: &Machine<A>, clock: Clock);
-    /// This process is the leader from now on, under this ballot, or is it no longer.
+    /// Called when the process becomes the leader under `ballot`, or, with `None`, stops being the leader.
     fn leadership_changed(&self, ballot: Option<&Ballot>);
-    /// Something happened at the leader, which is this process.
+    /// Called for each event that the application records while this process is the leader.
     fn event(&self, event: A::Event);
 }
--- a/coordination/src/store.rs
+++ b/coordination/src/store.rs
@@ -1,4 +1,4 @@
-//! What a coordinator stores on disk over a restart, and how much of it the disk has.
+//! Storage of a coordinator's state on disk, and tracking of what is durable.
 
 use flaxhead_lease::{Application, Machine, Micros, PersistentState, PersistentStateVersion};
 use flaxhead_snapshot::{AsOf, Part, RecoveredState, Rejection, SnapshotWriter};
@@ -6,61 +6,62 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The format version of the stored bytes.
+/// Version of the encoding of the stored bytes.
 const FORMAT_VERSION: u16 = 1;
-/// The state holds time spans: it is stored anew after this, though nothing else has changed.
+/// Maximum time between two writes of an unchanged state, because the durations in it become outdated.
 const REFRESH_INTERVAL: Duration = Duration::from_secs(5);
-/// Maximum number of changes that wait for the disk; those between them are skipped.
-const MAX_WAITING: usize = 16;
+/// Maximum number of writes that are tracked until they are durable. When full, a new write replaces the newest one.
+const MAX_PENDING_WRITES: usize = 16;
 
-/// What was found of the process before.
+/// State that was recovered from the previous process.
 #[derive(Debug)]
-pub(crate) struct FoundState<A: Application> {
-    /// The state; `None`: there was none.
+pub(crate) struct PreviousState<A: Application> {
+    /// Recovered state; `None`: nothing was recovered.
     pub state: Option<PersistentState<A>>,
-    /// How old it is.
+    /// Age of the recovered state in microseconds.
     pub age: Micros,
 }
 
-/// A change on its way to the disk.
+/// Write that is not durable yet.
 #[derive(Debug)]
-struct WaitingChange {
+struct PendingWrite {
     number: u64,
-    mark: PersistentStateVersion,
+    version: PersistentStateVersion,
 }
 
-/// What was last handed to the writer, and when.
+/// Most recent write and its time.
 #[derive(Debug)]
-struct LastSave {
-    mark: PersistentStateVersion,
-    at: Instant,
+struct LastWrite {
+    version: PersistentStateVersion,
+    written_at: Instant,
 }
 
-/// Where an application's state is stored.
+/// Storage of the state of one application.
 #[derive(Debug)]
 pub struct StateStore<A: Application> {
     writer: SnapshotWriter,
     name: &'static str,
-    found: Option<PersistentState<A>>,
-    found_age: Micros,
-    last_save: Option<LastSave>,
-    /// The oldest first.
-    waiting: VecDeque<WaitingChange>,
-    has_failed: bool,
+    previous: Option<PersistentState<A>>,
+    previous_age: Micros,
+    last_write: Option<LastWrite>,
+    /// Ordered from the oldest to the newest.
+    pending_writes: VecDeque<PendingWrite>,
+    last_write_failed: bool,
 }
 
-/// A store that was opened.
+/// Result of [`StateStore::open`].
 #[derive(Debug)]
 pub struct OpenedStore<A: Application> {
-    /// The store.
+    /// Store, usable even if nothing was recovered.
     pub store: StateStore<A>,
-    /// Why nothing was recovered of the application's state, which then counts as lost; `None`: it was recovered, or there
-    /// was nothing to recover from.
+    /// Reason why the stored state was rejected, which then counts as lost; `None`: the state was recovered,
+    /// or none was stored.
     pub rejection: Option<Rejection>,
 }
 
 impl<A: Application> StateStore<A> {
-    /// Stores an application's state under this name, and recovers what the process before stored.
+    /// Opens the store of the application `name` and decodes the state of the previous process, if there is
+    /// one.
     pub fn open(
         writer: SnapshotWriter,
         name: &'static str,
@@ -69,11 +70,11 @@
         let mut store = StateStore {
             writer,
             name,
-            found: None,
-            found_age: 0,
-            last_save: None,
-            waiting: VecDeque::new(),
-            has_failed: false,
+            previous: None,
+            previous_age: 0,
+            last_write: None,
+            pending_writes: VecDeque::new(),
+            last_write_failed: false,
         };
         let rejection = recovered.and_then(|recovered| store.recover(recovered).err());
         OpenedStore { store, rejection }
@@ -83,38 +84,39 @@
         let part = recovered.take(self.name, FORMAT_VERSION)?;
         match postcard::take_from_bytes::<PersistentState<A>>(&part.bytes) {
             Ok((state, [])) => {
-                self.found = Some(state);
-                self.found_age = part.age_ms.saturating_mul(1_000);
+                self.previous = Some(state);
+                self.previous_age = part.age_ms.saturating_mul(1_000);
                 Ok(())
             }
             Ok(_) | Err(_) => Err(Rejection::UnreadablePart(self.name.to_owned())),
         }
     }
 
-    /// How old the recovered state is; `None`: none was recovered.
+    /// Age of the recovered state; `None`: nothing was recovered.
     pub fn recovered_age(&self) -> Option<Duration> {
-        self.found.as_ref().map(|_| Duration::from_micros(self.found_age))
+        self.previous.as_ref().map(|_| Duration::from_micros(self.previous_age))
     }
 
-    /// What was recovered, once.
-    pub(crate) fn take_found(&mut self) -> FoundState<A> {
-        FoundState { state: self.found.take(), age: self.found_age }
+    /// Takes the recovered state; later calls return none.
+    pub(crate) fn take_previous(&mut self) -> PreviousState<A> {
+        PreviousState { state: self.previous.take(), age: self.previous_age }
     }
 
-    /// Has `callback` called, by another thread, whenever more is on the disk.
+    /// Registers a callback that another thread calls whenever a write becomes durable.
     pub(crate) fn on_write(&self, callback: impl Fn() + Send + 'static) {
         self.writer.on_write(callback);
     }
 
-    /// Stores what a restart of the machine would need, if that is new.
+    /// Writes the state that a restart would need, if it has changed or [`REFRESH_INTERVAL`] has passed.
     pub(crate) fn save(&mut self, machine: &Machine<A>, now: Micros) {
-        let Some(mark) = machine.persistent_state_version() else { return };
-        let is_saved = |last: &LastSave| last.mark == mark && last.at.elapsed() < REFRESH_INTERVAL;
-        if self.last_save.as_ref().is_some_and(is_saved) {
+        let Some(version) = machine.persistent_state_version() else { return };
+        let is_written =
+            |last: &LastWrite| last.version == version && last.written_at.elapsed() < REFRESH_INTERVAL;
+        if self.last_write.as_ref().is_some_and(is_written) {
             return;
         }
         let state = machine.persistent_state(now);
-        // Into memory; nothing in it can fail to be encoded there.
+        // Encoding into memory does not fail for these types.
         let Ok(bytes) = postcard::to_allocvec(&state) else { return };
         let part = Part {
             name: self.name.to_owned(),
@@ -124,31 +126,31 @@
             age_ms: 0,
             bytes,
         };
-        self.last_save = Some(LastSave { mark: mark.clone(), at: Instant::now() });
+        self.last_write = Some(LastWrite { version: version.clone(), written_at: Instant::now() });
         match self.writer.put(part, AsOf::Now) {
             Ok(number) => {
-                if self.waiting.len() >= MAX_WAITING {
-                    self.waiting.pop_back();
+                if self.pending_writes.len() >= MAX_PENDING_WRITES {
+                    self.pending_writes.pop_back();
                 }
-                self.waiting.push_back(WaitingChange { number, mark });
-                self.has_failed = false;
+                self.pending_writes.push_back(PendingWrite { number, version });
+                self.last_write_failed = false;
             }
-            // What is not stored is not confirmed to others: the log says why.
+            // A state that is not stored is not confirmed to the leader either. The error is logged once.
             Err(error) => {
-                if !std::mem::replace(&mut self.has_failed, true) {
+                if !std::mem::replace(&mut self.last_write_failed, true) {
                     let name = self.name;
                     tracing::info!(
-                        "state: {name} are not kept, and nothing new of them is confirmed: {error}"
+                        "cannot write the {name} state to disk; changes are not confirmed until a write succeeds: {error}"
                     );
                 }
             }
         }
     }
 
-    /// The newest state that has come to the disk since this was last called.
+    /// Takes the version of the newest state that became durable since the last call; `None`: no state did.
     pub(crate) fn take_persisted(&mut self) -> Option<PersistentStateVersion> {
         let durable = self.writer.durable();
-        let done = self.waiting.iter().take_while(|change| change.number <= durable).count();
-        self.waiting.drain(..done).next_back().map(|change| change.mark)
+        let durable_count = self.pending_writes.iter().take_while(|write| write.number <= durable).count();
+        self.pending_writes.drain(..durable_count).next_back().map(|write| write.version)
     }
 }
--- a/lease/rig/src/fault.rs
+++ b/lease/rig/src/fault.rs
@@ -1,20 +1,20 @@
-//! What goes wrong in a step.
+//! Faults that a model injects.
 
-/// A fault that lasts for several steps.
+/// Fault that lasts for several steps.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum LastingFault {
-    /// The process is stopped; all that is sent to it waits.
+    /// The process is stopped; messages to it are queued.
     Frozen,
-    /// The process neither can_receive nor is received from.
+    /// The process neither receives messages nor is received from.
     Partitioned,
-    /// The process can_receive nothing.
+    /// The process receives no messages, but its own are delivered.
     InboundBlocked,
-    /// Nobody can_receive what the process sends.
+    /// The messages of the process are lost, but it receives those of others.
     OutboundBlocked,
 }
 
 impl LastingFault {
-    /// All kinds.
+    /// All kinds of lasting faults.
     pub const ALL: &[LastingFault] = &[
         LastingFault::Frozen,
         LastingFault::Partitioned,
@@ -23,38 +23,39 @@
     ];
 }
 
-/// What goes wrong in one step. Places count the messages of the step. `R`: what a restart of all processes finds.
+/// Fault of one step. Places are indices into the messages of the step. `R` is the state that processes find
+/// when all of them restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Fault<R> {
-    /// Nothing goes wrong.
+    /// No fault.
     Nothing,
-    /// The message at this place is lost.
+    /// Loses the message at this place.
     Lose(usize),
-    /// The message at this place is delivered, and a copy is kept.
+    /// Delivers the message at this place and keeps a copy.
     Duplicate(usize),
-    /// The copy that was kept is delivered.
+    /// Delivers the copy that was kept.
     DeliverDuplicate,
-    /// A process crashes and restarts.
+    /// Crashes and restarts one process.
     Crash {
-        /// The process.
+        /// Index of the process.
         node: usize,
-        /// Before the message at this place.
+        /// Place of the message before which the fault occurs.
         place: usize,
     },
-    /// A lasting fault begins.
+    /// Begins a lasting fault.
     Begin {
-        /// The process that it strikes.
+        /// Index of the faulty process.
         node: usize,
-        /// Its kind.
+        /// Kind of the fault.
         kind: LastingFault,
-        /// Before the message at this place.
+        /// Place of the message before which the fault begins.
         place: usize,
     },
-    /// All processes crash and restart.
+    /// Crashes and restarts all processes.
     RestartAll {
-        /// What they find.
+        /// State that the processes find.
         restart_state: R,
-        /// Before the message at this place.
+        /// Place of the message before which the fault occurs.
         place: usize,
     },
 }
--- a/lease/rig/src/lib.rs
+++ b/lease/rig/src/lib.rs
@@ -1,14 +1,14 @@
-//! Model checking of applications of a lease: processes, messages between them, and faults, one step at a time.
+//! Test support for model checking of lease applications.
 //!
-//! A model says what is particular to its application ([`SystemModel`]); the rig runs a step and lists the faults that may occur
-//! in it. Faults occur between any two messages of a step. For tests only.
+//! A model implements [`SystemModel`] for its application. This package executes the steps, which consist of
+//! timers and messages between processes, and enumerates the faults that may occur between any two messages.
 
 mod fault;
-mod fleet;
 mod random;
-mod world;
+mod system_model;
+mod system_state;
 
 pub use fault::{Fault, LastingFault};
-pub use fleet::{Bounds, StepOutcome, SystemModel};
 pub use random::FixedRandom;
-pub use world::{ActiveFault, Envelope, QueuedMessage, SystemState};
+pub use system_model::{Bounds, StepOutcome, SystemModel};
+pub use system_state::{ActiveFault, Envelope, QueuedMessage, SystemState};
--- a/lease/rig/src/random.rs
+++ b/lease/rig/src/random.rs
@@ -1,19 +1,19 @@
-//! A source of randomness without any, so that a state of a model has one successor.
+//! Deterministic replacement of a random number generator, so that each state of a model has one successor.
 
 use rand_core::RngCore;
 
-/// Draws the same for one node every time, and something else for another: two nodes that become candidates at once must
-/// not do so for ever.
+/// Generator that returns a constant. The constant differs between nodes, because candidates with equal
+/// backoffs would collide forever.
 pub struct FixedRandom(u32);
 
 impl FixedRandom {
-    /// The source of a node, of which there are four at the most.
+    /// Creates the generator of a node.
     ///
     /// # Panics
     ///
-    /// Panics for the number of a node that no model has.
+    /// Panics if `node` is 4 or greater.
     pub fn for_node(node: usize) -> FixedRandom {
-        FixedRandom(u32::try_from(node).expect("four nodes at the most") << 30)
+        FixedRandom(u32::try_from(node).expect("the node index is below four") << 30)
     }
 }
 
--- a/lease/rig/src/world.rs
+++ b/lease/rig/src/system_state.rs
@@ -1,65 +1,65 @@
-//! A state of a model: the processes, what is on its way between them, and what is wrong.
+//! State of a model: processes, faults, and messages that are kept for later.
 
 use crate::fault::LastingFault;
 use flaxhead_lease::{Application, Effect, Machine, MemberStatus, Message, Name, Presence};
 use std::collections::BTreeMap;
 
-/// A message on its way.
+/// Message in transit.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Envelope<A: Application> {
-    /// The sending node.
+    /// Index of the sending node.
     pub from: usize,
-    /// The receiving node.
+    /// Index of the receiving node.
     pub to: usize,
-    /// The message.
+    /// Message content.
     pub message: Message<A>,
 }
 
-/// A message that waits for a frozen node.
+/// Message that is queued for a frozen node.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct QueuedMessage<A: Application> {
-    /// The sending node.
+    /// Index of the sending node.
     pub from: usize,
-    /// The message.
+    /// Message content.
     pub message: Message<A>,
 }
 
-/// A lasting fault that is under way.
+/// Lasting fault in progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ActiveFault {
-    /// The node that it strikes.
+    /// Index of the faulty node.
     pub node: usize,
-    /// Its kind.
+    /// Kind of the fault.
     pub kind: LastingFault,
-    /// For how many steps more.
+    /// Remaining duration in steps.
     pub steps_left: u8,
 }
 
-/// A state. `M`: what the model of an application has beside it.
+/// State of a model. `M` is the state beside the processes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct SystemState<A: Application, M> {
-    /// Steps so far.
+    /// Number of executed steps.
     pub step: u8,
-    /// The processes; the voters come first.
+    /// Processes; the voters come first.
     pub nodes: Vec<Machine<A>>,
-    /// The lasting fault, from the beginning of the step or from one of its messages on.
+    /// Lasting fault in progress, if any.
     pub active_fault: Option<ActiveFault>,
-    /// What waits for a frozen node.
+    /// Messages that are queued for the frozen node.
     pub queued: Vec<QueuedMessage<A>>,
-    /// The copy of a message that may be delivered again.
+    /// Copy of a message that may be delivered again.
     pub duplicate: Option<Envelope<A>>,
-    /// Faults so far.
+    /// Number of faults so far.
     pub faults: u8,
-    /// Starts of processes so far.
+    /// Number of process starts so far, from which models derive incarnations.
     pub process_starts: u64,
-    /// The first rule that was seen broken.
+    /// First violated invariant; `None`: none was violated.
     pub violation: Option<&'static str>,
-    /// What the application's model has.
+    /// State of the model beside the processes.
     pub environment: M,
 }
 
 impl<A: Application, M> SystemState<A, M> {
-    /// Before any process starts.
+    /// Creates a state without processes.
     pub fn new(environment: M) -> SystemState<A, M> {
         SystemState {
             step: 0,
@@ -78,27 +78,28 @@
         self.active_fault.is_some_and(|fault| fault.node == node && kinds.contains(&fault.kind))
     }
 
-    /// Whether a node can_receive anything.
+    /// Returns whether messages to a node are delivered.
     pub fn can_receive(&self, node: usize) -> bool {
         !self.has_fault(node, &[LastingFault::Partitioned, LastingFault::InboundBlocked])
     }
 
-    /// Whether anybody can_receive what a node sends.
+    /// Returns whether the messages of a node are delivered.
     pub fn can_send(&self, node: usize) -> bool {
         !self.has_fault(node, &[LastingFault::Partitioned, LastingFault::OutboundBlocked])
     }
 
-    /// Whether a node is stopped.
+    /// Returns whether a node is stopped.
     pub fn is_frozen(&self, node: usize) -> bool {
         self.has_fault(node, &[LastingFault::Frozen])
     }
 
-    /// Whether one node's membership has not heard of another recently.
+    /// Returns whether the membership of node `of` currently receives nothing from `node`, because one of
+    /// them is faulty.
     pub fn is_unheard(&self, of: usize, node: usize) -> bool {
         self.active_fault.is_some_and(|fault| fault.node == node || fault.node == of)
     }
 
-    /// What one node's membership says of all others.
+    /// Returns the member list of node `of`, with the presence that `presence` gives for each other node.
     pub fn member_statuses(
         &self,
         of: usize,
@@ -117,7 +118,7 @@
         (0..self.nodes.len()).filter(|node| *node != of).map(member).collect()
     }
 
-    /// The messages among a node's effects.
+    /// Extracts the messages from a node's effects.
     pub fn sent_messages(&self, from: usize, effects: Vec<Effect<A>>) -> Vec<Envelope<A>> {
         let node_of = |name: &Name| (0..self.nodes.len()).find(|node| self.nodes[*node].me().name == *name);
         let envelope = |effect| match effect {
--- a/lease/src/admission/mod.rs
+++ b/lease/src/admission/mod.rs
@@ -1,84 +1,85 @@
-//! How a process that started waits for its admission: whom it queries, and what it may conclude from the replies. A wait
-//! lasts only while it can change the answer.
+//! Wait of a started process for its admission: the queries that it sends, and its conclusions from the
+//! replies.
 
-mod evidence;
 mod reason;
+mod reply_summary;
 
 pub use reason::AdmissionReason;
 
 use crate::config::Config;
 use crate::recovery_state::RecoveryState;
 use crate::voters::Voters;
-use evidence::Evidence;
 use flaxhead_membership::{Micros, Name};
+use reply_summary::ReplySummary;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Maximum number of processes with the complete state that a reply names: one is enough, the others are for its death.
-pub(crate) const MAX_INFORMED_PEERS: usize = 3;
-/// Maximum number of replies that are stored.
+/// Maximum number of processes with the complete state that a reply names; more than one, in case some of
+/// them fail.
+pub(crate) const MAX_NAMED_PEERS: usize = 3;
+/// Maximum number of stored replies.
 const MAX_REPLIES: usize = 64;
-/// Queries within the duration of a lease.
+/// Number of query rounds per lease duration.
 const QUERIES_PER_LEASE: Micros = 12;
 
-/// What a process tells one that waits for admission.
+/// Information that a process gives to one that waits for admission.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RecoveryStatus {
-    /// As a voter, how far it has recovered; `None`: it is no voter.
+    /// Recovery state as a voter; `None`: not a voter.
     pub voter: Option<RecoveryState>,
-    /// Its state is complete.
+    /// True if the state of the process is complete.
     pub has_complete_state: bool,
-    /// It holds a lease now.
+    /// True if the process holds a lease.
     pub has_lease: bool,
-    /// The leader, as far as it knows.
+    /// Leader known to the process, if any.
     pub leader: Option<Name>,
-    /// Others that recently reported that their state is complete.
+    /// Other processes that recently reported a complete state.
     pub peers_with_complete_state: BTreeSet<Name>,
 }
 
-/// A query that is to be sent.
+/// Query to be sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Query {
-    /// To whom.
+    /// Receiver of the query.
     pub to: Name,
-    /// Whether the process's state is asked for as well.
+    /// True if the reply should include the state.
     pub wants_state: bool,
 }
 
-/// This process as a voter.
+/// Local process in its role as a voter.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct OwnVoter<'a> {
-    /// Its name.
+    /// Name of the local process.
     pub name: &'a Name,
-    /// How far it has recovered; `None`: it is no voter.
+    /// Recovery state; `None`: not a voter.
     pub recovery: Option<RecoveryState>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Reply {
-    /// When it was asked for: what it says was so at that time or later.
+    /// Time of the query, by the local clock. The reply describes this time or a later one.
     requested_at: Micros,
     status: RecoveryStatus,
 }
 
 impl Reply {
-    /// Whether it was asked for within the duration of a lease.
+    /// Returns whether the query was sent within the last lease duration.
     fn is_fresh(&self, now: Micros, config: &Config) -> bool {
         now.saturating_sub(self.requested_at) <= config.lease_duration
     }
 }
 
-/// The wait of a process for its admission.
+/// Progress of a process that waits for its admission.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct AdmissionWait {
     started: Micros,
-    /// When it queries next.
+    /// Time of the next round of queries.
     pub next_query_at: Micros,
     queries_sent: u64,
     replies: BTreeMap<Name, Reply>,
-    /// The process whose complete state it took.
+    /// Process whose complete state was received.
     state_from: Option<Name>,
-    /// What it waits for, by its last evaluation.
+    /// Reason for waiting or serving, as of the last evaluation.
     pub reason: AdmissionReason,
 }
 
@@ -94,13 +95,13 @@
         }
     }
 
-    /// The time between two rounds of queries.
+    /// Time between two rounds of queries in microseconds.
     pub(crate) fn query_interval(config: &Config) -> Micros {
         (config.lease_duration / QUERIES_PER_LEASE).max(1)
     }
 
-    /// The queries to send now: to all voters, and to one process with the complete state for that. One state is enough,
-    /// so these processes are asked in turn.
+    /// Returns the queries of this round: one to each voter, and one for the state to a process that has it.
+    /// These processes take turns, because one state is enough.
     pub(crate) fn next_queries(
         &mut self,
         now: Micros,
@@ -111,21 +112,21 @@
         self.queries_sent += 1;
         self.replies.retain(|_, reply| reply.is_fresh(now, config));
         let mut wants_state: BTreeMap<Name, bool> = voters.iter().map(|name| (name.clone(), false)).collect();
-        let informed = self.peers_with_complete_state();
-        let place = usize::try_from(self.queries_sent).unwrap_or(usize::MAX) % informed.len().max(1);
-        wants_state.extend(informed.into_iter().nth(place).map(|name| (name, true)));
+        let peers = self.peers_with_complete_state();
+        let index = usize::try_from(self.queries_sent).unwrap_or(usize::MAX) % peers.len().max(1);
+        wants_state.extend(peers.into_iter().nth(index).map(|name| (name, true)));
         wants_state.remove(me);
         wants_state.into_iter().map(|(to, wants_state)| Query { to, wants_state }).collect()
     }
 
-    /// The processes with the complete state, by their own reply or another's.
+    /// Processes with the complete state, by their own reply or that of another.
     fn peers_with_complete_state(&self) -> BTreeSet<Name> {
         let complete = self.replies.iter().filter(|(_, reply)| reply.status.has_complete_state);
-        let named = self.replies.values().flat_map(|reply| &reply.status.peers_with_complete_state);
-        complete.map(|(name, _)| name).chain(named).cloned().collect()
+        let reported = self.replies.values().flat_map(|reply| &reply.status.peers_with_complete_state);
+        complete.map(|(name, _)| name).chain(reported).cloned().collect()
     }
 
-    /// Takes a reply, which came with the state or without.
+    /// Stores a reply, unless a later one of the same process is known.
     pub(crate) fn record_reply(
         &mut self,
         from: &Name,
@@ -145,7 +146,7 @@
         }
     }
 
-    /// How far a voter, this process too, had recovered by its reply within the duration of a lease.
+    /// Recovery state that a voter, or the local process, reported within the last lease duration.
     fn voter_recovery(
         &self,
         now: Micros,
@@ -159,8 +160,8 @@
         self.replies.get(name).filter(|reply| reply.is_fresh(now, config))?.status.voter
     }
 
-    /// Whether every voter has replied within the duration of a lease that it has not recovered: nobody can say what the
-    /// state was.
+    /// Returns whether every voter reported within the last lease duration that it has not recovered, so that
+    /// the state is unknown to all of them.
     pub(crate) fn all_voters_lost_state(
         &self,
         now: Micros,
@@ -175,7 +176,8 @@
         voters.iter().all(is_lost)
     }
 
-    /// Draws its conclusion from the replies so far. Returns whether the process may serve without being admitted.
+    /// Updates the reason from the replies so far. Returns whether the process may serve without being
+    /// admitted.
     pub(crate) fn evaluate(
         &mut self,
         now: Micros,
@@ -183,8 +185,8 @@
         voters: &Voters,
         own: OwnVoter<'_>,
     ) -> bool {
-        let evidence = Evidence::gather(self, now, config, voters, own);
-        self.reason = evidence.conclusion(self.state_from.as_ref());
+        let summary = ReplySummary::from_replies(self, now, config, voters, own);
+        self.reason = summary.admission_reason(self.state_from.as_ref());
         self.reason.may_serve()
     }
 }
--- a/lease/src/admission/reason.rs
+++ b/lease/src/admission/reason.rs
@@ -1,35 +1,36 @@
-//! Why a process waits, or may serve.
+//! Reasons for which a process waits or may serve.
 
 use flaxhead_membership::Name;
 use std::fmt;
 
-/// What a process that started waits for, or why it may serve.
+/// Reason for which a started process waits or may serve.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum AdmissionReason {
     /// Waits: no process has replied yet.
     AwaitingReply,
-    /// Waits: voters that restarted recently are quarantined while leases may run that they have forgotten.
+    /// Waits: recently restarted voters are quarantined, because leases that they granted before may still be
+    /// valid.
     AwaitingQuarantine,
-    /// Waits: a leader can admit it.
+    /// Waits: a leader can admit the process.
     AwaitingAdmission,
     /// Waits: this process has the complete state and has not sent it yet.
     AwaitingState(Name),
-    /// Waits: the state is lost, and operators are given time to declare it.
+    /// Waits: the state is lost, and operators have time to declare it.
     AwaitingOperators,
-    /// Serves: a leader has admitted it.
+    /// Serves: admitted by a leader.
     Admitted,
-    /// Serves: a majority of voters has lost the state, and this process has sent it.
+    /// Serves: a majority of voters has lost the state, and this process has sent its own.
     StateRecoveredFrom(Name),
-    /// Serves: no majority of voters votes, and this process has sent its state.
+    /// Serves: no majority of voters can vote, and this process has sent its state.
     NoQuorumStateFrom(Name),
-    /// Serves: a majority of voters has lost the state, and no process is left that has it.
+    /// Serves: a majority of voters has lost the state, and no process has it.
     StateLost,
     /// Serves: no process with the complete state has replied within [`crate::Config::autonomy_timeout`].
     NoReply,
 }
 
 impl AdmissionReason {
-    /// Whether a process may serve for this reason.
+    /// Returns whether a process may serve for this reason.
     pub(crate) fn may_serve(&self) -> bool {
         match self {
             AdmissionReason::AwaitingReply
@@ -46,7 +47,7 @@
     }
 }
 
-/// The sentences are values of the side port's JSON (`reason`), and stay as they are.
+/// The texts are values of the key `reason` in the JSON of the status pages and must not change.
 impl fmt::Display for AdmissionReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
--- a/lease/src/admission/evidence.rs
+++ b/lease/src/admission/reply_summary.rs
@@ -1,4 +1,4 @@
-//! What the replies to a process that waits for admission amount to.
+//! Conclusions from the replies to a process that waits for admission.
 
 use super::{AdmissionReason, AdmissionWait, OwnVoter, Reply};
 use crate::config::Config;
@@ -6,34 +6,36 @@
 use crate::voters::Voters;
 use flaxhead_membership::{Micros, Name};
 
-/// What the fresh replies amount to. That a majority of voters has lost the state holds for one moment if all of them
-/// replied so within the duration of one lease, having been quarantined for longer than a lease before: at that moment no
-/// leader is left that knows the state, and none can come before operators declare it.
+/// Summary of the recent replies.
+///
+/// The loss of the state is certain once a majority of voters reports it within one lease duration. Each of
+/// them was quarantined for longer than a lease before, so no earlier leader can still hold a lease and know
+/// the state, and no later one can recover it before operators declare it.
 #[expect(clippy::struct_excessive_bools, reason = "each is one finding, independent of the others")]
-pub(super) struct Evidence {
+pub(super) struct ReplySummary {
     has_replies: bool,
-    /// A process with the complete state lives.
+    /// True if a running process has the complete state.
     state_exists: bool,
-    /// Such a process, by any reply.
-    informed_peer: Option<Name>,
-    /// Some process holds a lease.
+    /// Process with the complete state, named by any reply.
+    peer_with_complete_state: Option<Name>,
+    /// True if some process holds a lease.
     lease_exists: bool,
     majority_lost_state: bool,
     majority_votes: bool,
-    majority_is_silent: bool,
-    /// The operators still have time to declare the state.
-    within_operator_wait: bool,
+    majority_cannot_vote: bool,
+    /// True while operators still have time to declare the state.
+    within_operator_timeout: bool,
     timed_out: bool,
 }
 
-impl Evidence {
-    pub(super) fn gather(
+impl ReplySummary {
+    pub(super) fn from_replies(
         wait: &AdmissionWait,
         now: Micros,
         config: &Config,
         voters: &Voters,
         own: OwnVoter<'_>,
-    ) -> Evidence {
+    ) -> ReplySummary {
         let majority = |counts: fn(RecoveryState) -> bool| {
             voters.has_majority(|name| wait.voter_recovery(now, config, own, name).is_some_and(counts))
         };
@@ -42,28 +44,30 @@
             reply.status.has_complete_state || !reply.status.peers_with_complete_state.is_empty()
         };
         let waited = now.saturating_sub(wait.started);
-        // A process that was stopped itself has not waited: what counts is how often it has asked.
-        let has_asked =
+        // The elapsed time alone is not enough, because the process may have been stopped. It must also have
+        // sent at least half of the queries of that time.
+        let has_queried =
             wait.queries_sent * AdmissionWait::query_interval(config) * 2 >= config.autonomy_timeout;
-        Evidence {
+        ReplySummary {
             has_replies: !fresh.is_empty(),
             state_exists: fresh.iter().any(knows_state),
-            informed_peer: wait.peers_with_complete_state().into_iter().next(),
+            peer_with_complete_state: wait.peers_with_complete_state().into_iter().next(),
             lease_exists: fresh.iter().any(|reply| reply.status.has_lease),
-            majority_lost_state: majority(RecoveryState::has_forgotten),
+            majority_lost_state: majority(RecoveryState::has_lost_data),
             majority_votes: majority(RecoveryState::may_vote),
-            majority_is_silent: majority(|recovery| !recovery.may_vote()),
-            within_operator_wait: waited < config.operator_timeout,
-            timed_out: waited >= config.autonomy_timeout && has_asked,
+            majority_cannot_vote: majority(|recovery| !recovery.may_vote()),
+            within_operator_timeout: waited < config.operator_timeout,
+            timed_out: waited >= config.autonomy_timeout && has_queried,
         }
     }
 
-    /// What the process waits for, or why it may serve. `state_from`: the process that has sent its complete state.
-    pub(super) fn conclusion(self, state_from: Option<&Name>) -> AdmissionReason {
+    /// Decides what the process waits for, or why it may serve. `state_from` is the process that has sent its
+    /// complete state.
+    pub(super) fn admission_reason(self, state_from: Option<&Name>) -> AdmissionReason {
         if self.majority_lost_state {
-            return self.conclusion_of_lost_state(state_from);
+            return self.reason_after_state_loss(state_from);
         }
-        // A majority that votes has a leader, or will.
+        // A majority that votes has a leader, or will elect one.
         if self.state_exists && (self.majority_votes || self.lease_exists) {
             return AdmissionReason::AwaitingAdmission;
         }
@@ -71,16 +75,16 @@
             Some(name) if self.timed_out => AdmissionReason::NoQuorumStateFrom(name.clone()),
             None if self.timed_out => AdmissionReason::NoReply,
             _ if !self.has_replies => AdmissionReason::AwaitingReply,
-            _ if self.majority_is_silent => AdmissionReason::AwaitingQuarantine,
+            _ if self.majority_cannot_vote => AdmissionReason::AwaitingQuarantine,
             _ => AdmissionReason::AwaitingAdmission,
         }
     }
 
-    fn conclusion_of_lost_state(self, state_from: Option<&Name>) -> AdmissionReason {
-        match (state_from, self.informed_peer) {
+    fn reason_after_state_loss(self, state_from: Option<&Name>) -> AdmissionReason {
+        match (state_from, self.peer_with_complete_state) {
             (Some(name), _) => AdmissionReason::StateRecoveredFrom(name.clone()),
             (None, Some(name)) if !self.timed_out => AdmissionReason::AwaitingState(name),
-            _ if self.within_operator_wait => AdmissionReason::AwaitingOperators,
+            _ if self.within_operator_timeout => AdmissionReason::AwaitingOperators,
             _ => AdmissionReason::StateLost,
         }
     }
--- a/lease/src/admission/tests.rs
+++ b/lease/src/admission/tests.rs
@@ -6,7 +6,7 @@
 const NOW: Micros = 20_000_000;
 
 fn name(text: &str) -> Name {
-    Name::new(text).expect("a name")
+    Name::new(text).expect("valid name")
 }
 
 fn status(voter: Option<RecoveryState>, has_complete_state: bool) -> RecoveryStatus {
@@ -19,7 +19,7 @@
     }
 }
 
-/// A reply of `from` that was asked for at `requested_at`.
+/// Reply to a query that was sent at `requested_at`.
 struct TestReply {
     from: &'static str,
     requested_at: Micros,
@@ -31,15 +31,19 @@
     TestReply { from, requested_at, voter: Some(voter), has_complete_state: false }
 }
 
-/// What a process concludes at 20 s that was started at 0 and has sent `queries`.
-fn concluded(queries: u64, replies: &[TestReply]) -> (bool, AdmissionReason) {
-    concluded_with(0, queries, replies)
+/// Conclusion at 20 s of a process that started at 0 and has sent this number of query rounds.
+fn evaluate_replies(queries: u64, replies: &[TestReply]) -> (bool, AdmissionReason) {
+    evaluate_with_operator_timeout(0, queries, replies)
 }
 
-fn concluded_with(operator_timeout: Micros, queries: u64, replies: &[TestReply]) -> (bool, AdmissionReason) {
+fn evaluate_with_operator_timeout(
+    operator_timeout: Micros,
+    queries: u64,
+    replies: &[TestReply],
+) -> (bool, AdmissionReason) {
     let config =
         Config { lease_duration: LEASE, autonomy_timeout: 15_000_000, operator_timeout, ..Config::default() };
-    let voters = Voters::new(["a", "b", "c"].map(name).to_vec(), Vec::new()).expect("voters");
+    let voters = Voters::new(["a", "b", "c"].map(name).to_vec(), Vec::new()).expect("valid voters");
     let mut wait = AdmissionWait { queries_sent: queries, ..AdmissionWait::new(0) };
     for reply in replies {
         let status = status(reply.voter, reply.has_complete_state);
@@ -50,24 +54,28 @@
 }
 
 #[test]
-fn a_majority_has_lost_the_state_only_if_it_says_so_within_one_lease_and_after_its_quarantine() {
+fn state_loss_requires_recent_reports_of_a_majority_out_of_quarantine() {
     let before = NOW - LEASE - 1;
     let recovering = |from, at| reply(from, at, RecoveryState::Recovering);
     let replies = || [recovering("a", NOW), reply("b", NOW - LEASE, RecoveryState::StateLost)];
-    assert_eq!(concluded(10, &replies()), (true, AdmissionReason::StateLost));
-    assert_eq!(concluded_with(21_000_000, 10, &replies()), (false, AdmissionReason::AwaitingOperators));
-    // A lease may run that the quarantined voter granted, or that was granted after the older reply.
+    assert_eq!(evaluate_replies(10, &replies()), (true, AdmissionReason::StateLost));
+    assert_eq!(
+        evaluate_with_operator_timeout(21_000_000, 10, &replies()),
+        (false, AdmissionReason::AwaitingOperators)
+    );
+    // The quarantined voter may have granted a lease before its restart, and after an old reply another lease
+    // may have been granted.
     let others = [reply("b", NOW, RecoveryState::Quarantined), recovering("b", before), recovering("q", NOW)];
     for other in others {
         let case = format!("{} at {}: {:?}", other.from, other.requested_at, other.voter);
-        assert!(!concluded(10, &[recovering("a", NOW), other]).0, "{case}");
+        assert!(!evaluate_replies(10, &[recovering("a", NOW), other]).0, "{case}");
     }
 }
 
 #[test]
-fn all_voters_have_lost_the_state_only_if_each_voter_says_so() {
+fn state_loss_of_all_voters_requires_a_recent_report_of_each() {
     let config = Config { lease_duration: LEASE, ..Config::default() };
-    let voters = Voters::new(["a", "b", "c"].map(name).to_vec(), Vec::new()).expect("voters");
+    let voters = Voters::new(["a", "b", "c"].map(name).to_vec(), Vec::new()).expect("valid voters");
     let mut wait = AdmissionWait::new(0);
     let own_name = name("a");
     let own = OwnVoter { name: &own_name, recovery: Some(RecoveryState::Quarantined) };
@@ -83,16 +91,16 @@
 }
 
 #[test]
-fn a_process_that_was_stopped_itself_has_not_waited() {
-    assert_eq!(concluded(15, &[]), (true, AdmissionReason::NoReply));
-    assert_eq!(concluded(14, &[]), (false, AdmissionReason::AwaitingReply));
-    // And while a process with the complete state lives, beside a majority that votes, a leader will admit it.
+fn autonomy_timeout_requires_sent_queries_and_no_majority_that_votes() {
+    assert_eq!(evaluate_replies(15, &[]), (true, AdmissionReason::NoReply));
+    assert_eq!(evaluate_replies(14, &[]), (false, AdmissionReason::AwaitingReply));
+    // While a process with the complete state runs and a majority votes, a leader will admit the process.
     let recovered = |from, has_complete_state| TestReply {
         has_complete_state,
         ..reply(from, NOW, RecoveryState::Recovered)
     };
     let replies = [recovered("a", true), recovered("b", false)];
-    assert_eq!(concluded(60, &replies), (false, AdmissionReason::AwaitingAdmission));
+    assert_eq!(evaluate_replies(60, &replies), (false, AdmissionReason::AwaitingAdmission));
     let replies = [recovered("a", true)];
-    assert_eq!(concluded(60, &replies), (true, AdmissionReason::NoQuorumStateFrom(name("a"))));
+    assert_eq!(evaluate_replies(60, &replies), (true, AdmissionReason::NoQuorumStateFrom(name("a"))));
 }
--- a/lease/src/application.rs
+++ b/lease/src/application.rs
@@ -1,4 +1,4 @@
-//! The interface between the protocol and what it replicates.
+//! Interface between the protocol and the applications that it replicates.
 
 use crate::ballot::Ballot;
 use crate::leader::LeaderContext;
@@ -7,42 +7,42 @@
 use crate::types::ApplicationTypes;
 use flaxhead_membership::Micros;
 
-/// A process's report, as it came to the leader with a renewal. Only reports of processes that have applied a state of
-/// this leader are passed on: such a process accepts nothing of a lower ballot any more.
+/// Report of a process, received by the leader with a lease renewal. Only reports of processes that have
+/// applied a state of this leader are passed on, because such a process ignores all lower ballots.
 #[derive(Debug)]
 pub struct ReceivedReport<'a, T: ApplicationTypes> {
-    /// The process.
+    /// Reporting process.
     pub process: &'a Process,
-    /// When it was sent, by that process's clock: of two reports the one with the greater time is the later. Reports may
-    /// come twice, and late.
+    /// Time of sending, by the clock of the process. Reports may arrive out of order or twice; the one with
+    /// the greatest time is the latest.
     pub sent_at: Micros,
-    /// It is the first report of the process to this leader.
+    /// True if this is the process's first report to this leader.
     pub is_first: bool,
-    /// The report.
+    /// Report of the application.
     pub report: &'a T::Report,
 }
 
-/// A lease, as it came to the process that had asked for it.
+/// Lease that the local process has received.
 #[derive(Debug)]
 pub struct ReceivedGrant<T: ApplicationTypes> {
-    /// The leader's ballot, no lower than any that the process has heard of.
+    /// Ballot of the leader, the highest known to the process.
     pub ballot: Ballot,
-    /// When the process asked, by its own clock.
+    /// Time of the request, by the local clock.
     pub requested_at: Micros,
-    /// When the lease ends, by its own clock.
+    /// End of the lease, by the local clock.
     pub expires_at: Micros,
-    /// The application's grant.
+    /// Grant of the application.
     pub grant: T::Grant,
 }
 
-/// Something that the proxies agree upon. The value itself is the part that every process has; the leader keeps
-/// [`Application::LeaderData`] beside it for as long as it leads.
+/// Subject of an agreement between the proxies. The implementing value is the part that every process has. The leader
+/// additionally keeps [`Application::LeaderData`] during its leadership.
 ///
-/// Each application has a lease and a roster of its own ([`crate::Machine`]), so that two of them share nothing that could
-/// fail together. All methods only decide: they have no I/O and no clock, and the same calls lead to the same state.
+/// Each application has its own lease and roster ([`crate::Machine`]), so that a failure of one does not affect the
+/// others. The methods use no I/O and no clock: the same calls lead to the same state.
 ///
-/// An application that grants each process something of its own (quotas) takes `()` as its state and
-/// [`crate::NoCommand`] as its commands:
+/// An application without a common state, which only grants something to each process (such as quotas), uses `()` as
+/// its state and [`crate::NoCommand`] as its command type:
 ///
 /// ```
 /// use flaxhead_lease::{
@@ -51,7 +51,7 @@
 /// };
 /// use std::collections::BTreeMap;
 ///
-/// /// A number of permits, divided evenly among the processes that want any.
+/// /// Divides permits evenly among the processes that want any.
 /// #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 /// struct EvenPermits {
 ///     permits: u32,
@@ -124,51 +124,53 @@
 /// }
 /// ```
 ///
-/// (It is an illustration: a permit that was withdrawn is granted to another process before it is known to be free.)
+/// This example is simplified: it grants a withdrawn permit to another process before the permit is known to be free.
 pub trait Application: ApplicationTypes {
-    /// What the leader keeps of the application; gone with its lease.
+    /// Data of the application at the leader, discarded at the end of the leadership.
     type LeaderData: Clone + std::fmt::Debug + Eq + std::hash::Hash;
 
-    // At every process.
+    // Hooks that are called at every process.
 
-    /// The report for the renewal that is sent now.
-    fn report(&mut self, now: Micros, member: &LocalReplica<Self>, facts: &Self::Facts) -> Self::Report;
+    /// Returns the report for the renewal that is sent now.
+    fn report(&mut self, now: Micros, replica: &LocalReplica<Self>, facts: &Self::Facts) -> Self::Report;
 
-    /// A state was applied, no older than the one before.
+    /// Called when a state was applied that is no older than the one before.
     fn state_changed(&mut self, now: Micros, state: &Self::State) {
         let _ = (now, state);
     }
 
-    /// A lease came, of a leader whose fence counts.
+    /// Called when a lease was received from the leader with the highest known ballot.
     fn lease_granted(&mut self, granted: &ReceivedGrant<Self>) {
         let _ = granted;
     }
 
-    /// A higher ballot was heard of: what was granted under a lower one is renewed by nobody.
+    /// Called when a higher ballot becomes known. Grants under lower ballots will not be renewed.
     fn higher_ballot_observed(&mut self, ballot: &Ballot) {
         let _ = ballot;
     }
 
-    /// While this process waits for its admission: every voter has said within the duration of a lease that it has lost
-    /// the state.
+    /// Called, while this process waits for its admission, when every voter has reported within one lease
+    /// duration that it has lost the state.
     fn state_lost(&mut self) {}
 
-    /// Whether the next report should not wait for the regular renewal. Asked after everything that happens. The protocol
-    /// bounds the rate to twelve times the regular one, with jitter; the application withdraws its wish in
-    /// [`Application::report`].
+    /// Returns whether the next report should be sent before the regular renewal. Called after each event.
+    /// The protocol limits early renewals to twelve times the regular rate, with jitter. The application
+    /// resets its request in [`Application::report`].
     fn wants_early_renewal(&self) -> bool {
         false
     }
 
-    // At the leader.
+    // Hooks that are called only at the leader.
 
-    /// This process becomes the leader. The state is the newest of those that a majority of voters and this process had;
-    /// where too many have lost theirs ([`LeaderContext::state_lost_since`]), merged with all that any of them had
-    /// ([`crate::ReplicatedState::merge`]). The processes are those of the last leader's roster, where that is
-    /// remembered. The state is replicated to all.
+    /// Called when this process becomes the leader, to create the application's data.
+    ///
+    /// The state is the newest that a majority of voters or this process had. If too many voters have lost
+    /// theirs ([`LeaderContext::state_lost_since`]), the states of all of them are merged into it
+    /// ([`crate::ReplicatedState::merge`]). The roster is that of the last leader, as far as it is known. The
+    /// state is then replicated to all processes.
     fn begin_leadership(&self, context: &mut LeaderContext<'_, Self>) -> Self::LeaderData;
 
-    /// A process that has applied this leader's state has reported.
+    /// Called for the report of a process that has applied a state of this leader.
     fn report_received(
         &self,
         data: &mut Self::LeaderData,
@@ -178,7 +180,7 @@
         let _ = (data, context, received);
     }
 
-    /// The grant that goes along with the lease of a process now. It may be lost on the way.
+    /// Returns the grant that is sent with the lease of a process. The message may be lost.
     fn grant(
         &self,
         data: &mut Self::LeaderData,
@@ -186,7 +188,7 @@
         process: &Process,
     ) -> Self::Grant;
 
-    /// A process has left the roster: it has ended, or another has replaced it.
+    /// Called when a process was removed from the roster, because it has ended or was replaced.
     fn process_left(
         &self,
         data: &mut Self::LeaderData,
@@ -196,16 +198,17 @@
         let _ = (data, context, process);
     }
 
-    /// Something happened, or it is time. Where the state has changed, [`LeaderContext::publish`] says so.
+    /// Called after each event and timer. [`LeaderContext::publish`] must be called if the state was changed.
     fn step(&self, data: &mut Self::LeaderData, context: &mut LeaderContext<'_, Self>) {
         let _ = (data, context);
     }
 
-    /// Executes an operator's command. The response goes out once the state, as it is when this returns, is committed.
+    /// Executes a command of an operator. The response is sent once the state at the end of this call is
+    /// committed.
     ///
     /// # Errors
     ///
-    /// The application's rejection, where the command changes nothing.
+    /// The application's rejection, if the command changes nothing.
     fn command(
         &self,
         data: &mut Self::LeaderData,
--- a/lease/src/ballot.rs
+++ b/lease/src/ballot.rs
@@ -1,18 +1,18 @@
-//! Ballots and versions: numbers that only grow, and that order any two leaders and any two states.
+//! Ballots and versions, which order leaders and the states that they write.
 
 use flaxhead_membership::Name;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// A leader's election number, which is also the fencing token of everything that it sends. No two leaders have the same
-/// one, and that of a later leader is greater.
+/// Election number of a leader, sent with all its messages as a fencing token. Ballots are unique, and a
+/// later leader has a greater one.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ballot {
-    /// The election round, counted over all proxies.
+    /// Election round, counted over all proxies.
     pub round: u64,
-    /// The candidate.
+    /// Name of the candidate.
     pub name: Name,
-    /// The candidate's incarnation: a process that restarts counts its rounds anew.
+    /// Incarnation of the candidate, because a restarted process may use a round again.
     pub incarnation: u64,
 }
 
@@ -22,17 +22,18 @@
     }
 }
 
-/// Which of two states, or of two rosters, is newer: by the leader that wrote it, then by that leader's count.
+/// Version of a state or a roster, ordered by the ballot of its writer, then by that leader's sequence
+/// number.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Version {
-    /// The ballot of the leader that wrote it; `None`: no leader did, as at a process that knows nothing yet.
+    /// Ballot of the leader that wrote it; `None`: no leader has written it, as in a new process.
     pub ballot: Option<Ballot>,
-    /// The leader's count of its own versions.
+    /// Sequence number, counted separately by each leader.
     pub seq: u64,
 }
 
 impl Version {
-    /// Whether it was written under this ballot.
+    /// Returns whether the version was written under `ballot`.
     pub(crate) fn is_of(&self, ballot: &Ballot) -> bool {
         self.ballot.as_ref() == Some(ballot)
     }
@@ -47,11 +48,11 @@
     }
 }
 
-/// A state together with its version.
+/// State with its version.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Versioned<S> {
-    /// Which of two states is newer.
+    /// Version of the state.
     pub version: Version,
-    /// The state.
+    /// State itself.
     pub state: S,
 }
--- a/lease/src/command_error.rs
+++ b/lease/src/command_error.rs
@@ -1,17 +1,17 @@
-//! Why a command failed before its application saw it.
+//! Errors of commands that did not reach their application.
 
 use serde::{Deserialize, Serialize};
 
-/// Why a command failed before its application saw it.
+/// Error of a command that did not reach its application.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, thiserror::Error)]
 pub enum CommandError {
-    /// No leader could be reached.
-    #[error("no leader is reachable from here: retry once a majority of the voters runs")]
+    /// No leader is reachable.
+    #[error("no leader is reachable from this process; retry once a majority of the voters is running")]
     NoLeader,
     /// The command was not committed in time; it may have been executed.
-    #[error("it was not confirmed in time; ask again")]
+    #[error("the command was not confirmed in time and may have been executed; retry it")]
     TimedOut,
-    /// So many commands are pending at this process already.
-    #[error("{0} commands are pending here already; retry once they are answered")]
+    /// This number of commands, the maximum, is pending at this process.
+    #[error("{0} commands are already pending at this process; retry after they have completed")]
     TooManyPending(usize),
 }
--- a/lease/src/config.rs
+++ b/lease/src/config.rs
@@ -1,29 +1,31 @@
-//! The time spans of the protocol.
+//! Time limits of the protocol.
 
 use flaxhead_membership::Micros;
 
-/// Bound on clock drift: two machines' clocks run apart by less than one part in this many.
-const MAX_DRIFT_PARTS: Micros = 64;
-/// Renewals within the duration of a lease, so that two lost ones in a row do not end it.
+/// Reciprocal of the maximum clock drift: two clocks diverge by less than 1/64 of the elapsed time.
+const MAX_DRIFT_DIVISOR: Micros = 64;
+/// Renewals per lease duration, so that two consecutive lost renewals do not end a lease.
 const RENEWALS_PER_LEASE: Micros = 4;
-/// Resends of an unconfirmed state within a renewal interval, so that a lost message costs a fraction of it.
+/// Number of times that an unconfirmed state is sent again in one renewal interval.
 const RESENDS_PER_RENEWAL: Micros = 6;
 
-/// Time spans of one process. They must be the same at all processes.
+/// Time limits in microseconds. All processes must use the same values.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Config {
-    /// Duration of a lease, of the leader's as well as of each process's own. It bounds the time without a leader after
-    /// one fails; a process may pause for half of it without losing its lease.
+    /// Duration of the leader's lease and of the lease of each process. It limits the time without a leader
+    /// after a failure. A process may pause for half of it without losing its lease.
     pub lease_duration: Micros,
-    /// The longest that a request may take: how long a process that is no longer heard may still have it in flight.
+    /// Maximum duration of a request: a process that is no longer heard may have requests in flight for this
+    /// long.
     pub max_call_duration: Micros,
-    /// After all voters have lost their state: how long the leader treats the state as incomplete, unless its application
-    /// declares it recovered.
+    /// Time for which a new leader considers the state incomplete after all voters have lost theirs, unless
+    /// its application declares the state recovered.
     pub state_loss_timeout: Micros,
-    /// How long a restarted process waits for admission while no process with the complete state replies; then it serves
-    /// autonomously.
+    /// Time for which a restarted process waits for a reply of a process with the complete state, before it
+    /// serves without admission.
     pub autonomy_timeout: Micros,
-    /// How long, from its start, a process waits for operators to declare the state once it is known to be lost.
+    /// Time, from its start, for which a process waits for operators to declare a lost state; 0: it does not
+    /// wait.
     pub operator_timeout: Micros,
 }
 
@@ -40,22 +42,22 @@
 }
 
 impl Config {
-    /// The longest that a span may take by another machine's clock.
+    /// Upper bound of `span`, measured by one clock, when another clock measures it.
     pub fn with_max_drift(span: Micros) -> Micros {
-        span + span / MAX_DRIFT_PARTS + 1
+        span + span / MAX_DRIFT_DIVISOR + 1
     }
 
-    /// How long a restarted voter is quarantined: longer than any lease that it may have granted.
+    /// Duration of the quarantine of a restarted voter, longer than any lease that it may have granted.
     pub(crate) fn quarantine(&self) -> Micros {
         Config::with_max_drift(Config::with_max_drift(self.lease_duration))
     }
 
-    /// How often leases are renewed.
+    /// Time between two regular renewals of a lease.
     pub(crate) fn renewal_interval(&self) -> Micros {
         (self.lease_duration / RENEWALS_PER_LEASE).max(1)
     }
 
-    /// After which time a state that was not confirmed is sent again.
+    /// Time after which an unconfirmed state is sent again.
     pub(crate) fn state_resend_interval(&self) -> Micros {
         (self.renewal_interval() / RESENDS_PER_RENEWAL).max(1)
     }
--- a/lease/src/facts.rs
+++ b/lease/src/facts.rs
@@ -1,45 +1,45 @@
-//! What a process knows from outside the protocol: its members from the membership, and the application's own input.
+//! Input of the protocol: the membership, and the data of the application.
 
 use flaxhead_membership::{Micros, Name};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Whether a member's process runs, according to the membership.
+/// State of a member's process, according to the membership.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Presence {
-    /// It runs.
+    /// Running.
     Alive,
-    /// It runs, but some member suspects it, or it finds itself cut off.
+    /// Running, but suspected by some member, or cut off by its own account.
     Suspected,
-    /// Nothing is heard of it: it may be dead, frozen or partitioned.
+    /// Not heard: it may be dead, frozen or partitioned.
     Unreachable,
-    /// Its machine reports that nothing listens at its address: the process has ended.
+    /// Ended: its machine refuses connections to its address.
     Exited,
-    /// It announced that it leaves; it still answers the requests that it has accepted.
+    /// Leaving by its own announcement; it still completes the requests that it has accepted.
     Left,
 }
 
-/// A member, according to the membership.
+/// Member, according to the membership.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct MemberStatus {
-    /// Which process with its name.
+    /// Incarnation, which differs between processes of the same name.
     pub incarnation: u64,
-    /// Where it listens.
+    /// Address on which the process listens.
     pub address: SocketAddr,
-    /// Whether it runs.
+    /// State of the process.
     pub presence: Presence,
-    /// When its presence last changed.
+    /// Time of the last change of the presence.
     pub since: Micros,
 }
 
-/// All that a process knows from outside the protocol. `F`: the application's own input.
+/// Input of the protocol. `F` is the input type of the application.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Facts<F> {
-    /// The other members, by name.
+    /// Other members by name.
     pub members: BTreeMap<Name, MemberStatus>,
-    /// Whether this process may take part in agreements, according to the membership: it is not cut off, displaced or
-    /// leaving.
+    /// True if this process may become the leader or renew its leadership: according to the membership it is
+    /// neither cut off, nor displaced, nor leaving.
     pub participates: bool,
-    /// What the application decides by.
+    /// Input of the application.
     pub application: F,
 }
--- a/lease/src/leader/candidacy.rs
+++ b/lease/src/leader/candidacy.rs
@@ -1,4 +1,4 @@
-//! An attempt to become the leader.
+//! Attempt of a voter to become the leader.
 
 use crate::ballot::{Ballot, Versioned};
 use crate::message::Promise;
@@ -9,16 +9,16 @@
 use flaxhead_membership::{Micros, Name};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// An attempt to become the leader.
+/// Attempt of a voter to become the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Candidacy<T: ApplicationTypes> {
     pub ballot: Ballot,
-    /// When it began: the lease counts from here.
+    /// Start of the candidacy, from which the lease is counted.
     pub started: Micros,
     pub promises: BTreeMap<Name, Promise<T>>,
-    /// The voters that have granted the lease.
+    /// Voters that have granted the lease.
     pub grants: BTreeSet<Name>,
-    /// A majority has promised, and the lease was proposed.
+    /// True once a majority has promised and the lease was proposed.
     pub is_proposed: bool,
 }
 
@@ -27,14 +27,15 @@
         Candidacy { ballot, started, promises: BTreeMap::new(), grants: BTreeSet::new(), is_proposed: false }
     }
 
-    /// Whether a majority of the voters that promised had recovered: together they know all that a majority knew.
+    /// Returns whether the promising voters include a majority that has recovered, which together knows
+    /// everything that a majority stored.
     pub(super) fn is_recovered(&self, voters: &Voters) -> bool {
         let has_recovered = |promise: &Promise<T>| promise.recovery == RecoveryState::Recovered;
         voters.has_majority(|name| self.promises.get(name).is_some_and(has_recovered))
     }
 
-    /// The newest of the states that came with the promises, and the candidate's `own`. Unless it `is_recovered`, all
-    /// that any of them holds is merged into it.
+    /// Returns the newest state of the promises and of the candidate (`own`). If not `is_recovered`, all the
+    /// other states are merged into it.
     pub(super) fn newest_state(&self, own: &Versioned<T::State>, is_recovered: bool) -> Versioned<T::State> {
         let states = || self.promises.values().map(|promise| &promise.state).chain([own]);
         let newest = states().max_by(|a, b| a.version.cmp(&b.version));
@@ -47,8 +48,8 @@
         newest
     }
 
-    /// The newest of the rosters that came with the promises. What a majority has of the last leader's roster is all of
-    /// it; older ones are of no use.
+    /// Returns the newest roster of the promises. A roster that a majority stores is complete, so older ones
+    /// are not needed.
     pub(super) fn newest_roster(&self) -> Roster {
         Roster::newest(self.promises.values().map(|promise| &promise.roster))
     }
--- a/lease/src/leader/command.rs
+++ b/lease/src/leader/command.rs
@@ -1,24 +1,24 @@
-//! A command that was executed, before and after its effect is committed.
+//! Executed commands, before and after their effect is committed.
 
 use crate::types::ApplicationTypes;
 use flaxhead_membership::Name;
 
-/// An executed command whose effect is not committed yet.
+/// Executed command whose effect is not committed yet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct UncommittedCommand<T: ApplicationTypes> {
     pub(super) from: Name,
     pub(super) id: u64,
-    /// The count of the state with its effect.
+    /// Sequence number of the first state that contains the effect.
     pub(super) state_seq: u64,
     pub(super) response: T::Response,
 }
 
-/// The response to a command whose effect is committed.
+/// Response to a command whose effect is committed.
 pub(crate) struct CommittedResponse<T: ApplicationTypes> {
-    /// The process at which the command was submitted.
+    /// Process to which the command was submitted.
     pub to: Name,
-    /// The command's number there.
+    /// Command id at that process.
     pub id: u64,
-    /// The response.
+    /// Response of the application.
     pub response: T::Response,
 }
--- a/lease/src/leader/commit.rs
+++ b/lease/src/leader/commit.rs
@@ -1,4 +1,4 @@
-//! Commands that were executed and wait until their effect is committed.
+//! Commitment of the state, and of the commands that changed it.
 
 use super::command::{CommittedResponse, UncommittedCommand};
 use super::peer::PeerState;
@@ -9,7 +9,7 @@
 use flaxhead_membership::{Micros, Name};
 
 impl<T: ApplicationTypes> LeaderState<T> {
-    /// Whether a majority of voters has applied the state of this count.
+    /// Returns whether a majority of voters has applied the state with this sequence number.
     pub(super) fn is_committed(&self, now: Micros, config: &Config, voters: &Voters, seq: u64) -> bool {
         let has_it =
             |peer: &PeerState<T>| peer.heard_recently(now, config) && peer.has_applied(&self.ballot, seq);
@@ -18,13 +18,13 @@
         })
     }
 
-    /// Holds the response to an executed command back until the state as it is now is committed.
+    /// Holds back the response to an executed command until the current state is committed.
     pub(crate) fn defer_response(&mut self, from: Name, id: u64, response: T::Response) {
         let state_seq = self.state.version.seq;
         self.uncommitted.push(UncommittedCommand { from, id, state_seq, response });
     }
 
-    /// The responses to commands that have been committed by now.
+    /// Takes the responses to all commands that are committed.
     pub(crate) fn take_committed(
         &mut self,
         now: Micros,
--- a/lease/src/leader/context.rs
+++ b/lease/src/leader/context.rs
@@ -1,4 +1,4 @@
-//! What an application sees of the leader, and may do there.
+//! Interface through which an application reads and changes the leader.
 
 use super::peer::PeerState;
 use super::state::LeaderState;
@@ -10,82 +10,83 @@
 use crate::voters::Voters;
 use flaxhead_membership::Micros;
 
-/// The leader, as its application finds it with everything that happens there.
+/// Access of an application to the leader that it runs on.
 pub struct LeaderContext<'a, T: ApplicationTypes> {
     pub(crate) leader: &'a mut LeaderState<T>,
     pub(crate) voters: &'a Voters,
-    /// The time.
+    /// Current time in microseconds.
     pub now: Micros,
-    /// The time spans of the protocol.
+    /// Time limits of the protocol.
     pub config: &'a Config,
-    /// What is known from outside the protocol.
+    /// Membership and the input of the application.
     pub facts: &'a Facts<T::Facts>,
-    /// The leader's process.
+    /// Process that is the leader.
     pub me: &'a Process,
 }
 
 impl<T: ApplicationTypes> LeaderContext<'_, T> {
-    /// The leader's ballot.
+    /// Ballot of the leader.
     pub fn ballot(&self) -> &Ballot {
         &self.leader.ballot
     }
 
-    /// The replicated state, its spans as they are now.
+    /// Replicated state, with its durations advanced to the current time.
     pub fn state(&self) -> &T::State {
         &self.leader.state.state
     }
 
-    /// The replicated state, to be changed. A change is replicated once [`LeaderContext::publish`] is called.
+    /// Replicated state for modification. [`LeaderContext::publish`] must be called after a change.
     pub fn state_mut(&mut self) -> &mut T::State {
         &mut self.leader.state.state
     }
 
-    /// This leader's count of its state's versions.
+    /// Sequence number of the current state.
     pub fn state_seq(&self) -> u64 {
         self.leader.state.version.seq
     }
 
-    /// Replicates the state, which has changed, under a new version.
+    /// Assigns a new version to the changed state and replicates it.
     pub fn publish(&mut self) {
         self.leader.publish();
     }
 
-    /// All processes that may hold a lease, and what is known of each.
+    /// Processes that may hold a lease, with the leader's records of them.
     pub fn processes(&self) -> impl Iterator<Item = (&Process, &PeerState<T>)> {
         self.leader.processes()
     }
 
-    /// What is known of a process; `None`: it is not on the roster.
+    /// Records of a process; `None`: it is not on the roster.
     pub fn peer(&self, process: &Process) -> Option<&PeerState<T>> {
         self.leader.peers.get(process)
     }
 
-    /// Whether a process reported to this leader within the duration of a lease.
+    /// Returns whether a process reported to this leader within the last lease duration.
     pub fn heard_recently(&self, peer: &PeerState<T>) -> bool {
         peer.heard_recently(self.now, self.config)
     }
 
-    /// Whether a process has applied this leader's state of this count, or a later one.
+    /// Returns whether a process has applied this leader's state of the sequence number `seq` or later.
     pub fn has_applied(&self, peer: &PeerState<T>, seq: u64) -> bool {
         peer.has_applied(&self.leader.ballot, seq)
     }
 
-    /// Whether a majority of voters has applied the state of this count: whoever leads next knows it.
+    /// Returns whether a majority of voters has applied the state of the sequence number `seq`, so that any
+    /// later leader knows it.
     pub fn is_committed(&self, seq: u64) -> bool {
         self.leader.is_committed(self.now, self.config, self.voters, seq)
     }
 
-    /// Since when it is not known for certain who takes part and what the state is; `None`: it is known.
+    /// Time since which the roster and the state may be incomplete; `None`: both are complete.
     pub fn state_lost_since(&self) -> Option<Micros> {
         self.leader.state_lost_since
     }
 
-    /// Declares that the state is complete. Returns whether it was not known to be before.
+    /// Declares the state complete. Returns whether it was considered incomplete before.
     pub fn declare_recovered(&mut self) -> bool {
         self.leader.state_lost_since.take().is_some()
     }
 
-    /// Removes a process that does not run any more from the roster. The application is told as of any other that leaves.
+    /// Removes an ended process from the roster. [`crate::Application::process_left`] is called for it.
     pub fn remove_process(&mut self, process: &Process) {
         self.leader.remove_process(process);
     }
--- a/lease/src/leader/lease.rs
+++ b/lease/src/leader/lease.rs
@@ -1,4 +1,4 @@
-//! The leader's lease, and what the voters store for it.
+//! Lease of the leader, and records of what the voters store.
 
 use super::state::LeaderState;
 use super::voter_record::VoterRecord;
@@ -9,23 +9,24 @@
 use flaxhead_membership::{Micros, Name};
 use std::collections::BTreeSet;
 
-/// Renewal intervals after which a voter that accepts nothing is asked for its promise anew.
+/// Number of renewal intervals without an acceptance after which a voter is asked for a new promise.
 const VOTER_SILENCE_INTERVALS: Micros = 2;
 
 impl<T: ApplicationTypes> LeaderState<T> {
-    /// Whether its lease runs.
+    /// Returns whether the leader's lease is valid.
     pub(crate) fn is_leading(&self, now: Micros) -> bool {
-        now < self.lease_until
+        now < self.lease_expiry
     }
 
-    /// Begins another round of renewal.
+    /// Begins a renewal round.
     pub(crate) fn begin_round(&mut self, now: Micros) {
         self.round += 1;
         self.round_started = now;
         self.acceptances = BTreeSet::new();
     }
 
-    /// A voter has accepted a proposal.
+    /// Records the acceptance of a proposal. Extends the lease once a majority has accepted the current
+    /// round.
     pub(crate) fn record_acceptance(
         &mut self,
         now: Micros,
@@ -44,23 +45,24 @@
         }
         self.acceptances.insert(from.clone());
         if voters.has_majority(|name| self.acceptances.contains(name)) {
-            self.lease_until = self.lease_until.max(self.round_started + config.lease_duration);
+            self.lease_expiry = self.lease_expiry.max(self.round_started + config.lease_duration);
         }
     }
 
-    /// A voter that was not among those of the candidacy has promised as well.
+    /// Records the promise of a voter that came after the election.
     pub(crate) fn record_promise(&mut self, from: &Name, promise: &Promise<T>) {
         self.voter_incarnations.insert(from.clone(), promise.incarnation);
     }
 
-    /// Whether a voter has accepted anything recently.
+    /// Returns whether a voter has accepted a proposal within the last renewal intervals.
     pub(crate) fn voter_accepted_recently(&self, now: Micros, config: &Config, voter: &Name) -> bool {
         let most = VOTER_SILENCE_INTERVALS * config.renewal_interval();
         self.voter_records.get(voter).is_some_and(|record| now.saturating_sub(record.accepted_at) <= most)
     }
 
-    /// Whether a majority of voters stores the roster of this count. Only fresh acceptances count: a voter that was killed
-    /// and forgot must not be among them, and such a one is quarantined for longer than a lease.
+    /// Returns whether a majority of voters stores the roster of this sequence number. Only acceptances
+    /// within the last lease duration count, because a voter may have restarted and lost the roster; its
+    /// quarantine, during which it accepts nothing, is longer than a lease.
     pub(super) fn is_roster_committed(
         &self,
         now: Micros,
--- a/lease/src/leader/mod.rs
+++ b/lease/src/leader/mod.rs
@@ -1,4 +1,5 @@
-//! What a leader keeps, whatever its application: its lease, the roster, and what each process has applied and reported.
+//! Records of a leader that do not depend on its application: its lease, the roster, and the version and
+//! report of each process.
 
 mod candidacy;
 mod command;
@@ -14,7 +15,7 @@
 pub(crate) use candidacy::Candidacy;
 pub(crate) use command::CommittedResponse;
 pub use context::LeaderContext;
-pub(crate) use dissemination::Audience;
+pub(crate) use dissemination::ReceiverSet;
 pub use peer::PeerState;
 pub use state::LeaderState;
 pub(crate) use state::{OwnState, INITIAL_ROUND};
--- a/lease/src/leader/peer.rs
+++ b/lease/src/leader/peer.rs
@@ -1,23 +1,23 @@
-//! What the leader knows of one process.
+//! Records of the leader about one process.
 
 use crate::ballot::{Ballot, Version};
 use crate::config::Config;
 use crate::types::ApplicationTypes;
 use flaxhead_membership::Micros;
 
-/// What the leader knows of a process that may hold a lease.
+/// Records of the leader about a process that may hold a lease.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct PeerState<T: ApplicationTypes> {
     pub(super) version: Version,
     pub(super) last_report_at: Option<Micros>,
-    /// Since when this leader expects it to report.
+    /// Time from which the leader expects reports of the process.
     pub(super) expected_since: Micros,
     pub(super) lease_expiry: Micros,
     pub(super) report: Option<T::Report>,
-    /// When the state was last sent to it.
+    /// Time at which the state was last sent to the process.
     pub(super) state_sent_at: Micros,
-    /// The version of the roster that it is recorded in: once a majority of voters stores that, whoever leads next knows
-    /// of it.
+    /// Sequence number of the first roster that contains the process. Once a majority of voters stores that
+    /// roster, any later leader knows the process.
     pub(super) recorded_in: u64,
 }
 
@@ -27,7 +27,7 @@
             version: Version::default(),
             last_report_at: None,
             expected_since: now,
-            // What another leader granted it may last as long as any lease.
+            // A lease that an earlier leader granted may be valid for this long.
             lease_expiry: now + Config::with_max_drift(config.lease_duration),
             report: None,
             state_sent_at: now,
@@ -35,32 +35,33 @@
         }
     }
 
-    /// Its last report to this leader; `None`: it has not reported yet.
+    /// Last report to this leader; `None`: none was received.
     pub fn report(&self) -> Option<&T::Report> {
         self.report.as_ref()
     }
 
-    /// When its last report came; `None`: it has not reported to this leader yet.
+    /// Time of the last report to this leader; `None`: none was received.
     pub fn last_report_at(&self) -> Option<Micros> {
         self.last_report_at
     }
 
-    /// The version of the state that it has confirmed to this leader.
+    /// Version of the state that the process has confirmed to this leader.
     pub fn version(&self) -> &Version {
         &self.version
     }
 
-    /// When its lease ends, whoever granted that, by the leader's clock and with all drift.
+    /// End of the lease of the process, whichever leader granted it, by the leader's clock and including the
+    /// maximum drift.
     pub fn lease_expiry(&self) -> Micros {
         self.lease_expiry
     }
 
-    /// Whether it has applied the leader's state of this count, or a later one.
+    /// Returns whether the process has applied the leader's state of the sequence number `seq` or later.
     pub(super) fn has_applied(&self, leader: &Ballot, seq: u64) -> bool {
         self.version.is_of(leader) && self.version.seq >= seq
     }
 
-    /// Whether it reported within the duration of a lease.
+    /// Returns whether the process reported within the last lease duration.
     pub(super) fn heard_recently(&self, now: Micros, config: &Config) -> bool {
         self.last_report_at.is_some_and(|at| now.saturating_sub(at) <= config.lease_duration)
     }
--- a/lease/src/leader/roster.rs
+++ b/lease/src/leader/roster.rs
@@ -1,4 +1,4 @@
-//! How processes come onto the roster, get a lease, and leave the roster.
+//! Enrollment of processes, leases of processes, and removal of ended processes.
 
 use super::peer::PeerState;
 use super::state::{LeaderState, INITIAL_ROSTER_SEQ};
@@ -10,23 +10,23 @@
 use crate::voters::Voters;
 use flaxhead_membership::Micros;
 
-/// What a renewal led to.
+/// Result of a renewal request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RenewalOutcome {
-    /// The process has applied a state of this leader, so its report counts.
+    /// True if the process has applied a state of this leader, so that its report is valid.
     pub report_counts: bool,
-    /// It is the first report of the process that counts.
+    /// True if this is the first valid report of the process.
     pub is_first_report: bool,
-    /// The process gets a lease.
+    /// True if the process gets a lease.
     pub is_granted: bool,
-    /// The process needs the state.
+    /// True if the process needs the current state.
     pub is_behind: bool,
-    /// The process was not on the roster before.
+    /// True if the process was added to the roster.
     pub is_enrolled: bool,
 }
 
 impl<T: ApplicationTypes> LeaderState<T> {
-    /// A process that has applied the state of this version asks for a lease, and reports.
+    /// Handles the renewal request of a process that has applied the state of `version`.
     pub(crate) fn renew(
         &mut self,
         now: Micros,
@@ -49,7 +49,8 @@
                 peer.last_report_at = Some(now);
                 peer.report = Some(report);
             }
-            // A lease goes only to a process that has applied the current state: that is what it is granted for.
+            // A lease requires that the process has applied the current state, because the leader relies on
+            // that as long as the lease is valid.
             let recorded_in = peer.recorded_in;
             is_granted =
                 is_current && is_leading && self.is_roster_committed(now, config, voters, recorded_in);
@@ -60,7 +61,7 @@
         RenewalOutcome { report_counts, is_first_report, is_granted, is_behind: !is_current, is_enrolled }
     }
 
-    /// Puts a process on the roster. Returns whether it was not there before.
+    /// Adds a process to the roster. Returns whether it is new there.
     fn enroll(&mut self, now: Micros, config: &Config, process: &Process) -> bool {
         let is_new = self.roster.processes.insert(process.clone());
         if is_new {
@@ -79,7 +80,7 @@
         self.departed.push(process.clone());
     }
 
-    /// Removes the processes that have ended, so that nobody waits for them any longer.
+    /// Removes ended processes, so that the application no longer waits for them.
     pub(crate) fn remove_ended<F>(&mut self, now: Micros, config: &Config, facts: &Facts<F>, me: &Process) {
         let has_ended = |process: &&Process| {
             let member = facts.members.get(&process.name);
@@ -88,7 +89,8 @@
         };
         let ended: Vec<Process> = self.peers.keys().filter(has_ended).cloned().collect();
         ended.iter().for_each(|process| self.remove_process(process));
-        // An earlier process of this one's own name ended before this one could listen.
+        // An earlier process of the leader's own name and address must have ended before the leader could
+        // listen there.
         let is_predecessor = |process: &&Process| {
             process.name == me.name && process.address == me.address && process.incarnation != me.incarnation
         };
@@ -96,18 +98,18 @@
         predecessors.iter().for_each(|process| self.remove_process(process));
     }
 
-    /// Whether a process has ended, according to what the membership says of the member with its name.
+    /// Returns whether a process has ended, judged by the membership's record `member` of its name.
     fn has_ended(&self, now: Micros, config: &Config, process: &Process, member: &MemberStatus) -> bool {
         if member.incarnation != process.incarnation {
-            // Two processes cannot listen at one address. Which of them is the later the membership may not have heard
-            // yet; but the one that ended before the other began answers nothing.
+            // Two processes cannot listen at the same address. The membership may not know yet which
+            // incarnation is the later one, but the ended process no longer reports.
             return member.address == process.address
                 && member.presence == Presence::Alive
-                && self.is_unheard(now, config, process);
+                && self.is_report_overdue(now, config, process);
         }
         match member.presence {
             Presence::Exited => true,
-            // It answers the requests that it has accepted, and then it is gone.
+            // A leaving process ends after it has completed its accepted requests.
             Presence::Left => {
                 now.saturating_sub(member.since) >= Config::with_max_drift(config.max_call_duration)
             }
@@ -115,18 +117,18 @@
         }
     }
 
-    /// Whether a process has not reported for longer than the duration of a lease.
-    fn is_unheard(&self, now: Micros, config: &Config, process: &Process) -> bool {
+    /// Returns whether a process has not reported for longer than a lease duration.
+    fn is_report_overdue(&self, now: Micros, config: &Config, process: &Process) -> bool {
         self.peers.get(process).is_some_and(|peer| {
             let since = peer.last_report_at.unwrap_or(peer.expected_since);
             now.saturating_sub(since) > config.lease_duration
         })
     }
 
-    /// Whether a process that took part before this leader began has been replaced by another at its address. One that has
-    /// applied this leader's state has reported since this leader began, and two cannot listen at one address: so the
-    /// earlier one had ended by then, however little was heard of that. Where all processes were killed and the roster is
-    /// on their disks, this keeps the leader from waiting for them in vain.
+    /// Returns whether a process of an earlier leader's roster was replaced by a process with the same name
+    /// and address. If the replacement has reported to this leader and the other has not, the other has
+    /// ended, even if the membership does not say so. After all processes were killed and restarted, this
+    /// keeps the leader from waiting for them.
     fn has_successor(&self, process: &Process) -> bool {
         let took_part_before =
             |peer: &PeerState<T>| peer.recorded_in == INITIAL_ROSTER_SEQ && peer.last_report_at.is_none();
--- a/lease/src/leader/state.rs
+++ b/lease/src/leader/state.rs
@@ -1,4 +1,4 @@
-//! The records of a leader.
+//! State of a leader.
 
 use super::candidacy::Candidacy;
 use super::command::UncommittedCommand;
@@ -13,51 +13,51 @@
 use flaxhead_membership::{Micros, Name};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The count of the roster that a leader begins with: all processes that took part before.
+/// Sequence number of the first roster of a leader, which contains the processes known from earlier leaders.
 pub(super) const INITIAL_ROSTER_SEQ: u64 = 1;
-/// The count of the state that a leader begins with.
+/// Sequence number of the first state of a leader.
 const INITIAL_STATE_SEQ: u64 = 1;
-/// The renewal round that a candidacy counts as.
+/// Renewal round number of the election itself.
 pub(crate) const INITIAL_ROUND: u64 = 1;
 
-/// The lease and the records of a leader.
+/// Lease and records of a leader.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaderState<T: ApplicationTypes> {
     pub(crate) ballot: Ballot,
-    /// When its lease ends, by its own clock.
-    pub(super) lease_until: Micros,
-    /// The current renewal round, when that began, and the voters that have accepted it.
+    /// End of the lease, by the leader's clock.
+    pub(super) lease_expiry: Micros,
+    /// Current renewal round, followed by its start and the voters that have accepted it.
     pub(crate) round: u64,
     pub(crate) round_started: Micros,
     pub(super) acceptances: BTreeSet<Name>,
-    /// The incarnations of the voters that have promised.
+    /// Incarnations of the voters that have promised.
     pub(crate) voter_incarnations: BTreeMap<Name, u64>,
     pub(super) voter_records: BTreeMap<Name, VoterRecord>,
     pub(crate) state: Versioned<T::State>,
-    /// The time at which the spans in the state are exact.
+    /// Time to which the durations in the state refer.
     state_as_of: Micros,
     pub(crate) roster: Roster,
     pub(super) peers: BTreeMap<Process, PeerState<T>>,
-    /// Since when it is not known for certain who takes part and what the state is.
+    /// Time since which the roster and the state may be incomplete; `None`: both are complete.
     pub(crate) state_lost_since: Option<Micros>,
-    /// The state includes that of a process that was admitted all along.
-    has_survivor_state: bool,
+    /// True if the state includes that of a process which remained admitted throughout the loss.
+    has_complete_state: bool,
     pub(super) uncommitted: Vec<UncommittedCommand<T>>,
     pub(super) events: Vec<T::Event>,
-    /// Processes that have left the roster, which the application has not been told of yet.
+    /// Processes that were removed from the roster and not yet reported to the application.
     pub(super) departed: Vec<Process>,
 }
 
-/// The state of the process that becomes the leader.
+/// State of the process that becomes the leader.
 pub(crate) struct OwnState<T: ApplicationTypes> {
-    /// The state that it has applied.
+    /// State that it has applied.
     pub state: Versioned<T::State>,
-    /// Whether it is complete.
+    /// True if that state is complete.
     pub is_complete: bool,
 }
 
 impl<T: ApplicationTypes> LeaderState<T> {
-    /// The leader of a candidacy that a majority of voters has granted the lease.
+    /// Creates the leader from a candidacy that was granted the lease by a majority of voters.
     pub(crate) fn new(
         now: Micros,
         config: &Config,
@@ -76,7 +76,7 @@
         let incarnation = |(name, promise): (&Name, &Promise<T>)| (name.clone(), promise.incarnation);
         let peer = |process: &Process| (process.clone(), PeerState::new(now, config, INITIAL_ROSTER_SEQ));
         LeaderState {
-            lease_until: started + config.lease_duration,
+            lease_expiry: started + config.lease_duration,
             round: INITIAL_ROUND,
             round_started: started,
             acceptances: grants,
@@ -87,7 +87,7 @@
             peers: roster.processes.iter().map(peer).collect(),
             roster,
             state_lost_since: (!is_recovered).then_some(now),
-            has_survivor_state: own.is_complete,
+            has_complete_state: own.is_complete,
             uncommitted: Vec::new(),
             events: Vec::new(),
             departed: Vec::new(),
@@ -95,51 +95,51 @@
         }
     }
 
-    /// Its ballot.
+    /// Ballot of the leader.
     pub fn ballot(&self) -> &Ballot {
         &self.ballot
     }
 
-    /// The state that it replicates.
+    /// State that the leader replicates.
     pub fn state(&self) -> &Versioned<T::State> {
         &self.state
     }
 
-    /// All processes that may hold a lease, and what is known of each.
+    /// Processes that may hold a lease, with the leader's records of them.
     pub fn processes(&self) -> impl Iterator<Item = (&Process, &PeerState<T>)> {
         self.peers.iter()
     }
 
-    /// Whether it knows the complete state.
+    /// Returns whether the complete state is known.
     pub(crate) fn is_recovered(&self) -> bool {
-        self.state_lost_since.is_none() || self.has_survivor_state
+        self.state_lost_since.is_none() || self.has_complete_state
     }
 
-    /// Merges another process's state, while its own may be incomplete.
+    /// Merges the state of another process, while the leader's own may be incomplete.
     pub(crate) fn merge(&mut self, other: &T::State, is_complete: bool) {
-        self.has_survivor_state |= is_complete;
+        self.has_complete_state |= is_complete;
         if self.state.state.merge(other) {
             self.publish();
         }
     }
 
-    /// Counts the state, which has changed, as a new version.
+    /// Assigns a new version to the changed state.
     pub(super) fn publish(&mut self) {
         self.state.version.seq += 1;
     }
 
-    /// Advances the spans in the state to the present.
+    /// Advances the durations in the state to `now`.
     pub(crate) fn advance(&mut self, now: Micros) {
         self.state.state.advance(now.saturating_sub(self.state_as_of));
         self.state_as_of = now;
     }
 
-    /// The events since this was last called.
+    /// Takes the events since the last call.
     pub(crate) fn take_events(&mut self) -> Vec<T::Event> {
         std::mem::take(&mut self.events)
     }
 
-    /// The processes that have left the roster since this was last called.
+    /// Takes the processes that were removed from the roster since the last call.
     pub(crate) fn take_departed(&mut self) -> Vec<Process> {
         std::mem::take(&mut self.departed)
     }
--- a/lease/src/leader/voter_record.rs
+++ b/lease/src/leader/voter_record.rs
@@ -1,11 +1,11 @@
-//! What the leader knows of a voter.
+//! Records of the leader about one voter.
 
 use flaxhead_membership::Micros;
 
-/// What a voter stores, by its last acceptance.
+/// Contents of a voter's last acceptance.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct VoterRecord {
     pub(super) accepted_at: Micros,
-    /// The count of this leader's roster that it stores; 0: none of it.
+    /// Sequence number of this leader's roster that the voter stores; 0: none.
     pub(super) roster_seq: u64,
 }
--- a/lease/src/lib.rs
+++ b/lease/src/lib.rs
@@ -1,20 +1,21 @@
-//! Leader leases among the client proxies: a state machine without I/O or clock.
+//! Leader leases among the client proxies: a state machine without I/O and without a clock.
 //!
-//! The package elects a leader, keeps the roster of admitted processes, and replicates the state of an [`Application`]
-//! that it knows nothing of. Each application runs in a [`Machine`] of its own, with its own lease and roster.
+//! The package elects a leader, keeps a roster of admitted processes, and replicates the state of an
+//! [`Application`]. Each application has a [`Machine`] of its own, with a separate lease and roster.
 //!
-//! Three things are agreed upon, each by the weakest means that is sufficient:
+//! The processes agree on three things:
 //!
-//! - *The leader*: one proxy at a time, under a [`Ballot`] that only grows, for a lease that a majority of the configured
-//!   voters grants. Source: PaxosLease (Trencseni, Gazso, Reinhardt, arXiv 1209.4187). It needs no disk and no agreement
-//!   of clocks, only a bound on their drift: a voter that restarts stays silent (is quarantined) for longer than any lease
-//!   that it may have granted.
-//! - *The participants*: the [`Roster`], stored by a majority of voters. A process is on the roster before it gets a lease
-//!   of its own.
-//! - *The state*: the application's replicated state, which **every** process on the roster receives and confirms. A new
-//!   leader therefore needs no log: any process that was admitted all along has the whole state.
+//! - *Leader*: at most one proxy leads at a time, under a [`Ballot`] that only increases, for the duration of
+//!   a lease that a majority of the configured voters grants (PaxosLease; Trencseni, Gazso, Reinhardt, arXiv
+//!   1209.4187). Leases need no disk and no synchronized clocks, only a bound on clock drift: a restarted
+//!   voter is quarantined for longer than any lease that it may have granted.
+//! - *Participants*: the [`Roster`] is stored by a majority of voters. A process is on the roster before it
+//!   gets a lease of its own.
+//! - *State*: **every** process on the roster receives and confirms the replicated state. A new leader
+//!   therefore needs no log, because any process that remained admitted has the complete state.
 //!
-//! What a proxy guarantees while it is alone, in a minority, paused or restarted stands in `docs/design/lease.md`.
+//! The guarantees for a proxy that is isolated, in a minority, paused or restarted are described in
+//! `docs/design/lease.md`.
 
 mod admission;
 mod application;
--- a/lease/src/machine/admission.rs
+++ b/lease/src/machine/admission.rs
@@ -1,14 +1,15 @@
-//! What a process that started does until it is admitted, and what others tell it.
+//! Messages of a process that waits for admission, and the replies of other processes.
 
 use super::state::{Context, Effect, Machine};
-use crate::admission::{AdmissionReason, AdmissionWait, OwnVoter, Query, RecoveryStatus, MAX_INFORMED_PEERS};
+use crate::admission::{AdmissionReason, AdmissionWait, OwnVoter, Query, RecoveryStatus, MAX_NAMED_PEERS};
 use crate::application::Application;
 use crate::message::{Message, RecoveryQuery, RecoveryReply};
 use flaxhead_membership::{Micros, Name};
 
 impl<A: Application> Machine<A> {
-    /// Many processes may start at once: their first queries are spread over the interval between two of them. Voters that
-    /// recovered from their disks query nobody, and would all become candidates at the end of their quarantine.
+    /// Delays the first query at random, because many processes may start at once. Also delays the candidacy
+    /// of a voter that recovered from disk: such voters send no queries and would all become candidates at
+    /// the end of the quarantine.
     pub(super) fn spread_first_actions(&mut self, context: &mut Context<'_, A::Facts>) {
         if std::mem::replace(&mut self.has_started, true) {
             return;
@@ -18,20 +19,21 @@
         }
         let interval = AdmissionWait::query_interval(&self.config);
         let jitter = self.jitter(context) * interval / self.config.renewal_interval();
-        self.member.wait.next_query_at = context.now + jitter;
+        self.replica.admission_wait.next_query_at = context.now + jitter;
     }
 
-    /// Asks other processes what they know, if that is due, until this one is admitted.
+    /// Sends the queries of the next round, if they are due, until the process is admitted.
     pub(super) fn query_peers(&mut self, context: &mut Context<'_, A::Facts>, effects: &mut Vec<Effect<A>>) {
         let now = context.now;
-        if self.member.is_admitted || now < self.member.wait.next_query_at {
+        if self.replica.is_admitted || now < self.replica.admission_wait.next_query_at {
             return;
         }
         let interval = AdmissionWait::query_interval(&self.config);
         let jitter = self.jitter(context) / 4 * interval / self.config.renewal_interval();
-        self.member.wait.next_query_at = now + interval - interval / 8 + jitter;
+        self.replica.admission_wait.next_query_at = now + interval - interval / 8 + jitter;
         let incarnation = self.me.incarnation;
-        let queries = self.member.wait.next_queries(now, &self.config, &self.voters, &self.me.name);
+        let queries =
+            self.replica.admission_wait.next_queries(now, &self.config, &self.voters, &self.me.name);
         for Query { to, wants_state } in queries {
             let query = RecoveryQuery { incarnation, sent_at: now, wants_state };
             self.send(&to, Message::RecoveryQuery(query), effects);
@@ -39,7 +41,7 @@
         self.evaluate_admission(now);
     }
 
-    /// Another process, which waits for admission, asks what this one knows.
+    /// Replies to a query of a process that waits for admission.
     pub(super) fn handle_recovery_query(
         &mut self,
         now: Micros,
@@ -49,22 +51,23 @@
     ) {
         let RecoveryQuery { incarnation, sent_at, wants_state } = query;
         let is_fresh = |(_, at): &(&Name, &Micros)| now.saturating_sub(**at) <= self.config.lease_duration;
-        let informed = self.peers_with_complete_state.iter().filter(is_fresh).map(|(name, _)| name.clone());
+        let recent_peers =
+            self.peers_with_complete_state.iter().filter(is_fresh).map(|(name, _)| name.clone());
         let status = RecoveryStatus {
             voter: self.voter.as_ref().map(|voter| voter.recovery),
-            has_complete_state: self.member.has_complete_state,
-            has_lease: self.member.lease_expiry > now,
+            has_complete_state: self.replica.has_complete_state,
+            has_lease: self.replica.lease_expiry > now,
             leader: self.current_leader(now),
-            peers_with_complete_state: informed.take(MAX_INFORMED_PEERS).collect(),
+            peers_with_complete_state: recent_peers.take(MAX_NAMED_PEERS).collect(),
         };
-        let sends_state = wants_state && self.member.has_complete_state;
-        let state = sends_state.then(|| self.member.current_state(now));
+        let sends_state = wants_state && self.replica.has_complete_state;
+        let state = sends_state.then(|| self.replica.current_state(now));
         let reply = RecoveryReply { incarnation, requested_at: sent_at, status, state };
         self.send(from, Message::RecoveryReply(Box::new(reply)), effects);
     }
 
-    /// Another process replies to a query. A reply to an earlier process of this name, or from a time that is not yet, or
-    /// after the admission changes nothing.
+    /// Handles the reply to a query. Replies to an earlier process of the same name, replies dated in the
+    /// future, and replies after the admission are ignored.
     pub(super) fn handle_recovery_reply(
         &mut self,
         context: &mut Context<'_, A::Facts>,
@@ -73,52 +76,51 @@
     ) {
         let now = context.now;
         let RecoveryReply { incarnation, requested_at, status, state } = reply;
-        if incarnation != self.me.incarnation || requested_at > now || self.member.is_admitted {
+        if incarnation != self.me.incarnation || requested_at > now || self.replica.is_admitted {
             return;
         }
         let leader = status.leader.clone();
         let leader = leader.filter(|name| self.voters.contains(name) && *name != self.me.name);
         if let Some(name) = leader.filter(|_| self.current_leader(now).is_none()) {
-            self.note_leader(now, name);
+            self.record_leader(now, name);
             self.schedule_first_renewal(context);
         }
-        self.member.wait.record_reply(from, requested_at, status, state.is_some());
+        self.replica.admission_wait.record_reply(from, requested_at, status, state.is_some());
         if let Some(state) = state {
-            if let Some(fence) = state.version.ballot.clone() {
-                self.accept_fence(&fence);
+            if let Some(ballot) = state.version.ballot.clone() {
+                self.accept_ballot(&ballot);
             }
-            self.member.merge(now, state);
-            self.application.state_changed(now, &self.member.state.state);
+            self.replica.merge(now, state);
+            self.application.state_changed(now, &self.replica.state.state);
         }
         self.evaluate_admission(now);
     }
 
-    /// Many processes hear of a new leader at once, so they ask it for admission at random moments. Those that serve
-    /// already have more time.
+    /// Delays the first renewal at random, because many processes learn of a new leader at once. Processes
+    /// that already serve spread over a longer interval.
     fn schedule_first_renewal(&mut self, context: &mut Context<'_, A::Facts>) {
         let regular = self.config.renewal_interval();
         let query = AdmissionWait::query_interval(&self.config);
-        let interval = if self.member.is_autonomous { regular } else { query };
+        let interval = if self.replica.is_autonomous { regular } else { query };
         self.next_renewal_at = context.now + self.jitter(context) * interval / regular;
     }
 
-    /// Concludes from the replies so far whether the process may serve. Once it serves it goes on to, until it is
-    /// admitted.
+    /// Evaluates the replies so far. A process that may serve once continues to serve until it is admitted.
     fn evaluate_admission(&mut self, now: Micros) {
         let recovery = self.voter.as_ref().map(|voter| voter.recovery);
         let own = OwnVoter { name: &self.me.name, recovery };
-        let wait = &mut self.member.wait;
-        let may_serve = wait.evaluate(now, &self.config, &self.voters, own);
-        let has_complete_state = matches!(wait.reason, AdmissionReason::StateRecoveredFrom(_));
-        if wait.all_voters_lost_state(now, &self.config, &self.voters, own) {
+        let admission_wait = &mut self.replica.admission_wait;
+        let may_serve = admission_wait.evaluate(now, &self.config, &self.voters, own);
+        let has_complete_state = matches!(admission_wait.reason, AdmissionReason::StateRecoveredFrom(_));
+        if admission_wait.all_voters_lost_state(now, &self.config, &self.voters, own) {
             self.application.state_lost();
         }
-        self.member.is_autonomous |= may_serve;
-        self.member.has_complete_state |= has_complete_state;
+        self.replica.is_autonomous |= may_serve;
+        self.replica.has_complete_state |= has_complete_state;
     }
 
-    /// Another process has reported that its state is complete.
-    pub(super) fn note_informed_peer(&mut self, now: Micros, name: &Name) {
+    /// Records that another process reported a complete state.
+    pub(super) fn record_peer_with_complete_state(&mut self, now: Micros, name: &Name) {
         let lease = self.config.lease_duration;
         self.peers_with_complete_state.retain(|_, at| now.saturating_sub(*at) <= lease);
         self.peers_with_complete_state.insert(name.clone(), now);
--- a/lease/src/machine/commands.rs
+++ b/lease/src/machine/commands.rs
@@ -1,18 +1,18 @@
-//! The leader's steps, and the commands of operators.
+//! Periodic work of the leader, and commands of operators.
 
 use super::pending_command::PendingCommand;
 use super::state::{Context, Effect, Machine};
 use crate::application::Application;
 use crate::command_error::CommandError;
-use crate::leader::{Audience, CommittedResponse};
+use crate::leader::{CommittedResponse, ReceiverSet};
 use crate::message::Message;
 use flaxhead_membership::{Micros, Name};
 
-/// Maximum number of commands that wait at one process to be forwarded, or for their response.
+/// Maximum number of commands of one process that are not completed.
 const MAX_PENDING_COMMANDS: usize = 64;
 
 impl<A: Application> Machine<A> {
-    /// An operator submits a command here; an [`Effect::CommandCompleted`] follows within `timeout`.
+    /// Submits an operator's command. An [`Effect::CommandCompleted`] with its `id` follows within `timeout`.
     pub fn submit(
         &mut self,
         context: &mut Context<'_, A::Facts>,
@@ -30,26 +30,26 @@
         self.tick(context, effects);
     }
 
-    /// When a pending command is next sent or fails.
+    /// Time at which the next pending command is resent or times out.
     pub(super) fn next_command_wake(&self) -> Micros {
         let wakes = self.pending_commands.iter().map(|pending| pending.resend_at.min(pending.deadline));
         wakes.min().unwrap_or(Micros::MAX)
     }
 
-    /// As the leader: does what can be done, and sends out what has changed.
-    pub(super) fn lead(&mut self, context: &mut Context<'_, A::Facts>, effects: &mut Vec<Effect<A>>) {
+    /// Runs the application as the leader, and sends out its changes.
+    pub(super) fn run_leader(&mut self, context: &mut Context<'_, A::Facts>, effects: &mut Vec<Effect<A>>) {
         let now = context.now;
         let Some((leader, environment)) = self.leader_with_environment(now, context.facts) else { return };
         let has_changed = leader.step(&environment);
         effects.extend(leader.state.take_events().into_iter().map(Effect::Event));
         let state = leader.state.state.clone();
-        if has_changed || state.version > self.member.state.version {
+        if has_changed || state.version > self.replica.state.version {
             self.apply(now, state);
-            self.disseminate(now, Audience::Everyone, effects);
-            // Its own confirmation is one of those that the state waits for.
+            self.disseminate(now, ReceiverSet::All, effects);
+            // The leader's own confirmation counts towards the commitment of the state.
             return self.renew(context, effects);
         }
-        self.disseminate(now, Audience::Unconfirmed, effects);
+        self.disseminate(now, ReceiverSet::Unconfirmed, effects);
         self.send_committed_responses(now, effects);
     }
 
@@ -65,7 +65,7 @@
         }
     }
 
-    /// A command that was submitted at another process comes to this one as the leader.
+    /// Executes a command that another process forwarded to this leader.
     pub(super) fn handle_command(
         &mut self,
         context: &mut Context<'_, A::Facts>,
@@ -78,7 +78,7 @@
         if let Err(rejection) = executed {
             self.send(from, Message::CommandResponse { id, result: Err(rejection) }, effects);
         }
-        self.lead(context, effects);
+        self.run_leader(context, effects);
     }
 
     fn execute_command(
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Sends the commands that were submitted here to the leader, again and again until they are answered.
+    /// Sends the pending commands to the leader, repeatedly until they are completed.
     pub(super) fn forward_commands(
         &mut self,
         context: &mut Context<'_, A::Facts>,
@@ -152,12 +152,12 @@
             Err(rejection) if rejection != CommandError::NoLeader.into() => {
                 self.complete_command(id, Err(rejection), effects);
             }
-            Ok(()) | Err(_) => self.lead(context, effects),
+            Ok(()) | Err(_) => self.run_leader(context, effects),
         }
     }
 
-    /// Gives the operator the result of a command that was submitted here. Where there was no leader, the command stays
-    /// pending: another process may lead by now, and is asked next.
+    /// Completes a command that was submitted here. If the receiver was not the leader, the command stays
+    /// pending and is sent to the next known leader.
     pub(super) fn complete_command(
         &mut self,
         id: u64,
--- a/lease/src/machine/election.rs
+++ b/lease/src/machine/election.rs
@@ -1,4 +1,4 @@
-//! Candidacies, and stepping down.
+//! Election of the leader, and the end of its leadership.
 
 use super::state::{random_below, Context, Effect, Machine};
 use crate::application::Application;
@@ -8,19 +8,19 @@
 use crate::roster::Roster;
 use flaxhead_membership::{Micros, Name};
 
-/// Doublings of the backoff between two candidacies: to two leases.
+/// Maximum number of doublings of the candidacy backoff, which limits it to two lease durations.
 const MAX_BACKOFF_DOUBLINGS: u32 = 3;
 
 impl<A: Application> Machine<A> {
-    /// Delays the next candidacy by `after` and an exponential backoff with jitter, so that of several candidates one
-    /// succeeds whatever the delay between them.
+    /// Delays the next candidacy by `after` plus an exponential backoff with jitter, so that one of several
+    /// competing candidates succeeds.
     pub(super) fn back_off_candidacy(&mut self, context: &mut Context<'_, A::Facts>, after: Micros) {
         let backoff = self.config.renewal_interval() << self.failed_candidacies.min(MAX_BACKOFF_DOUBLINGS);
         self.failed_candidacies = self.failed_candidacies.saturating_add(1);
         self.next_candidacy_at = context.now + after + backoff / 2 + random_below(context, backoff);
     }
 
-    /// Becomes a candidate, if that is due and nobody else holds the lease.
+    /// Starts a candidacy if it is due and this voter has granted no other lease that is still valid.
     pub(super) fn begin_candidacy(
         &mut self,
         context: &mut Context<'_, A::Facts>,
@@ -34,11 +34,11 @@
         let lease_left = voter.lease_left(now, None);
         if lease_left > 0 || !context.facts.participates {
             self.candidacy = None;
-            let wait = lease_left.max(self.config.renewal_interval() / 2);
-            self.next_candidacy_at = now + wait + self.jitter(context);
+            let delay = lease_left.max(self.config.renewal_interval() / 2);
+            self.next_candidacy_at = now + delay + self.jitter(context);
             return;
         }
-        let highest = voter.promised.as_ref().max(self.member.highest_ballot.as_ref());
+        let highest = voter.promised.as_ref().max(self.replica.highest_ballot.as_ref());
         let round = highest.map_or(0, |ballot| ballot.round) + 1;
         let ballot = Ballot { round, name: self.me.name.clone(), incarnation: self.me.incarnation };
         self.candidacy = Some(Candidacy::new(ballot.clone(), now));
@@ -46,19 +46,19 @@
         self.request_promises(now, ballot, effects);
     }
 
-    /// Asks all voters, this one among them, for their promise.
+    /// Requests promises from all voters, including this one.
     fn request_promises(&mut self, now: Micros, ballot: Ballot, effects: &mut Vec<Effect<A>>) {
         let voter_sets = self.voters.hashes();
         for to in self.other_voters() {
             self.send(&to, Message::Prepare { ballot: ballot.clone(), voter_sets }, effects);
         }
-        let (incarnation, state) = (self.me.incarnation, self.member.current_state(now));
+        let (incarnation, state) = (self.me.incarnation, self.replica.current_state(now));
         let own = self.voter.as_mut().and_then(|voter| voter.prepare(now, incarnation, ballot, state));
         let me = self.me.name.clone();
         self.reply(&me, own, effects);
     }
 
-    /// A voter has promised: once a majority has, the lease is proposed to them.
+    /// Handles a promise. Once a majority has promised, the lease is proposed to these voters.
     pub(super) fn handle_promise(&mut self, from: &Name, promise: Promise<A>, effects: &mut Vec<Effect<A>>) {
         if !self.voters.contains(from) {
             return;
@@ -75,7 +75,7 @@
         if !candidacy.is_proposed && !self.voters.has_majority(|name| promises.contains_key(name)) {
             return;
         }
-        // Voters that promise later are asked as their promises come.
+        // A voter that promises after the majority gets the proposal at once.
         let was_proposed = std::mem::replace(&mut candidacy.is_proposed, true);
         let voters: Vec<Name> =
             if was_proposed { vec![from.clone()] } else { candidacy.promises.keys().cloned().collect() };
@@ -97,14 +97,14 @@
         self.send(to, Message::Propose(proposal), effects);
     }
 
-    /// A voter has denied this process's candidacy. (One that denies a leader the renewal, having promised more to
-    /// another, takes nothing from the lease that runs.)
+    /// Handles the denial of a candidacy. A denial of a renewal is ignored: the leader's lease stays valid
+    /// until it expires.
     pub(super) fn handle_denial(&mut self, context: &mut Context<'_, A::Facts>, denial: Denial) {
         let Denial { ballot, promised, lease_left } = denial;
         if self.candidacy.as_ref().is_none_or(|candidacy| candidacy.ballot != ballot) {
             return;
         }
-        // The next ballot has to be above what the voter has promised.
+        // The next ballot must exceed the one that the voter has promised.
         if let (Some(voter), Some(promised)) = (self.voter.as_mut(), promised) {
             voter.promised = voter.promised.take().max(Some(promised));
         }
@@ -112,7 +112,7 @@
         self.back_off_candidacy(context, lease_left);
     }
 
-    /// A leader whose lease has run out leads no longer, whatever it was about to do with it.
+    /// Steps down if the leader's lease has expired.
     pub(super) fn step_down_if_expired(
         &mut self,
         context: &mut Context<'_, A::Facts>,
@@ -123,26 +123,26 @@
         }
     }
 
-    /// A leader that has heard of a higher ballot leads no longer.
+    /// Steps down if a ballot higher than the leader's own is known.
     pub(super) fn step_down_if_outvoted(
         &mut self,
         context: &mut Context<'_, A::Facts>,
         effects: &mut Vec<Effect<A>>,
     ) {
-        if let Some(fence) = self.member.highest_ballot.clone() {
-            self.step_down_below(context, &fence, effects);
+        if let Some(ballot) = self.replica.highest_ballot.clone() {
+            self.step_down_below(context, &ballot, effects);
         }
     }
 
-    /// A leader under a lower ballot than this one leads no longer.
+    /// Steps down if `ballot` is higher than the leader's own.
     pub(super) fn step_down_below(
         &mut self,
         context: &mut Context<'_, A::Facts>,
-        fence: &Ballot,
+        ballot: &Ballot,
         effects: &mut Vec<Effect<A>>,
     ) {
-        if self.leader.as_ref().is_some_and(|leader| leader.state.ballot < *fence) {
-            self.accept_fence(fence);
+        if self.leader.as_ref().is_some_and(|leader| leader.state.ballot < *ballot) {
+            self.accept_ballot(ballot);
             self.step_down(context, effects);
         }
     }
--- a/lease/src/machine/leader.rs
+++ b/lease/src/machine/leader.rs
@@ -1,4 +1,4 @@
-//! The leader: its records, and what its application keeps there.
+//! Leader with the data of its application.
 
 use crate::application::{Application, ReceivedReport};
 use crate::config::Config;
@@ -9,14 +9,13 @@
 use crate::voters::Voters;
 use flaxhead_membership::{Micros, Name};
 
-/// The leader.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Leader<A: Application> {
     pub state: LeaderState<A>,
     pub data: A::LeaderData,
 }
 
-/// What a leader needs, beside itself, to act.
+/// Input of the leader's operations.
 pub(super) struct LeaderEnvironment<'a, A: Application> {
     pub now: Micros,
     pub config: &'a Config,
@@ -26,13 +25,13 @@
     pub application: &'a A,
 }
 
-/// How a leader answers a renewal.
+/// Result of a renewal request.
 pub(super) struct RenewalResponse<A: Application> {
-    /// The application's grant, where a lease is granted.
+    /// Grant of the application; `None`: no lease is granted.
     pub grant: Option<A::Grant>,
-    /// The process needs the state.
+    /// True if the process needs the current state.
     pub is_behind: bool,
-    /// The process is new on the roster.
+    /// True if the process was added to the roster.
     pub is_enrolled: bool,
 }
 
@@ -50,7 +49,7 @@
         Leader { state, data }
     }
 
-    /// Does what can be done. Returns whether the state has changed.
+    /// Runs the application, after the removal of ended processes. Returns whether the state has changed.
     pub fn step(&mut self, environment: &LeaderEnvironment<'_, A>) -> bool {
         let LeaderEnvironment { now, config, .. } = *environment;
         if !self.state.is_leading(now) {
@@ -69,7 +68,7 @@
         self.state.state.version.seq != before
     }
 
-    /// Tells the application of the processes that have left the roster.
+    /// Informs the application of the processes that were removed from the roster.
     fn notify_departed(&mut self, environment: &LeaderEnvironment<'_, A>) {
         for process in self.state.take_departed() {
             let mut context = context(&mut self.state, environment);
@@ -77,7 +76,7 @@
         }
     }
 
-    /// Takes a process's report, and decides on its lease.
+    /// Handles a renewal request: passes on the report, and decides on the lease.
     pub fn renew(
         &mut self,
         environment: &LeaderEnvironment<'_, A>,
@@ -98,7 +97,7 @@
         RenewalResponse { grant, is_behind: outcome.is_behind, is_enrolled: outcome.is_enrolled }
     }
 
-    /// Executes a command; the response follows once its effect is committed.
+    /// Executes a command. Its response is held back until the effect is committed.
     pub fn execute(
         &mut self,
         environment: &LeaderEnvironment<'_, A>,
--- a/lease/src/machine/lease.rs
+++ b/lease/src/machine/lease.rs
@@ -1,14 +1,14 @@
-//! How a candidate gets the lease, and a leader renews it.
+//! Acquisition and renewal of the leader's lease.
 
 use super::leader::{Leader, LeaderEnvironment};
 use super::state::{Context, Effect, Machine};
 use crate::application::Application;
-use crate::leader::{Audience, Candidacy, LeaderState, OwnState};
+use crate::leader::{Candidacy, LeaderState, OwnState, ReceiverSet};
 use crate::message::{Acceptance, Message, Proposal};
 use flaxhead_membership::{Micros, Name};
 
 impl<A: Application> Machine<A> {
-    /// A voter has accepted a proposal of this leader or candidate.
+    /// Handles the acceptance of a proposal of this leader or candidate.
     pub(super) fn handle_acceptance(
         &mut self,
         context: &mut Context<'_, A::Facts>,
@@ -20,9 +20,9 @@
         let leader = self.leader.as_mut().filter(|leader| leader.state.ballot == acceptance.ballot);
         if let Some(leader) = leader {
             leader.state.record_acceptance(now, &self.config, &self.voters, from, acceptance);
-            return self.lead(context, effects);
+            return self.run_leader(context, effects);
         }
-        if !self.is_elected_by(now, from, acceptance) || !self.accept_fence(&acceptance.ballot) {
+        if !self.is_elected_by(now, from, acceptance) || !self.accept_ballot(&acceptance.ballot) {
             return;
         }
         if let Some(candidacy) = self.candidacy.take() {
@@ -30,11 +30,12 @@
         }
     }
 
-    /// Counts a voter's acceptance for the candidacy. Returns whether a majority has accepted by now.
+    /// Counts an acceptance for the candidacy. Returns whether a majority has accepted.
     fn is_elected_by(&mut self, now: Micros, from: &Name, acceptance: &Acceptance) -> bool {
         let candidacy = self.candidacy.as_mut().filter(|candidacy| candidacy.ballot == acceptance.ballot);
         let Some(candidacy) = candidacy else { return false };
-        // The lease counts from the beginning of the candidacy: an acceptance that comes too late grants nothing.
+        // The lease is counted from the start of the candidacy, so a later acceptance would grant an expired
+        // lease.
         let is_late = now >= candidacy.started + self.config.lease_duration;
         let promise = candidacy.promises.get(from);
         if is_late || promise.is_none_or(|promise| promise.incarnation != acceptance.incarnation) {
@@ -54,7 +55,7 @@
         let now = context.now;
         let ballot = candidacy.ballot.clone();
         let own =
-            OwnState { state: self.member.current_state(now), is_complete: self.member.has_complete_state };
+            OwnState { state: self.replica.current_state(now), is_complete: self.replica.has_complete_state };
         let state = LeaderState::new(now, &self.config, &self.voters, candidacy, &own, self.me.clone());
         let environment = LeaderEnvironment {
             now,
@@ -68,20 +69,20 @@
         self.apply(now, leader.state.state.clone());
         self.leader = Some(Box::new(leader));
         self.failed_candidacies = 0;
-        self.note_leader(now, self.me.name.clone());
+        self.record_leader(now, self.me.name.clone());
         effects.push(Effect::LeadershipChanged(Some(ballot)));
         self.begin_round(context, effects);
-        self.disseminate(now, Audience::Everyone, effects);
+        self.disseminate(now, ReceiverSet::All, effects);
         self.renew(context, effects);
     }
 
-    /// Begins a round of renewal: asks the voters to prolong the lease, and those that have not promised, or have lost
-    /// their promise, to promise first.
+    /// Begins a renewal round: sends proposals to the voters that have promised. Other voters, and those that
+    /// may have lost their promise in a restart, are asked to promise first.
     pub(super) fn begin_round(&mut self, context: &mut Context<'_, A::Facts>, effects: &mut Vec<Effect<A>>) {
         let now = context.now;
         let Some(leader) = self.leader.as_mut() else { return };
         self.next_round_at = now + self.config.renewal_interval();
-        // A leader that finds itself cut off lets its lease run out.
+        // A leader that is cut off lets its lease expire.
         if !context.facts.participates {
             return;
         }
@@ -93,22 +94,24 @@
             let message = self.proposal_to(to).map_or_else(prepare, Message::Propose);
             self.send(to, message, effects);
         }
-        let silent: Vec<Name> = voters.into_iter().filter(|voter| self.is_silent_voter(now, voter)).collect();
-        for to in silent {
+        let unresponsive: Vec<Name> =
+            voters.into_iter().filter(|voter| self.is_unresponsive_voter(now, voter)).collect();
+        for to in unresponsive {
             self.send(&to, prepare(), effects);
         }
     }
 
-    /// Whether a voter that has promised accepts nothing any more: it may have restarted.
-    fn is_silent_voter(&self, now: Micros, voter: &Name) -> bool {
-        let is_silent = |state: &LeaderState<A>| {
+    /// Returns whether a voter that has promised no longer accepts proposals, possibly after a restart.
+    fn is_unresponsive_voter(&self, now: Micros, voter: &Name) -> bool {
+        let is_unresponsive = |state: &LeaderState<A>| {
             state.voter_incarnations.contains_key(voter)
                 && !state.voter_accepted_recently(now, &self.config, voter)
         };
-        *voter != self.me.name && self.leader.as_ref().is_some_and(|leader| is_silent(&leader.state))
+        *voter != self.me.name && self.leader.as_ref().is_some_and(|leader| is_unresponsive(&leader.state))
     }
 
-    /// The leader's proposal to a voter; `None`: this process does not lead, or the voter has not promised.
+    /// Returns the proposal for a voter; `None`: this process is not the leader, or the voter has not
+    /// promised.
     fn proposal_to(&self, to: &Name) -> Option<Proposal> {
         let state = &self.leader.as_ref()?.state;
         Some(Proposal {
--- a/lease/src/machine/mod.rs
+++ b/lease/src/machine/mod.rs
@@ -1,4 +1,4 @@
-//! One process: its parts, and what passes between them and the other processes.
+//! State machine of one process: its roles, and the messages between them and other processes.
 
 mod admission;
 mod commands;
--- a/lease/src/machine/pending_command.rs
+++ b/lease/src/machine/pending_command.rs
@@ -1,14 +1,14 @@
-//! A command that waits at the process to which it was submitted.
+//! Command that waits at the process to which it was submitted.
 
 use flaxhead_membership::Micros;
 
-/// A command that was submitted here and has no response yet.
+/// Submitted command without a response.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct PendingCommand<C> {
     pub(super) id: u64,
     pub(super) command: C,
-    /// When it fails if no response has come.
+    /// Time at which the command times out.
     pub(super) deadline: Micros,
-    /// When it is sent to the leader again.
+    /// Time at which the command is next sent to the leader.
     pub(super) resend_at: Micros,
 }
--- a/lease/src/machine/persistence.rs
+++ b/lease/src/machine/persistence.rs
@@ -1,9 +1,8 @@
-//! A disk that outlives the process.
+//! Persistence of the state over a restart of the process.
 //!
-//! What other processes rely on once this one has sent it (that it has applied a state, that it stores a roster) is not
-//! sent before it is on the disk. So a process that is killed and restarts with its state is like one that was stopped
-//! in between, but for the lease: whether it has granted one is not on the disk, and a voter is quarantined as if it had
-//! forgotten.
+//! Confirmations that other processes rely on (an applied state, a stored roster) are sent only once the disk
+//! holds what they confirm. A process that restarts with its stored state therefore behaves like a paused
+//! one, except for leases: granted leases are not stored, so a restarted voter is quarantined in any case.
 
 use super::persistence_state::{Persistence, WaitingAcceptance};
 use super::state::{Context, Effect, Machine};
@@ -17,8 +16,8 @@
 use flaxhead_membership::{Micros, Name};
 
 impl<A: Application> Machine<A> {
-    /// Has the process use a disk, on which this was `found` of the process before it, `age` ago. Called at its start,
-    /// before anything else happens.
+    /// Enables persistence. `found` is the stored state of the previous process, and `age` its age in
+    /// microseconds. Must be called before any other event.
     #[must_use]
     pub fn with_persistence(
         mut self,
@@ -40,7 +39,7 @@
         state.state.advance(age);
         self.apply(now, state);
         if let Some(ballot) = &highest_ballot {
-            self.accept_fence(ballot);
+            self.accept_ballot(ballot);
         }
         if let Some(voter) = &mut self.voter {
             voter.was_recovered = was_recovered;
@@ -49,42 +48,44 @@
         }
     }
 
-    /// What a restart would need now.
+    /// Returns the state that a restart would need.
     pub fn persistent_state(&self, now: Micros) -> PersistentState<A> {
         PersistentState {
             is_recovered: self.is_recovered_voter(),
             voter_sets: self.voters.hashes(),
             promised: self.voter.as_ref().and_then(|voter| voter.promised.clone()),
-            highest_ballot: self.member.highest_ballot.clone(),
+            highest_ballot: self.replica.highest_ballot.clone(),
             roster: self.voter.as_ref().map_or_else(Roster::default, |voter| voter.roster.clone()),
-            state: self.member.current_state(now),
+            state: self.replica.current_state(now),
         }
     }
 
-    /// The mark of [`Machine::persistent_state`], without making one; `None`: the process uses no disk.
+    /// Returns the version of [`Machine::persistent_state`] without building that state; `None`: persistence
+    /// is disabled.
     pub fn persistent_state_version(&self) -> Option<PersistentStateVersion> {
         self.persistence.as_ref()?;
         Some(PersistentStateVersion {
             is_recovered: self.is_recovered_voter(),
             promised: self.voter.as_ref().and_then(|voter| voter.promised.clone()),
-            highest_ballot: self.member.highest_ballot.clone(),
+            highest_ballot: self.replica.highest_ballot.clone(),
             roster: self.own_roster_version(),
-            state: self.member.state.version.clone(),
+            state: self.replica.state.version.clone(),
         })
     }
 
-    /// The state of this mark is on the disk: what waited for that is sent.
+    /// Handles the notification that the state of this version is durable, and sends the confirmations that
+    /// waited for it.
     pub fn state_persisted(
         &mut self,
         context: &mut Context<'_, A::Facts>,
-        mark: PersistentStateVersion,
+        version: PersistentStateVersion,
         effects: &mut Vec<Effect<A>>,
     ) {
         let Some(persistence) = &mut self.persistence else { return };
-        let is_newer = mark.state > persistence.persisted.state;
-        persistence.persisted = mark;
+        let is_newer = version.state > persistence.persisted.state;
+        persistence.persisted = version;
         if let Some(WaitingAcceptance { to, ballot, round }) = persistence.waiting.take() {
-            let roster = self.persisted_part_of(self.own_roster_version());
+            let roster = self.persisted_roster_version(self.own_roster_version());
             let incarnation = self.me.incarnation;
             let acceptance = Acceptance { ballot, round, incarnation, roster };
             self.send(&to, Message::Accepted(acceptance), effects);
@@ -105,25 +106,26 @@
         self.voter.as_ref().map_or_else(Version::default, |voter| voter.roster.version.clone())
     }
 
-    /// The version of the state that it may confirm: what the disk has of it.
+    /// Version of the state that the process may confirm, limited to what is durable.
     pub(super) fn persisted_state_version(&self) -> Version {
-        let applied = &self.member.state.version;
+        let applied = &self.replica.state.version;
         let persistence = self.persistence.as_ref();
         persistence.map_or(applied, |disk| applied.min(&disk.persisted.state)).clone()
     }
 
-    /// The part of a roster that it may say it stores: what the disk has of it.
-    fn persisted_part_of(&self, roster: Version) -> Version {
+    /// Version of the roster that the process may confirm, limited to what is durable.
+    fn persisted_roster_version(&self, roster: Version) -> Version {
         match &self.persistence {
             Some(persistence) => roster.min(persistence.persisted.roster.clone()),
             None => roster,
         }
     }
 
-    /// Limits an acceptance to the roster that is on the disk.
+    /// Limits an acceptance to the durable roster. If the current roster is newer, the acceptance is repeated
+    /// once that is durable.
     pub(super) fn limit_to_persisted(&mut self, to: &Name, answer: Message<A>) -> Message<A> {
         let Message::Accepted(mut acceptance) = answer else { return answer };
-        let persisted = self.persisted_part_of(acceptance.roster.clone());
+        let persisted = self.persisted_roster_version(acceptance.roster.clone());
         if let Some(persistence) = self.persistence.as_mut().filter(|_| persisted < acceptance.roster) {
             let (ballot, round) = (acceptance.ballot.clone(), acceptance.round);
             persistence.waiting = Some(WaitingAcceptance { to: to.clone(), ballot, round });
--- a/lease/src/machine/persistence_state.rs
+++ b/lease/src/machine/persistence_state.rs
@@ -1,17 +1,17 @@
-//! What a process knows of its disk.
+//! Progress of the persistence.
 
 use crate::ballot::Ballot;
 use crate::persistent_state::PersistentStateVersion;
 use flaxhead_membership::Name;
 
-/// What is on the disk, and what waits for it.
+/// Version that is durable, and the acceptance that waits for a newer one.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Persistence {
     pub(super) persisted: PersistentStateVersion,
     pub(super) waiting: Option<WaitingAcceptance>,
 }
 
-/// An acceptance that named an older roster, as the newer one was not on the disk: it is sent again once that is.
+/// Acceptance that confirmed only an older roster, to be repeated once the newer one is durable.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct WaitingAcceptance {
     pub(super) to: Name,
--- a/lease/src/machine/receive.rs
+++ b/lease/src/machine/receive.rs
@@ -1,4 +1,4 @@
-//! What a process does with a message.
+//! Handling of received messages.
 
 use super::state::{Context, Effect, KnownLeader, Machine};
 use crate::application::{Application, ReceivedGrant};
@@ -8,7 +8,7 @@
 use flaxhead_membership::{Micros, Name};
 
 impl<A: Application> Machine<A> {
-    /// Takes a message of another process.
+    /// Handles a message of another process.
     pub fn receive(
         &mut self,
         context: &mut Context<'_, A::Facts>,
@@ -86,10 +86,10 @@
             return;
         }
         let now = context.now;
-        let (incarnation, state) = (self.me.incarnation, self.member.current_state(now));
+        let (incarnation, state) = (self.me.incarnation, self.replica.current_state(now));
         let answer = self.voter.as_mut().and_then(|voter| voter.prepare(now, incarnation, ballot, state));
         if matches!(answer, Some(Message::Promised(_))) && *from != self.me.name {
-            // The candidate that came first is given the time to succeed.
+            // The first candidate gets time to complete its election.
             let earliest = now + self.config.renewal_interval() + self.jitter(context);
             self.next_candidacy_at = self.next_candidacy_at.max(earliest);
         }
@@ -109,8 +109,8 @@
         let (ballot, incarnation) = (proposal.ballot.clone(), self.me.incarnation);
         let voter = self.voter.as_mut();
         let answer = voter.and_then(|voter| voter.accept(now, &self.config, incarnation, proposal));
-        if matches!(answer, Some(Message::Accepted(_))) && self.accept_fence(&ballot) {
-            self.note_leader(now, from.clone());
+        if matches!(answer, Some(Message::Accepted(_))) && self.accept_ballot(&ballot) {
+            self.record_leader(now, from.clone());
         }
         let answer = answer.map(|answer| self.limit_to_persisted(from, answer));
         self.reply(from, answer, effects);
@@ -124,19 +124,20 @@
         effects: &mut Vec<Effect<A>>,
     ) {
         let now = context.now;
-        if state.version.ballot.as_ref().is_none_or(|fence| fence.name != *from) {
+        if state.version.ballot.as_ref().is_none_or(|ballot| ballot.name != *from) {
             return;
         }
         if !self.apply(now, state) {
             return self.reply_not_leader(now, from, effects);
         }
-        self.note_leader(now, from.clone());
+        self.record_leader(now, from.clone());
         self.step_down_if_outvoted(context, effects);
-        // What the disk does not have yet is confirmed once it does.
-        if self.persisted_state_version() != self.member.state.version {
+        // A state that is not durable yet is confirmed later.
+        if self.persisted_state_version() != self.replica.state.version {
             return;
         }
-        // All processes get the state at once: their regular renewals must not fall into step with that.
+        // All processes receive the state at the same time, so the confirmation must not synchronize their
+        // regular renewals.
         let (next_renewal_at, last_renewal_at) = (self.next_renewal_at, self.last_renewal_at);
         self.renew(context, effects);
         if next_renewal_at > now {
@@ -152,9 +153,9 @@
         ballot: Ballot,
         effects: &mut Vec<Effect<A>>,
     ) {
-        if ballot.name == *from && self.accept_fence(&ballot) {
-            let state = self.member.current_state(now);
-            let is_complete = self.member.has_complete_state;
+        if ballot.name == *from && self.accept_ballot(&ballot) {
+            let state = self.replica.current_state(now);
+            let is_complete = self.replica.has_complete_state;
             self.send(from, Message::StateResponse { ballot, state, is_complete }, effects);
         }
     }
@@ -171,7 +172,7 @@
         let leader = self.leader.as_mut().filter(|leader| leader.state.ballot == *ballot);
         if let Some(leader) = leader.filter(|leader| leader.state.state_lost_since.is_some()) {
             leader.state.merge(&state.state, is_complete);
-            self.lead(context, effects);
+            self.run_leader(context, effects);
             self.send_state(from, effects);
         }
     }
@@ -180,14 +181,14 @@
         let LeaseGrant { ballot, incarnation, requested_at, is_recovered, grant } = grant;
         let is_for_this_process =
             ballot.name == *from && incarnation == self.me.incarnation && requested_at <= now;
-        if !is_for_this_process || !self.accept_fence(&ballot) {
+        if !is_for_this_process || !self.accept_ballot(&ballot) {
             return;
         }
-        if self.member.take_lease(requested_at, is_recovered, &self.config) {
+        if self.replica.take_lease(requested_at, is_recovered, &self.config) {
             let expires_at = requested_at + self.config.lease_duration;
             self.application.lease_granted(&ReceivedGrant { ballot, requested_at, expires_at, grant });
         }
-        self.note_leader(now, from.clone());
+        self.record_leader(now, from.clone());
     }
 
     fn handle_not_leader(
@@ -210,9 +211,9 @@
         }
     }
 
-    /// Tells a process that this one is not the leader, or knows of a later one.
+    /// Replies that this process is not the leader, or knows a higher ballot.
     pub(super) fn reply_not_leader(&mut self, now: Micros, to: &Name, effects: &mut Vec<Effect<A>>) {
-        let (leader, highest_ballot) = (self.current_leader(now), self.member.highest_ballot.clone());
+        let (leader, highest_ballot) = (self.current_leader(now), self.replica.highest_ballot.clone());
         self.send(to, Message::NotLeader { leader, highest_ballot }, effects);
     }
 }
--- a/lease/src/machine/renewal.rs
+++ b/lease/src/machine/renewal.rs
@@ -1,4 +1,4 @@
-//! Leases of the processes: asked for by every process, granted by the leader.
+//! Leases of the processes, which every process requests and the leader grants.
 
 use super::leader::RenewalResponse;
 use super::state::{Context, Effect, Machine};
@@ -7,35 +7,38 @@
 use crate::message::{LeaseGrant, Message, Renewal};
 use flaxhead_membership::{Micros, Name};
 
-/// How many times as often as regularly an application may have a process renew.
-const EARLY_RENEWALS_PER_INTERVAL: Micros = 12;
-/// One in this many parts of a renewal interval is subtracted from it, and up to a quarter added at random.
-const JITTER_PARTS: Micros = 8;
-/// The part of the regular jitter that stays in an early renewal.
-const EARLY_JITTER_PARTS: Micros = 6;
+/// Maximum number of renewals in one renewal interval, if the application requests early renewal.
+const MAX_RENEWALS_PER_INTERVAL: Micros = 12;
+/// Fraction of the renewal interval, as its reciprocal, by which a renewal may come early. Up to a quarter of
+/// the interval is added at random.
+const JITTER_DIVISOR: Micros = 8;
+/// Fraction of the regular jitter, as its reciprocal, that is kept in early renewals.
+const EARLY_JITTER_DIVISOR: Micros = 6;
 
 impl<A: Application> Machine<A> {
-    /// When it next asks for a lease: regularly, or where its application wants that earlier as soon as the rate allows.
+    /// Time of the next renewal: the regular time, or the earliest that the rate limit permits if the
+    /// application requests early renewal.
     pub(super) fn next_renewal(&self) -> Micros {
-        if !(self.member.is_admitted && self.application.wants_early_renewal()) {
+        if !(self.replica.is_admitted && self.application.wants_early_renewal()) {
             return self.next_renewal_at;
         }
-        // A part of the regular jitter stays, so that processes that renew early together do not fall into step.
+        // A part of the regular jitter is kept, so that processes which renew early together do not
+        // synchronize.
         let interval = self.config.renewal_interval();
-        let earliest_regular = self.last_renewal_at + interval - interval / JITTER_PARTS;
+        let earliest_regular = self.last_renewal_at + interval - interval / JITTER_DIVISOR;
         let jitter = self.next_renewal_at.saturating_sub(earliest_regular);
         let early =
-            self.last_renewal_at + interval / EARLY_RENEWALS_PER_INTERVAL + jitter / EARLY_JITTER_PARTS;
+            self.last_renewal_at + interval / MAX_RENEWALS_PER_INTERVAL + jitter / EARLY_JITTER_DIVISOR;
         early.min(self.next_renewal_at)
     }
 
-    /// Asks for a lease: the leader where it is known, else one voter after the other.
+    /// Requests a lease from the leader, or from the voters in turn if no leader is known.
     pub(super) fn renew(&mut self, context: &mut Context<'_, A::Facts>, effects: &mut Vec<Effect<A>>) {
         let now = context.now;
         self.schedule_renewal(context);
         let leader = self.current_leader(now);
-        // A process that waits for admission hears of the leader by its queries.
-        if leader.is_none() && !self.member.is_admitted {
+        // A process that waits for admission learns of the leader from its queries.
+        if leader.is_none() && !self.replica.is_admitted {
             return;
         }
         let mut receivers: Vec<Name> = leader.or_else(|| self.next_voter()).into_iter().collect();
@@ -54,42 +57,43 @@
         }
     }
 
-    /// Sets the time of the next regular renewal. A process that waits for admission renews more often.
+    /// Schedules the next regular renewal. A process that waits for admission renews more often.
     fn schedule_renewal(&mut self, context: &mut Context<'_, A::Facts>) {
         let regular = self.config.renewal_interval();
-        let waits = !self.member.is_admitted && !self.member.is_autonomous;
+        let waits = !self.replica.is_admitted && !self.replica.is_autonomous;
         let interval = if waits { AdmissionWait::query_interval(&self.config) } else { regular };
         let jitter = self.jitter(context) / 4 * interval / regular;
         self.last_renewal_at = context.now;
-        self.next_renewal_at = context.now + interval - interval / JITTER_PARTS + jitter;
+        self.next_renewal_at = context.now + interval - interval / JITTER_DIVISOR + jitter;
     }
 
-    /// The voter to ask where no leader is known: one after the other.
+    /// Returns the next voter in turn, to be asked in place of an unknown leader.
     fn next_voter(&mut self) -> Option<Name> {
         let voters: Vec<&Name> = self.voters.iter().collect();
         self.voter_cursor = (self.voter_cursor + 1) % voters.len().max(1);
         voters.get(self.voter_cursor).map(|name| (*name).clone())
     }
 
-    /// Whether an admitted process has had no answer for a while. It then asks all voters: those that have forgotten hear
-    /// that it knows the state, twice before they may conclude that nobody does.
+    /// Returns whether an admitted process has had no answer for a while. Its renewals then go to all voters,
+    /// so that restarted voters learn, before they could conclude that the state is lost, that a process with
+    /// the complete state exists.
     fn is_unanswered(&self, now: Micros) -> bool {
         let overdue = 3 * self.config.renewal_interval() / 2;
-        self.member.is_admitted && self.member.lease_expiry + overdue < now + self.config.lease_duration
+        self.replica.is_admitted && self.replica.lease_expiry + overdue < now + self.config.lease_duration
     }
 
     fn renewal(&mut self, now: Micros, facts: &A::Facts) -> Renewal<A> {
         Renewal {
             process: self.me.clone(),
             sent_at: now,
-            has_complete_state: self.member.has_complete_state,
+            has_complete_state: self.replica.has_complete_state,
             version: self.persisted_state_version(),
-            highest_ballot: self.member.highest_ballot.clone(),
-            report: self.application.report(now, &self.member, facts),
+            highest_ballot: self.replica.highest_ballot.clone(),
+            report: self.application.report(now, &self.replica, facts),
         }
     }
 
-    /// Another process asks this one, as the leader, for a lease.
+    /// Handles the renewal request of another process.
     pub(super) fn handle_renewal(
         &mut self,
         context: &mut Context<'_, A::Facts>,
@@ -102,17 +106,18 @@
             return;
         }
         if renewal.has_complete_state {
-            self.note_informed_peer(now, from);
+            self.record_peer_with_complete_state(now, from);
         }
-        // A process that was admitted all along may have heard of a higher ballot than those that have forgotten.
-        if let Some(fence) = &renewal.highest_ballot {
-            self.step_down_below(context, fence, effects);
+        // A process that remained admitted may know a higher ballot than restarted voters do.
+        if let Some(known_ballot) = &renewal.highest_ballot {
+            self.step_down_below(context, known_ballot, effects);
         }
         let Some(ballot) = self.leading_ballot(now).cloned() else {
             return self.reply_not_leader(now, from, effects);
         };
         let (incarnation, requested_at) = (renewal.process.incarnation, renewal.sent_at);
-        let is_of_another_leader = renewal.version.ballot.as_ref().is_some_and(|fence| *fence != ballot);
+        let is_of_another_leader =
+            renewal.version.ballot.as_ref().is_some_and(|version_ballot| *version_ballot != ballot);
         let Some((leader, environment)) = self.leader_with_environment(now, context.facts) else { return };
         let wants_its_state = leader.state.state_lost_since.is_some() && is_of_another_leader;
         let RenewalResponse { grant, is_behind, is_enrolled } = leader.renew(&environment, renewal);
@@ -130,11 +135,11 @@
         if is_enrolled {
             self.announce_roster(context, effects);
         }
-        self.lead(context, effects);
+        self.run_leader(context, effects);
     }
 
-    /// A new process gets a lease once the voters know of it: they are told at once, or of many that come at once
-    /// together.
+    /// Sends the changed roster to the voters, on whose acceptance the lease of a new process depends.
+    /// Several new processes share a round if they come within the resend interval.
     fn announce_roster(&mut self, context: &mut Context<'_, A::Facts>, effects: &mut Vec<Effect<A>>) {
         let round_started = self.leader.as_ref().map_or(0, |leader| leader.state.round_started);
         let next = round_started + self.config.state_resend_interval();
--- a/lease/src/machine/replication.rs
+++ b/lease/src/machine/replication.rs
@@ -1,13 +1,13 @@
-//! How the leader sends its state to the other processes.
+//! Replication of the leader's state to the other processes.
 
 use super::state::{Effect, Machine};
 use crate::application::Application;
-use crate::leader::Audience;
+use crate::leader::ReceiverSet;
 use crate::message::Message;
 use flaxhead_membership::{Micros, Name};
 
 impl<A: Application> Machine<A> {
-    /// Sends the leader's state to another process.
+    /// Sends the state to one process.
     pub(super) fn send_state(&mut self, to: &Name, effects: &mut Vec<Effect<A>>) {
         let state = self.leader.as_ref().map(|leader| leader.state.state.clone());
         if let Some(state) = state.filter(|_| *to != self.me.name) {
@@ -15,10 +15,15 @@
         }
     }
 
-    /// Sends the leader's state to its audience.
-    pub(super) fn disseminate(&mut self, now: Micros, audience: Audience, effects: &mut Vec<Effect<A>>) {
+    /// Sends the state to all receivers of the given kind.
+    pub(super) fn disseminate(
+        &mut self,
+        now: Micros,
+        receiver_set: ReceiverSet,
+        effects: &mut Vec<Effect<A>>,
+    ) {
         let Some(leader) = self.leader.as_mut() else { return };
-        for to in leader.state.begin_dissemination(now, &self.config, audience) {
+        for to in leader.state.begin_dissemination(now, &self.config, receiver_set) {
             self.send_state(&to, effects);
         }
     }
--- a/lease/src/machine/schedule.rs
+++ b/lease/src/machine/schedule.rs
@@ -1,4 +1,4 @@
-//! What a process does by time alone.
+//! Timers of a process.
 
 use super::state::{Context, Effect, Machine};
 use crate::application::Application;
@@ -6,13 +6,14 @@
 use flaxhead_membership::Micros;
 
 impl<A: Application> Machine<A> {
-    /// When [`Machine::tick`] is wanted next.
+    /// Time at which [`Machine::tick`] must be called next.
     pub fn next_wake(&self) -> Micros {
         let voter = self.voter.as_ref().map_or(Micros::MAX, Voter::next_wake);
         let is_candidate = self.voter.is_some() && self.leader.is_none();
         let candidacy = if is_candidate { self.next_candidacy_at } else { Micros::MAX };
         let round = if self.leader.is_some() { self.next_round_at } else { Micros::MAX };
-        let query = if self.member.is_admitted { Micros::MAX } else { self.member.wait.next_query_at };
+        let query =
+            if self.replica.is_admitted { Micros::MAX } else { self.replica.admission_wait.next_query_at };
         [
             voter,
             candidacy,
@@ -31,7 +32,7 @@
         self.leader.as_ref().map_or(Micros::MAX, |leader| leader.state.next_dissemination(&self.config))
     }
 
-    /// Does what is due.
+    /// Performs all actions whose time has come.
     pub fn tick(&mut self, context: &mut Context<'_, A::Facts>, effects: &mut Vec<Effect<A>>) {
         self.step_down_if_expired(context, effects);
         self.spread_first_actions(context);
@@ -44,7 +45,7 @@
         if context.now >= self.next_renewal() {
             self.renew(context, effects);
         }
-        self.lead(context, effects);
+        self.run_leader(context, effects);
         self.forward_commands(context, effects);
         self.handle_loopback(context, effects);
     }
--- a/lease/src/machine/state.rs
+++ b/lease/src/machine/state.rs
@@ -1,4 +1,4 @@
-//! What one process consists of.
+//! State and public interface of the machine.
 
 use super::leader::{Leader, LeaderEnvironment};
 use super::pending_command::PendingCommand;
@@ -9,7 +9,7 @@
 use crate::facts::Facts;
 use crate::leader::{Candidacy, LeaderState};
 use crate::message::Message;
-use crate::replica::{AdmissionStatus, FenceCheck, LocalReplica};
+use crate::replica::{AdmissionStatus, BallotCheck, LocalReplica};
 use crate::roster::Process;
 use crate::status::LeaseStatus;
 use crate::voter::Voter;
@@ -20,82 +20,82 @@
 
 const MICROS_PER_MILLI: Micros = 1_000;
 
-/// What a process is given with everything that happens.
+/// Input of each step of the machine.
 pub struct Context<'a, F> {
-    /// The time, from any fixed point before the process's start.
+    /// Current time in microseconds, counted from any fixed point before the start of the process.
     pub now: Micros,
-    /// What the process knows from outside the protocol.
+    /// Membership and the input of the application.
     pub facts: &'a Facts<F>,
-    /// The source of jitter.
+    /// Source of random jitter.
     pub random: &'a mut dyn RngCore,
 }
 
-/// What the driver is to do.
+/// Action that the driver must execute.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Effect<A: Application> {
-    /// Send a message to another process.
+    /// Sends a message to another process.
     Send {
-        /// The receiver.
+        /// Receiver of the message.
         to: Name,
-        /// The message.
+        /// Message content.
         message: Message<A>,
     },
-    /// Give an operator the result of a command that was submitted here.
+    /// Reports the result of a command that was submitted to this process.
     CommandCompleted {
-        /// The command's number.
+        /// Command id.
         id: u64,
-        /// What it led to.
+        /// Response, or reason for the rejection.
         result: Result<A::Response, A::Rejection>,
     },
-    /// This process is the leader from now on, under this ballot, or is it no longer.
+    /// Reports that this process became the leader under this ballot, or with `None` is no longer the leader.
     LeadershipChanged(Option<Ballot>),
-    /// Something happened at the leader.
+    /// Reports an event that the application recorded at the leader.
     Event(A::Event),
 }
 
-/// Who leads, as far as a process knows.
+/// Leader known to a process.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct KnownLeader {
     pub name: Name,
     pub heard_at: Micros,
 }
 
-/// One process's part in the protocol, for one application.
+/// State machine of one process for one application.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Machine<A: Application> {
     pub(super) config: Config,
     pub(super) application: A,
     pub(super) voters: Voters,
     pub(super) me: Process,
-    /// `None`: it is no voter, and never becomes the leader.
+    /// Voter role; `None`: the process is not a voter and never becomes the leader.
     pub(super) voter: Option<Voter<A>>,
-    pub(super) member: LocalReplica<A>,
+    pub(super) replica: LocalReplica<A>,
     pub(super) candidacy: Option<Candidacy<A>>,
     pub(super) next_candidacy_at: Micros,
-    /// Candidacies in a row that did not succeed.
+    /// Number of consecutive unsuccessful candidacies.
     pub(super) failed_candidacies: u32,
     pub(super) leader: Option<Box<Leader<A>>>,
-    /// It has drawn when it sends its first query.
+    /// True once the random delay of the first actions was set.
     pub(super) has_started: bool,
     pub(super) next_renewal_at: Micros,
-    /// When it last asked for a lease.
+    /// Time of the last lease request.
     pub(super) last_renewal_at: Micros,
-    /// As the leader: when the next renewal round begins.
+    /// Time of the leader's next renewal round.
     pub(super) next_round_at: Micros,
     pub(super) known_leader: Option<KnownLeader>,
-    /// The place, among the voters, of the one that it last took for the leader without knowing one.
+    /// Index of the voter that was last asked in place of an unknown leader.
     pub(super) voter_cursor: usize,
-    /// The processes that recently reported that their state is complete, and when.
+    /// Processes that recently reported a complete state, with the time of the report.
     pub(super) peers_with_complete_state: BTreeMap<Name, Micros>,
     pub(super) pending_commands: VecDeque<PendingCommand<A::Command>>,
-    /// `None`: nothing outlives the process.
+    /// Progress of the persistence; `None`: persistence is disabled.
     pub(super) persistence: Option<Persistence>,
-    /// Its messages to itself, handled at the end of each step.
+    /// Messages of the process to itself, handled at the end of each step.
     pub(super) loopback: VecDeque<Message<A>>,
 }
 
 impl<A: Application> Machine<A> {
-    /// A process that starts at `now`.
+    /// Creates the machine of a process that starts at `now`, in microseconds.
     pub fn new(config: Config, application: A, voters: Voters, me: Process, now: Micros) -> Machine<A> {
         let voter = voters.contains(&me.name).then(|| Voter::new(now, &config));
         Machine {
@@ -113,7 +113,7 @@
             pending_commands: VecDeque::new(),
             persistence: None,
             loopback: VecDeque::new(),
-            member: LocalReplica::new(now),
+            replica: LocalReplica::new(now),
             config,
             application,
             voters,
@@ -122,91 +122,91 @@
         }
     }
 
-    /// What the application keeps while this process leads; `None`: it does not lead.
+    /// Data of the application at the leader; `None`: this process is not the leader.
     pub fn leader_data(&self, now: Micros) -> Option<&A::LeaderData> {
         self.leader.as_ref().filter(|leader| leader.state.is_leading(now)).map(|leader| &leader.data)
     }
 
-    /// This process.
+    /// Local process.
     pub fn me(&self) -> &Process {
         &self.me
     }
 
-    /// The voters that it is configured with.
+    /// Configured voters.
     pub fn voters(&self) -> &Voters {
         &self.voters
     }
 
-    /// The time spans of the protocol.
+    /// Time limits of the protocol.
     pub fn config(&self) -> &Config {
         &self.config
     }
 
-    /// Its application.
+    /// Application of the machine.
     pub fn application(&self) -> &A {
         &self.application
     }
 
-    /// Its application, to be given what the process itself knows.
+    /// Application, for updates with local data.
     pub fn application_mut(&mut self) -> &mut A {
         &mut self.application
     }
 
-    /// Its part as a participant: the state that it has applied, and its lease.
+    /// Applied state and lease of the local process.
     pub fn local_replica(&self) -> &LocalReplica<A> {
-        &self.member
+        &self.replica
     }
 
-    /// The state that it has applied, its spans as they were when it came.
+    /// Applied state, with its durations as received.
     pub fn state(&self) -> &A::State {
-        &self.member.state.state
+        &self.replica.state.state
     }
 
-    /// Its ballot, while it leads.
+    /// Ballot of this process as the leader; `None`: it is not the leader.
     pub fn leading_ballot(&self, now: Micros) -> Option<&Ballot> {
         self.leader_state(now).map(LeaderState::ballot)
     }
 
-    /// Its records, while it leads.
+    /// Records of this process as the leader; `None`: it is not the leader.
     pub fn leader_state(&self, now: Micros) -> Option<&LeaderState<A>> {
         self.leader.as_ref().map(|leader| &leader.state).filter(|state| state.is_leading(now))
     }
 
-    /// Whether it was admitted.
+    /// Admission status of the process.
     pub fn admission_status(&self) -> AdmissionStatus {
-        self.member.admission_status()
+        self.replica.admission_status()
     }
 
-    /// The lease as operators see it.
+    /// Status of the lease for operators.
     pub fn status(&self, now: Micros) -> LeaseStatus {
         let leader_state = self.leader_state(now);
         LeaseStatus {
             me: self.me.name.to_string(),
             leader: self.current_leader(now).map(|name| name.to_string()),
-            highest_ballot: self.member.highest_ballot.as_ref().map(Ballot::to_string),
+            highest_ballot: self.replica.highest_ballot.as_ref().map(Ballot::to_string),
             is_leader: leader_state.is_some(),
             is_state_lost: leader_state.is_some_and(|state| state.state_lost_since.is_some()),
             admission: self.admission_status().as_str().to_owned(),
-            reason: self.member.wait.reason.to_string(),
-            lease_remaining_ms: self.member.lease_expiry.saturating_sub(now) / MICROS_PER_MILLI,
-            version: self.member.state.version.to_string(),
+            reason: self.replica.admission_wait.reason.to_string(),
+            lease_remaining_ms: self.replica.lease_expiry.saturating_sub(now) / MICROS_PER_MILLI,
+            version: self.replica.state.version.to_string(),
             voter: self.voter.as_ref().map(|voter| voter.recovery),
         }
     }
 
-    /// The leader that it has heard of within the duration of a lease.
+    /// Leader that was heard of within the last lease duration; `None`: no leader is known.
     pub(super) fn current_leader(&self, now: Micros) -> Option<Name> {
         let is_fresh =
             |leader: &&KnownLeader| now.saturating_sub(leader.heard_at) <= self.config.lease_duration;
         self.known_leader.as_ref().filter(is_fresh).map(|leader| leader.name.clone())
     }
 
-    /// It has just heard of this leader.
-    pub(super) fn note_leader(&mut self, now: Micros, name: Name) {
+    /// Records that the process `name` is the leader.
+    pub(super) fn record_leader(&mut self, now: Micros, name: Name) {
         self.known_leader = Some(KnownLeader { name, heard_at: now });
     }
 
-    /// The leader that this process is, with what is needed to act as it.
+    /// Returns the leader and the input of its operations; `None`: this process is not the leader.
     pub(super) fn leader_with_environment<'a>(
         &'a mut self,
         now: Micros,
@@ -224,34 +224,34 @@
         Some((leader, environment))
     }
 
-    /// Takes note of a ballot. Returns whether what was sent under it counts.
-    pub(super) fn accept_fence(&mut self, fence: &Ballot) -> bool {
-        match self.member.observe_fence(fence) {
-            FenceCheck::Stale => false,
-            FenceCheck::Current => true,
-            FenceCheck::Raised => {
-                self.application.higher_ballot_observed(fence);
+    /// Records a ballot. Returns whether messages under it are valid, because no higher one is known.
+    pub(super) fn accept_ballot(&mut self, ballot: &Ballot) -> bool {
+        match self.replica.observe_ballot(ballot) {
+            BallotCheck::Stale => false,
+            BallotCheck::Current => true,
+            BallotCheck::Raised => {
+                self.application.higher_ballot_observed(ballot);
                 true
             }
         }
     }
 
-    /// Applies a state. Returns whether it counts.
+    /// Applies a state unless a newer one or a higher ballot is known. Returns whether it was applied.
     pub(super) fn apply(&mut self, now: Micros, state: Versioned<A::State>) -> bool {
-        let Some(fence) = state.version.ballot.clone() else { return false };
-        let is_applied = self.accept_fence(&fence) && self.member.apply(now, state);
+        let Some(ballot) = state.version.ballot.clone() else { return false };
+        let is_applied = self.accept_ballot(&ballot) && self.replica.apply(now, state);
         if is_applied {
-            self.application.state_changed(now, &self.member.state.state);
+            self.application.state_changed(now, &self.replica.state.state);
         }
         is_applied
     }
 
-    /// A random span of up to a renewal interval.
+    /// Random duration below the renewal interval.
     pub(super) fn jitter(&self, context: &mut Context<'_, A::Facts>) -> Micros {
         random_below(context, self.config.renewal_interval())
     }
 
-    /// Sends a message to another process, or hands it to this one at the end of the step.
+    /// Sends a message to another process, or queues one to this process for the end of the step.
     pub(super) fn send(&mut self, to: &Name, message: Message<A>, effects: &mut Vec<Effect<A>>) {
         if *to == self.me.name {
             self.loopback.push_back(message);
@@ -260,20 +260,20 @@
         }
     }
 
-    /// Sends an answer, if there is one.
+    /// Sends the answer, if there is one.
     pub(super) fn reply(&mut self, to: &Name, answer: Option<Message<A>>, effects: &mut Vec<Effect<A>>) {
         if let Some(message) = answer {
             self.send(to, message, effects);
         }
     }
 
-    /// The voters beside this process.
+    /// Voters other than this process.
     pub(super) fn other_voters(&self) -> Vec<Name> {
         self.voters.iter().filter(|name| **name != self.me.name).cloned().collect()
     }
 }
 
-/// A random span below `bound`, which counts as 32 bits at the most.
+/// Random duration below `bound`, which is limited to 32 bits.
 pub(super) fn random_below<F>(context: &mut Context<'_, F>, bound: Micros) -> Micros {
     (u64::from(context.random.next_u32()) * bound.min(u64::from(u32::MAX))) >> u32::BITS
 }
--- a/lease/src/machine/voter_recovery.rs
+++ b/lease/src/machine/voter_recovery.rs
@@ -1,4 +1,4 @@
-//! How a restarted voter asks the others what it has forgotten.
+//! Messages by which a restarted voter recovers its knowledge from other voters.
 
 use super::state::{Context, Effect, Machine};
 use crate::application::Application;
@@ -8,7 +8,7 @@
 use flaxhead_membership::{Micros, Name};
 
 impl<A: Application> Machine<A> {
-    /// Asks the other voters, if that is due.
+    /// Sends recovery requests to the other voters, if they are due.
     pub(super) fn recover_voter(
         &mut self,
         context: &mut Context<'_, A::Facts>,
@@ -22,14 +22,14 @@
         for to in self.other_voters() {
             self.send(&to, Message::VoterRecoveryRequest { nonce, voter_sets }, effects);
         }
-        // A voter without any other has nobody to ask.
-        let is_alone = self.voters.has_majority(|name| *name == self.me.name);
-        if let Some(voter) = self.voter.as_mut().filter(|_| is_alone) {
+        // A single voter has no other to recover from.
+        let is_only_voter = self.voters.has_majority(|name| *name == self.me.name);
+        if let Some(voter) = self.voter.as_mut().filter(|_| is_only_voter) {
             voter.recovery = RecoveryState::StateLost;
         }
     }
 
-    /// Another voter asks what it has forgotten.
+    /// Answers the recovery request of another voter.
     pub(super) fn handle_voter_recovery_request(
         &mut self,
         now: Micros,
@@ -41,13 +41,14 @@
         if !self.voters.overlaps(voter_sets) {
             return;
         }
-        let state = self.member.current_state(now);
+        let state = self.replica.current_state(now);
         let response = self.voter.as_ref().map(|voter| voter.recovery_response(now, nonce, state));
         let answer = response.map(|response| Message::VoterRecoveryResponse(Box::new(response)));
         self.reply(from, answer, effects);
     }
 
-    /// Another voter has answered. No candidacy begins before the leases that it knows of have run out.
+    /// Handles a recovery response. No candidacy starts before the leases that the responding voter has
+    /// granted expire.
     pub(super) fn handle_voter_recovery_response(
         &mut self,
         context: &mut Context<'_, A::Facts>,
@@ -60,7 +61,7 @@
         let recovered = self
             .voter
             .as_mut()
-            .and_then(|voter| voter.take_recovery_response(now, config, voters, me, from, response));
+            .and_then(|voter| voter.handle_recovery_response(now, config, voters, me, from, response));
         if self.voter.as_ref().is_some_and(|voter| !voter.may_vote()) {
             self.next_candidacy_at = self.next_candidacy_at.max(lease_end);
         }
