--- a/lease/src/message.rs
+++ b/lease/src/message.rs
@@ -1,6 +1,6 @@
-//! The messages between processes. How they are encoded is up to the driver.
+//! Messages between processes.
 //!
-//! The driver encodes by position: neither the order of variants nor that of fields may change.
+//! The driver encodes them by position, so the order of variants and fields must not change.
 
 use crate::admission::RecoveryStatus;
 use crate::ballot::{Ballot, Version, Versioned};
@@ -11,223 +11,223 @@
 use flaxhead_membership::{Micros, Name};
 use serde::{Deserialize, Serialize};
 
-/// Maximum encoded size of a roster: some thousand processes.
+/// Maximum encoded size of a roster, enough for several thousand processes.
 const MAX_ROSTER_BYTES: usize = 1 << 17;
-/// Maximum encoded size of everything else in a message: numbers, a process, two ballots.
+/// Maximum encoded size of the other parts of a message: numbers, a process, two ballots.
 const MAX_HEADER_BYTES: usize = 1 << 9;
 
-/// A voter's promise to accept no lower ballot, with what it knows.
+/// Promise of a voter to accept no lower ballot, with the data that it stores.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(bound = "")]
 pub struct Promise<T: ApplicationTypes> {
-    /// The candidate's ballot.
+    /// Ballot of the candidate.
     pub ballot: Ballot,
-    /// The voter's incarnation.
+    /// Incarnation of the voter.
     pub incarnation: u64,
-    /// How far the voter has recovered.
+    /// Recovery state of the voter.
     pub recovery: RecoveryState,
-    /// The roster that it stores.
+    /// Roster that the voter stores.
     pub roster: Roster,
-    /// The state that it has applied.
+    /// State that the voter has applied.
     pub state: Versioned<T::State>,
 }
 
-/// A voter's refusal to promise or to accept.
+/// Refusal of a voter to promise or to accept.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Denial {
-    /// The ballot that is denied.
+    /// Ballot that is denied.
     pub ballot: Ballot,
-    /// The highest ballot that the voter has promised.
+    /// Highest ballot that the voter has promised.
     pub promised: Option<Ballot>,
-    /// For how long another's lease still runs at this voter.
+    /// Remaining time of another leader's lease at this voter, in microseconds; 0: none.
     pub lease_left: Micros,
 }
 
-/// The request to a voter that has promised: grant the lease, or prolong it.
+/// Request to a voter that has promised: to grant the lease, or to extend it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Proposal {
-    /// The candidate's or leader's ballot.
+    /// Ballot of the candidate or leader.
     pub ballot: Ballot,
-    /// The renewal round that it belongs to.
+    /// Renewal round.
     pub round: u64,
-    /// The incarnation of the voter that promised: another one knows nothing of that.
+    /// Incarnation of the voter that promised; a restarted voter has lost the promise.
     pub incarnation: u64,
-    /// The leader knows for certain who may hold a lease.
+    /// True if the leader's roster is complete.
     pub is_recovered: bool,
-    /// The processes that may hold a lease.
+    /// Processes that may hold a lease.
     pub roster: Roster,
 }
 
-/// A voter's acceptance of a [`Proposal`].
+/// Acceptance of a [`Proposal`] by a voter.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Acceptance {
-    /// The leader's ballot.
+    /// Ballot of the leader.
     pub ballot: Ballot,
-    /// The round that is accepted.
+    /// Renewal round that is accepted.
     pub round: u64,
-    /// The voter's incarnation.
+    /// Incarnation of the voter.
     pub incarnation: u64,
-    /// The version of the roster that it stores.
+    /// Version of the roster that the voter stores.
     pub roster: Version,
 }
 
-/// What a voter tells another that has lost its memory.
+/// Response of a voter to another that has restarted.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(bound = "")]
 pub struct VoterRecoveryResponse<T: ApplicationTypes> {
-    /// That of the request.
+    /// Nonce of the request.
     pub nonce: u64,
-    /// How far this voter has recovered itself.
+    /// Recovery state of the responding voter.
     pub recovery: RecoveryState,
-    /// The highest ballot that it has promised.
+    /// Highest ballot that the voter has promised.
     pub promised: Option<Ballot>,
-    /// For how long a lease that it has granted still runs.
+    /// Remaining time of the lease that the voter has granted, in microseconds; 0: none.
     pub lease_left: Micros,
-    /// The roster that it stores.
+    /// Roster that the voter stores.
     pub roster: Roster,
-    /// The state that it has applied.
+    /// State that the voter has applied.
     pub state: Versioned<T::State>,
 }
 
-/// A process's request for a lease of its own, or for more of it.
+/// Request of a process for a lease, or for its renewal.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(bound = "")]
 pub struct Renewal<T: ApplicationTypes> {
-    /// The process.
+    /// Requesting process.
     pub process: Process,
-    /// When it asks, by its own clock: the lease counts from there.
+    /// Time of the request, by the clock of the process. The lease is counted from it.
     pub sent_at: Micros,
-    /// Its state is complete.
+    /// True if the state of the process is complete.
     pub has_complete_state: bool,
-    /// The version of the state that it has applied: it has what a leader replicated if that is of the leader's ballot.
+    /// Version of the state that the process has applied.
     pub version: Version,
-    /// The highest ballot that it has heard of.
+    /// Highest ballot known to the process.
     pub highest_ballot: Option<Ballot>,
-    /// The application's report.
+    /// Report of the application.
     pub report: T::Report,
 }
 
-/// A lease for one process.
+/// Lease of one process.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(bound = "")]
 pub struct LeaseGrant<T: ApplicationTypes> {
-    /// The leader's ballot.
+    /// Ballot of the leader.
     pub ballot: Ballot,
-    /// The incarnation of the process that it is granted to.
+    /// Incarnation of the process that gets the lease.
     pub incarnation: u64,
-    /// When that process asked, by its own clock: the lease counts from there.
+    /// Time of the request, by the clock of the requesting process. The lease is counted from it.
     pub requested_at: Micros,
-    /// The leader knows the complete state, itself or from a process that was admitted all along.
+    /// True if the leader knows the complete state.
     pub is_recovered: bool,
-    /// The application's grant.
+    /// Grant of the application.
     pub grant: T::Grant,
 }
 
-/// The question of a process that waits for admission: what another one knows.
+/// Query of a process that waits for admission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RecoveryQuery {
-    /// The incarnation of the process that asks.
+    /// Incarnation of the querying process.
     pub incarnation: u64,
-    /// When it asks, by its own clock.
+    /// Time of the query, by the clock of the querying process.
     pub sent_at: Micros,
-    /// It wants the state as well.
+    /// True if the reply should include the state.
     pub wants_state: bool,
 }
 
-/// The reply to a [`RecoveryQuery`].
+/// Reply to a [`RecoveryQuery`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(bound = "")]
 pub struct RecoveryReply<T: ApplicationTypes> {
-    /// The incarnation of the process that asked.
+    /// Incarnation of the querying process.
     pub incarnation: u64,
-    /// When it asked, by its own clock.
+    /// Time of the query, by the clock of the querying process.
     pub requested_at: Micros,
-    /// What the replying process knows.
+    /// Information of the replying process.
     pub status: RecoveryStatus,
-    /// Its state, if that was asked for and is complete.
+    /// State of the replying process, if it was requested and is complete.
     pub state: Option<Versioned<T::State>>,
 }
 
-/// A message between two processes.
+/// Message between two processes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(bound = "")]
 pub enum Message<T: ApplicationTypes> {
-    /// A candidate asks a voter to promise to accept no lower ballot.
+    /// Request of a candidate to promise not to accept any lower ballot.
     Prepare {
-        /// The candidate's ballot.
+        /// Ballot of the candidate.
         ballot: Ballot,
-        /// The voters that the candidate is configured with.
+        /// Hashes of the voter sets of the candidate's configuration.
         voter_sets: VoterSetHashes,
     },
-    /// The answer to `Prepare`.
+    /// Answer to `Prepare`: the voter promises.
     Promised(Box<Promise<T>>),
-    /// The answer to `Prepare` or `Propose` of a voter that declines.
+    /// Answer to `Prepare` or `Propose`: the voter declines.
     Denied(Denial),
-    /// A candidate or leader asks a voter that has promised for the lease.
+    /// Request of a candidate or leader for the lease, to a voter that has promised.
     Propose(Proposal),
-    /// The answer to `Propose`: the lease is granted, and the roster stored.
+    /// Answer to `Propose`: the voter grants the lease and stores the roster.
     Accepted(Acceptance),
-    /// A restarted voter asks another what it has forgotten.
+    /// Request of a restarted voter for the data of another voter.
     VoterRecoveryRequest {
-        /// Comes back with the response.
+        /// Number that the response repeats.
         nonce: u64,
-        /// The voters that the sender is configured with.
+        /// Hashes of the voter sets of the sender's configuration.
         voter_sets: VoterSetHashes,
     },
-    /// The answer to `VoterRecoveryRequest`.
+    /// Answer to `VoterRecoveryRequest`.
     VoterRecoveryResponse(Box<VoterRecoveryResponse<T>>),
-    /// The leader replicates the state.
+    /// Replication of the leader's state.
     StateUpdate {
-        /// The state.
+        /// State with its version.
         state: Versioned<T::State>,
     },
-    /// A process asks the leader for a lease, and reports.
+    /// Request of a process for a lease, with its report.
     Renew(Box<Renewal<T>>),
-    /// A leader that lacks the complete state asks a process for its own.
+    /// Request of a leader with an incomplete state for the state of a process.
     StateRequest {
-        /// The leader's ballot.
+        /// Ballot of the leader.
         ballot: Ballot,
     },
-    /// The answer to `StateRequest`.
+    /// Answer to `StateRequest`.
     StateResponse {
-        /// That of the request.
+        /// Ballot of the request.
         ballot: Ballot,
-        /// The state that the process has applied.
+        /// State that the process has applied.
         state: Versioned<T::State>,
-        /// The process was admitted all along, so its state is complete.
+        /// True if that state is complete, because the process remained admitted.
         is_complete: bool,
     },
-    /// The answer to `Renew`: the process holds a lease.
+    /// Answer to `Renew`: the process gets a lease.
     Granted(Box<LeaseGrant<T>>),
-    /// A process that waits for admission asks what another knows.
+    /// Query of a process that waits for admission.
     RecoveryQuery(RecoveryQuery),
-    /// The answer to `RecoveryQuery`.
+    /// Answer to `RecoveryQuery`.
     RecoveryReply(Box<RecoveryReply<T>>),
-    /// The answer to `Renew`, `StateUpdate` or `Command` of a process that is not the leader, or has a later one.
+    /// Answer to `Renew`, `StateUpdate` or `Command`: the sender is not the leader, or knows a higher ballot.
     NotLeader {
-        /// The leader, as far as the sender knows.
+        /// Leader known to the sender.
         leader: Option<Name>,
-        /// The highest ballot that the sender has heard of.
+        /// Highest ballot known to the sender.
         highest_ballot: Option<Ballot>,
     },
-    /// An operator's command, forwarded to the leader.
+    /// Command of an operator, forwarded to the leader.
     Command {
-        /// Comes back with the response.
+        /// Number that the response repeats.
         id: u64,
-        /// The command.
+        /// Command of the application.
         command: T::Command,
     },
-    /// The answer to `Command`.
+    /// Answer to `Command`.
     CommandResponse {
-        /// That of the command.
+        /// Id of the command.
         id: u64,
-        /// What it led to.
+        /// Response, or reason for the rejection.
         result: Result<T::Response, T::Rejection>,
     },
 }
 
 impl<T: ApplicationTypes> Message<T> {
-    /// Maximum encoded size of any message.
+    /// Maximum encoded size of any message, in bytes.
     pub const MAX_BYTES: usize = MAX_HEADER_BYTES
         + MAX_ROSTER_BYTES
         + T::MAX_STATE_BYTES
@@ -235,7 +235,7 @@
         + T::MAX_GRANT_BYTES
         + T::MAX_COMMAND_BYTES;
 
-    /// Maximum encoded size of this message. Sender and receiver both drop a longer one: it is none of this application's.
+    /// Maximum encoded size of this message, in bytes. Sender and receiver drop longer ones.
     pub fn max_len(&self) -> usize {
         MAX_HEADER_BYTES + self.max_payload_len()
     }
--- a/lease/src/persistent_state.rs
+++ b/lease/src/persistent_state.rs
@@ -1,4 +1,4 @@
-//! What a process stores on disk over a restart.
+//! State that a process stores on disk.
 
 use crate::ballot::{Ballot, Version, Versioned};
 use crate::roster::Roster;
@@ -6,27 +6,28 @@
 use crate::voters::VoterSetHashes;
 use serde::{Deserialize, Serialize};
 
-/// What a restarted process needs of the one before it. Loaded by [`crate::Machine::with_persistence`], it counts as possibly
-/// outdated: a voter recovers by it but does not leave its quarantine any sooner, and a process keeps away from what the
-/// state excludes but does not serve by it.
+/// State that a process stores for its restart. When loaded by [`crate::Machine::with_persistence`], it may
+/// be outdated. A voter recovers from it, but its quarantine is not shortened. A process applies the
+/// restrictions in the state, but may not serve because of it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(bound = "")]
 pub struct PersistentState<T: ApplicationTypes> {
-    /// The process is a voter, and [`crate::RecoveryState::Recovered`].
+    /// True if the process is a voter and [`crate::RecoveryState::Recovered`].
     pub is_recovered: bool,
-    /// The voters that it was configured with. With other voters it does not count as recovered.
+    /// Configured voters; with other voters, the stored state does not count as recovered.
     pub voter_sets: VoterSetHashes,
-    /// The highest ballot that it has promised as a voter. A lower bound, for it may have promised more since.
+    /// Lower bound of the highest ballot that the process has promised as a voter.
     pub promised: Option<Ballot>,
-    /// The highest ballot that it has heard of. A lower bound.
+    /// Lower bound of the highest ballot known to the process.
     pub highest_ballot: Option<Ballot>,
-    /// The roster that it stores as a voter.
+    /// Roster that the process stores as a voter.
     pub roster: Roster,
-    /// The state that it has applied.
+    /// State that the process has applied.
     pub state: Versioned<T::State>,
 }
 
-/// Identifies a [`PersistentState`] of one process: two with the same mark are equal but for the time spans within.
+/// Version of a [`PersistentState`]. States of one process with the same version differ only in the durations
+/// that they contain.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct PersistentStateVersion {
     pub(crate) is_recovered: bool,
@@ -37,7 +38,7 @@
 }
 
 impl<T: ApplicationTypes> PersistentState<T> {
-    /// Its mark.
+    /// Version of this state.
     pub fn version(&self) -> PersistentStateVersion {
         PersistentStateVersion {
             is_recovered: self.is_recovered,
--- a/lease/src/recovery_state.rs
+++ b/lease/src/recovery_state.rs
@@ -1,33 +1,33 @@
-//! What a voter knows after its restart.
+//! Recovery of a voter after its restart.
 
 use serde::{Deserialize, Serialize};
 
-/// How far a voter has recovered what it knew before its restart, in ascending order. It may vote from
+/// Progress of a voter's recovery after its restart, in ascending order. The voter may vote from
 /// [`RecoveryState::StateLost`] on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum RecoveryState {
-    /// It started recently: a lease that it granted before may still run, so it is silent.
+    /// Silent after the start, because leases that were granted before may still be valid.
     #[serde(rename = "silent")]
     Quarantined,
-    /// No such lease runs any more; it asks the other voters what it has forgotten.
+    /// Without valid leases from before; the voter requests the lost data from other voters.
     #[serde(rename = "recalling")]
     Recovering,
-    /// Too many voters have forgotten at once: nobody knows for certain.
+    /// Unable to recover, because too many voters have lost their data at once.
     #[serde(rename = "cold")]
     StateLost,
-    /// It knows what a majority of voters knew.
+    /// In possession of everything that a majority of voters stored.
     #[serde(rename = "sure")]
     Recovered,
 }
 
 impl RecoveryState {
-    /// Whether a voter in this state may vote.
+    /// Returns whether a voter in this state may vote.
     pub(crate) fn may_vote(self) -> bool {
         self >= RecoveryState::StateLost
     }
 
-    /// Whether such a voter is out of its quarantine and does not know what there was before.
-    pub(crate) fn has_forgotten(self) -> bool {
+    /// Returns whether the quarantine is over, but the earlier data is not known.
+    pub(crate) fn has_lost_data(self) -> bool {
         matches!(self, RecoveryState::Recovering | RecoveryState::StateLost)
     }
 }
--- a/lease/src/replica.rs
+++ b/lease/src/replica.rs
@@ -1,4 +1,4 @@
-//! The part of every process: the state that it has applied, and its lease.
+//! Applied state and lease of the local process.
 
 use crate::admission::{AdmissionReason, AdmissionWait};
 use crate::ballot::{Ballot, Versioned};
@@ -6,19 +6,19 @@
 use crate::types::{ApplicationTypes, ReplicatedState};
 use flaxhead_membership::Micros;
 
-/// Whether a process was admitted.
+/// Admission of a process by the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum AdmissionStatus {
-    /// It started and does not know the state yet.
+    /// Started, without knowing the state.
     Pending,
-    /// It is on the roster.
+    /// On the roster.
     Admitted,
-    /// It serves without having been admitted, by the state that it has: [`AdmissionReason`] says why.
+    /// Serving without admission, for a reason given by [`AdmissionReason`].
     Autonomous,
 }
 
 impl AdmissionStatus {
-    /// The word that the side port has for it.
+    /// Name on the status pages.
     pub(crate) fn as_str(self) -> &'static str {
         match self {
             AdmissionStatus::Pending => "waits",
@@ -28,28 +28,29 @@
     }
 }
 
-/// How a ballot that was heard of compares with the highest one before it.
+/// Comparison of a received ballot with the highest known one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum FenceCheck {
-    /// It is lower: nothing under it counts any more.
+pub(crate) enum BallotCheck {
+    /// Lower: messages under it are ignored.
     Stale,
-    /// It is the highest.
+    /// Equal.
     Current,
-    /// It is higher, and is the highest from now on.
+    /// Higher: it replaces the highest known one.
     Raised,
 }
 
-/// One process as a participant.
+/// Applied state and lease of the local process.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LocalReplica<T: ApplicationTypes> {
-    /// What it has learned while it waits for admission.
-    pub(crate) wait: AdmissionWait,
-    /// It serves without having been admitted.
+    /// Progress of the wait for admission.
+    pub(crate) admission_wait: AdmissionWait,
+    /// True if the process serves without admission.
     pub(crate) is_autonomous: bool,
-    /// Its state is complete: a leader that knew it admitted this process, or a process with the complete state sent it.
+    /// True if the state is complete: it came from a leader that knew it, or from a process with the complete
+    /// state.
     pub(crate) has_complete_state: bool,
     pub(crate) state: Versioned<T::State>,
-    /// The time at which the spans in the state are exact.
+    /// Time to which the durations in the state refer.
     state_as_of: Micros,
     pub(crate) highest_ballot: Option<Ballot>,
     pub(crate) is_admitted: bool,
@@ -59,7 +60,7 @@
 impl<T: ApplicationTypes> LocalReplica<T> {
     pub(crate) fn new(now: Micros) -> Self {
         LocalReplica {
-            wait: AdmissionWait::new(now),
+            admission_wait: AdmissionWait::new(now),
             is_autonomous: false,
             has_complete_state: false,
             state: Versioned::default(),
@@ -70,46 +71,46 @@
         }
     }
 
-    /// The state that it has applied, its spans as they were when it came.
+    /// Applied state, with its durations as received.
     pub fn state(&self) -> &Versioned<T::State> {
         &self.state
     }
 
-    /// The state that it has applied, its spans as they are now.
+    /// Applied state, with its durations advanced to `now`.
     pub fn current_state(&self, now: Micros) -> Versioned<T::State> {
         let mut state = self.state.clone();
         state.state.advance(now.saturating_sub(self.state_as_of));
         state
     }
 
-    /// The highest ballot that it has heard of: it accepts nothing under a lower one.
+    /// Highest ballot known to the process, which ignores messages under a lower one.
     pub fn highest_ballot(&self) -> Option<&Ballot> {
         self.highest_ballot.as_ref()
     }
 
-    /// Whether a leader that knows the state has admitted it.
+    /// Returns whether a leader that knows the state has admitted the process.
     pub fn is_admitted(&self) -> bool {
         self.is_admitted
     }
 
-    /// When its lease ends, by its own clock; a moment in the past where it holds none.
+    /// End of the lease, by the local clock; a time in the past if the process holds none.
     pub fn lease_expiry(&self) -> Micros {
         self.lease_expiry
     }
 
-    /// Takes note of a ballot.
-    pub(crate) fn observe_fence(&mut self, fence: &Ballot) -> FenceCheck {
-        if self.highest_ballot.as_ref().is_some_and(|own| own > fence) {
-            return FenceCheck::Stale;
+    /// Compares a ballot with the highest known one, and replaces that if it is lower.
+    pub(crate) fn observe_ballot(&mut self, ballot: &Ballot) -> BallotCheck {
+        if self.highest_ballot.as_ref().is_some_and(|own| own > ballot) {
+            return BallotCheck::Stale;
         }
-        if self.highest_ballot.as_ref() == Some(fence) {
-            return FenceCheck::Current;
+        if self.highest_ballot.as_ref() == Some(ballot) {
+            return BallotCheck::Current;
         }
-        self.highest_ballot = Some(fence.clone());
-        FenceCheck::Raised
+        self.highest_ballot = Some(ballot.clone());
+        BallotCheck::Raised
     }
 
-    /// Applies a state of the leader whose fence counts. Returns whether it was no older than the one before.
+    /// Applies a state. Returns false if the current one is newer.
     pub(crate) fn apply(&mut self, now: Micros, state: Versioned<T::State>) -> bool {
         if state.version < self.state.version {
             return false;
@@ -119,20 +120,21 @@
         true
     }
 
-    /// Takes a lease that it asked for at `requested_at`. Before it was admitted it takes one only of a leader that
-    /// `is_recovered`. Returns whether it was taken.
+    /// Takes the lease that was requested at `requested_at`. Before its admission, a process that does not
+    /// serve takes a lease only from a leader that knows the complete state (`is_recovered`). Returns whether
+    /// the lease was taken.
     pub(crate) fn take_lease(&mut self, requested_at: Micros, is_recovered: bool, config: &Config) -> bool {
         if !(self.is_admitted || is_recovered || self.is_autonomous) {
             return false;
         }
         self.is_admitted = true;
         self.has_complete_state |= is_recovered;
-        self.wait.reason = AdmissionReason::Admitted;
+        self.admission_wait.reason = AdmissionReason::Admitted;
         self.lease_expiry = self.lease_expiry.max(requested_at + config.lease_duration);
         true
     }
 
-    /// Merges the complete state of another process into its own.
+    /// Merges the complete state of another process.
     pub(crate) fn merge(&mut self, now: Micros, other: Versioned<T::State>) {
         let mut own = self.current_state(now);
         if other.version > own.version {
@@ -145,7 +147,7 @@
         self.state_as_of = now;
     }
 
-    /// Whether it was admitted.
+    /// Admission status of the process.
     pub(crate) fn admission_status(&self) -> AdmissionStatus {
         match (self.is_admitted, self.is_autonomous) {
             (true, _) => AdmissionStatus::Admitted,
--- a/lease/src/roster.rs
+++ b/lease/src/roster.rs
@@ -1,4 +1,4 @@
-//! The processes that take part.
+//! Processes that may hold a lease.
 
 use crate::ballot::Version;
 use flaxhead_membership::Name;
@@ -6,28 +6,28 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// A process that may hold a lease.
+/// Process that may hold a lease.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Process {
-    /// Its name, the same after a restart.
+    /// Name, which a restart keeps.
     pub name: Name,
-    /// Which process with that name.
+    /// Incarnation, which differs between processes of the same name.
     pub incarnation: u64,
-    /// Where it listens: another process that listens there has replaced it.
+    /// Address on which the process listens. A later process on the same address has replaced it.
     pub address: SocketAddr,
 }
 
-/// All processes that may hold a lease.
+/// Processes that may hold a lease.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Roster {
-    /// Which of two rosters is newer.
+    /// Version of the roster.
     pub version: Version,
-    /// The processes.
+    /// Processes on the roster.
     pub processes: BTreeSet<Process>,
 }
 
 impl Roster {
-    /// The newest of several; the empty one where there are none.
+    /// Returns the roster with the highest version, or an empty one if there is none.
     pub(crate) fn newest<'a>(rosters: impl Iterator<Item = &'a Roster>) -> Roster {
         rosters.max_by(|a, b| a.version.cmp(&b.version)).cloned().unwrap_or_default()
     }
--- a/lease/src/status.rs
+++ b/lease/src/status.rs
@@ -1,35 +1,36 @@
-//! The lease as operators see it.
+//! Status of a lease for operators.
 
 use crate::recovery_state::RecoveryState;
 use serde::{Deserialize, Serialize};
 
-/// The lease from the point of view of one process. The names of its keys in JSON are those of the side port.
+/// Status of a lease from the point of view of one process. The JSON keys are part of the status pages and
+/// must not change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaseStatus {
-    /// The process's name.
+    /// Name of the process.
     pub me: String,
-    /// The leader, as far as the process knows; `None`: it knows of none.
+    /// Name of the leader; `None`: no leader is known.
     #[serde(rename = "holder")]
     pub leader: Option<String>,
-    /// The highest ballot that it has heard of.
+    /// Highest known ballot; `None`: none is known.
     #[serde(rename = "fence")]
     pub highest_ballot: Option<String>,
-    /// Whether the process itself is the leader.
+    /// True if the process is the leader.
     #[serde(rename = "holds")]
     pub is_leader: bool,
-    /// As the leader: the state is lost, and nothing new is decided.
+    /// True if the process is the leader and the state is lost, so that it makes no new decisions.
     #[serde(rename = "forgotten")]
     pub is_state_lost: bool,
-    /// Whether the process was admitted: `waits`, `admitted` or `alone`.
+    /// Admission status: `waits`, `admitted` or `alone`.
     #[serde(rename = "serving")]
     pub admission: String,
-    /// What it waits for, or why it may serve.
+    /// Reason for waiting or serving, as text.
     pub reason: String,
-    /// For how long its lease still runs, in milliseconds.
+    /// Remaining time of the process's lease in milliseconds; 0: no lease is held.
     #[serde(rename = "permitted_ms")]
     pub lease_remaining_ms: u64,
-    /// The version of the state that it has applied.
+    /// Version of the applied state.
     pub version: String,
-    /// As a voter, how far it has recovered; `None`: it is no voter.
+    /// Recovery state as a voter; `None`: not a voter.
     pub voter: Option<RecoveryState>,
 }
--- a/lease/src/types.rs
+++ b/lease/src/types.rs
@@ -1,4 +1,4 @@
-//! The types that an application puts into messages, and the size limit of each.
+//! Types of an application that messages contain, and their size limits.
 
 use crate::command_error::CommandError;
 use flaxhead_membership::Micros;
@@ -7,21 +7,21 @@
 use std::fmt::Debug;
 use std::hash::Hash;
 
-/// A value that can stand in a message.
+/// Value that a message may contain.
 pub trait Payload: Clone + Debug + Eq + Hash + Serialize + DeserializeOwned {}
 
 impl<T: Clone + Debug + Eq + Hash + Serialize + DeserializeOwned> Payload for T {}
 
-/// State that every process has a copy of. An application that sends each process something of its own uses `()`.
+/// State that is replicated to every process. An application without a common state uses `()`.
 pub trait ReplicatedState: Payload + Default {
-    /// Advances the time spans in the state by `elapsed`. The state holds spans rather than moments, so that they mean the
-    /// same by every clock.
+    /// Advances the durations in the state by `elapsed` microseconds. The state contains durations instead of
+    /// times, because the clocks of processes differ.
     fn advance(&mut self, elapsed: Micros) {
         let _ = elapsed;
     }
 
-    /// Merges what `other` holds and this state does not, while it is not known which of the two is complete. Returns
-    /// whether anything was new.
+    /// Merges the contents of `other`, when neither of the two is known to be complete. Returns whether the
+    /// state has changed.
     fn merge(&mut self, other: &Self) -> bool {
         let _ = other;
         false
@@ -30,29 +30,29 @@
 
 impl ReplicatedState for () {}
 
-/// A type without values: the command type of an application that takes no commands.
+/// Command type without values, for applications without commands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum NoCommand {}
 
-/// The types of an application, and how many bytes each may take in a message. The driver enforces the limits when it
-/// sends as well as when it receives.
+/// Types of an application, and the maximum size of each in a message. The driver checks the sizes on sending
+/// and receiving.
 pub trait ApplicationTypes: Clone + Debug + Eq + Hash {
-    /// What is replicated to every process.
+    /// State that is replicated to every process.
     type State: ReplicatedState;
-    /// What a process reports with each renewal of its lease.
+    /// Report that a process sends with each lease renewal.
     type Report: Payload;
-    /// What the leader grants to one process along with its lease.
+    /// Grant that the leader sends with a lease.
     type Grant: Payload;
-    /// What operators may command; [`NoCommand`] for nothing.
+    /// Command of an operator; [`NoCommand`] if there are none.
     type Command: Payload;
-    /// The result of a command, once it is committed.
+    /// Result of a committed command.
     type Response: Payload;
-    /// Why a command changed nothing. [`CommandError::NoLeader`], returned as the application's own rejection, has the
-    /// command submitted again.
+    /// Reason for rejecting a command. [`CommandError::NoLeader`], returned by the application itself, causes
+    /// the command to be submitted again.
     type Rejection: Payload + From<CommandError>;
-    /// Input beside the membership that the application decides by.
+    /// Input of the application beside the membership.
     type Facts;
-    /// Something that happened at the leader, for the audit trail and the log.
+    /// Event of the leader for the audit trail and the log.
     type Event: Clone + Debug + Eq + Hash;
 
     /// Maximum encoded size of the state.
--- a/lease/src/voter/mod.rs
+++ b/lease/src/voter/mod.rs
@@ -1,4 +1,4 @@
-//! The part of a voter: it grants leases, and stores the roster for as long as its process lives.
+//! Voter role of a process: grants of the leader's lease, and storage of the roster in memory.
 
 mod recovery;
 
@@ -12,20 +12,20 @@
 use recovery::ReceivedRecovery;
 use std::collections::BTreeMap;
 
-/// A lease that a voter has granted.
+/// Lease that a voter has granted.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct GrantedLease {
-    /// The leader's ballot.
+    /// Ballot of the leader.
     pub ballot: Ballot,
-    /// When it ends, by the voter's clock and with all drift.
-    pub until: Micros,
+    /// End of the lease, by the voter's clock and including the maximum drift.
+    pub expires_at: Micros,
 }
 
-/// A voter.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Voter<T: ApplicationTypes> {
     pub recovery: RecoveryState,
-    /// Its disk says that the process before it had recovered: it is quarantined for the leases alone.
+    /// True if the stored state of the previous process was recovered. The quarantine then only waits for old
+    /// leases to expire.
     pub was_recovered: bool,
     quarantined_until: Micros,
     next_recovery_at: Micros,
@@ -52,12 +52,12 @@
         }
     }
 
-    /// Whether it may vote.
+    /// Returns whether the voter may vote.
     pub(crate) fn may_vote(&self) -> bool {
         self.recovery.may_vote()
     }
 
-    /// When it has something to do by time alone.
+    /// Time of the voter's next timer.
     pub(crate) fn next_wake(&self) -> Micros {
         match self.recovery {
             RecoveryState::Quarantined => self.quarantined_until,
@@ -66,13 +66,13 @@
         }
     }
 
-    /// How long the lease that it has granted still runs; 0 where that is the lease of `except`.
+    /// Remaining time of the granted lease in microseconds; 0 if there is none or its ballot is `except`.
     pub(crate) fn lease_left(&self, now: Micros, except: Option<&Ballot>) -> Micros {
         let lease = self.lease.as_ref().filter(|lease| Some(&lease.ballot) != except);
-        lease.map_or(0, |lease| lease.until.saturating_sub(now))
+        lease.map_or(0, |lease| lease.expires_at.saturating_sub(now))
     }
 
-    /// Answers a candidate. `None`: it may not vote.
+    /// Answers a candidate's request for a promise; `None`: the voter may not vote.
     pub(crate) fn prepare(
         &mut self,
         now: Micros,
@@ -97,8 +97,8 @@
         })))
     }
 
-    /// Answers a proposal to the process with this incarnation. `None`: it may not vote, or the proposal is for an earlier
-    /// process, with which its promise is gone.
+    /// Answers a proposal; `None`: the voter may not vote, or the promise was given by an earlier incarnation
+    /// and is lost.
     pub(crate) fn accept(
         &mut self,
         now: Micros,
@@ -114,8 +114,8 @@
         if lease_left > 0 || self.promised.as_ref() != Some(&ballot) {
             return Some(self.denial(ballot, lease_left));
         }
-        let until = now + Config::with_max_drift(config.lease_duration);
-        self.lease = Some(GrantedLease { ballot: ballot.clone(), until });
+        let expires_at = now + Config::with_max_drift(config.lease_duration);
+        self.lease = Some(GrantedLease { ballot: ballot.clone(), expires_at });
         if roster.version > self.roster.version {
             self.roster = roster;
         }
--- a/lease/src/voter/recovery.rs
+++ b/lease/src/voter/recovery.rs
@@ -1,4 +1,4 @@
-//! How a restarted voter recovers what it has forgotten from the other voters.
+//! Recovery of a restarted voter from the data of other voters.
 
 use super::Voter;
 use crate::ballot::{Ballot, Versioned};
@@ -10,7 +10,7 @@
 use crate::voters::Voters;
 use flaxhead_membership::{Micros, Name};
 
-/// Another voter's response, and when it came.
+/// Response of another voter, with the time of its arrival.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct ReceivedRecovery<T: ApplicationTypes> {
     received_at: Micros,
@@ -21,7 +21,8 @@
 }
 
 impl<T: ApplicationTypes> Voter<T> {
-    /// Ends the quarantine once it is over. Returns the nonce of the request that is due to the other voters, if one is.
+    /// Ends the quarantine when its time is over. Returns the nonce of the requests to be sent to the other
+    /// voters; `None`: none are due.
     pub(crate) fn begin_recovery(&mut self, now: Micros, config: &Config) -> Option<u64> {
         if self.recovery == RecoveryState::Quarantined && now >= self.quarantined_until {
             self.recovery =
@@ -35,7 +36,7 @@
         Some(self.nonce)
     }
 
-    /// What it tells another voter that asks.
+    /// Response to the recovery request of another voter.
     pub(crate) fn recovery_response(
         &self,
         now: Micros,
@@ -52,8 +53,9 @@
         }
     }
 
-    /// Takes another voter's response. Returns the newest state of all responses once this voter may vote again.
-    pub(crate) fn take_recovery_response(
+    /// Stores a recovery response. Returns the newest state of all responses when this voter may vote again;
+    /// `None`: more responses are needed.
+    pub(crate) fn handle_recovery_response(
         &mut self,
         now: Micros,
         config: &Config,
@@ -70,28 +72,30 @@
         self.responses.insert(from.clone(), received);
         self.responses
             .retain(|_, response| now.saturating_sub(response.received_at) <= config.lease_duration);
-        self.recovery = self.recovered_state(voters, me)?;
-        self.take_newest_response()
+        self.recovery = self.next_recovery_state(voters, me)?;
+        self.adopt_newest_data()
     }
 
-    /// What the responses so far allow; `None`: to go on asking.
-    fn recovered_state(&self, voters: &Voters, me: &Name) -> Option<RecoveryState> {
-        // A majority that has recovered knows what a majority knew; this voter is none of it.
+    /// Recovery state that the responses allow; `None`: more responses are needed.
+    fn next_recovery_state(&self, voters: &Voters, me: &Name) -> Option<RecoveryState> {
+        // A majority of recovered voters, which never includes this one, stores everything that a majority
+        // stored before.
         let has_recovered = |name: &Name| {
             self.responses.get(name).is_some_and(|response| response.recovery == RecoveryState::Recovered)
         };
         if voters.has_majority(has_recovered) {
             return Some(RecoveryState::Recovered);
         }
-        // Or so many have forgotten that no majority that has recovered can come together any more.
-        let has_forgotten = |name: &Name| {
-            name == me || self.responses.get(name).is_some_and(|response| response.recovery.has_forgotten())
+        // If a majority has lost its data, no majority of recovered voters can exist any more.
+        let has_lost_data = |name: &Name| {
+            name == me || self.responses.get(name).is_some_and(|response| response.recovery.has_lost_data())
         };
-        voters.has_majority(has_forgotten).then_some(RecoveryState::StateLost)
+        voters.has_majority(has_lost_data).then_some(RecoveryState::StateLost)
     }
 
-    /// Takes over the newest of all responses. What this voter's own disk had of it may be the newest.
-    fn take_newest_response(&mut self) -> Option<Versioned<T::State>> {
+    /// Takes over the newest data of all responses and of this voter's disk. Returns the newest state of the
+    /// responses.
+    fn adopt_newest_data(&mut self) -> Option<Versioned<T::State>> {
         let responses = std::mem::take(&mut self.responses);
         let promises = responses.values().map(|response| response.promised.clone());
         self.promised = promises.chain([self.promised.take()]).max().flatten();
--- a/lease/src/voters.rs
+++ b/lease/src/voters.rs
@@ -1,4 +1,4 @@
-//! The voters that grant leases, and their majorities.
+//! Voters that grant leases, and their majorities.
 
 use flaxhead_membership::Name;
 use serde::{Deserialize, Serialize};
@@ -9,30 +9,33 @@
 /// Maximum number of voters in one set.
 const MAX_VOTERS: usize = 7;
 
-/// Why lists of names are no sets of voters.
+/// Error of a voter configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum VotersError {
-    /// An even number has a majority no smaller than that of the next odd one.
-    #[error("an odd number of voters, 1 to {MAX_VOTERS}")]
+    /// Number of voters out of range or even. An even number tolerates no more failures than the next lower
+    /// odd one.
+    #[error("expected an odd number of voters from 1 to {MAX_VOTERS}")]
     Count,
-    /// One voter would count twice.
-    #[error("a voter is named twice")]
+    /// Duplicate voter, which would count twice.
+    #[error("duplicate voter name")]
     Duplicate,
 }
 
-/// Identifies the voters that a process is configured with, in messages and on disk.
+/// Identification of the configured voters in messages and on disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct VoterSetHashes {
-    /// Hash of the current set.
+    /// Hash of the current voter set.
     pub current: u32,
-    /// Hash of the set that shall replace it; the same where no change is under way.
+    /// Hash of the next voter set; equal to `current` if no change is in progress.
     pub next: u32,
 }
 
-/// The configured voters. While they are changed there are two sets, and a majority of each is needed (joint consensus, as
-/// in Raft): processes with the old set and those with both share a majority of the old one, those with both and those
-/// with the new set a majority of the new one. A process with the old set alone and one with the new alone share nothing,
-/// and ignore each other.
+/// Configured voters.
+///
+/// While the voters change there are two sets, and every decision needs a majority of each (joint consensus,
+/// as in Raft). Two processes of which one has both sets share the majority of the set that they have in
+/// common. A process with only the old set and one with only the new set have no majority in common, and
+/// ignore each other.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Voters {
     current: BTreeSet<Name>,
@@ -41,11 +44,11 @@
 }
 
 impl Voters {
-    /// The voters, and those that shall replace them (empty: no change is under way).
+    /// Creates the configuration from the current voters and the next ones (empty: no change is in progress).
     ///
     /// # Errors
     ///
-    /// Where a set has an even number of names, too many, or one twice.
+    /// Returns an error if a set has an even number of names, more than the maximum, or a duplicate.
     pub fn new(current: Vec<Name>, next: Vec<Name>) -> Result<Voters, VotersError> {
         let current = voter_set(current)?;
         let next = if next.is_empty() { current.clone() } else { voter_set(next)? };
@@ -53,29 +56,29 @@
         Ok(Voters { current, next, hashes })
     }
 
-    /// The voters of both sets, each once.
+    /// Iterates over the voters of both sets, each once.
     pub fn iter(&self) -> impl Iterator<Item = &Name> {
         self.current.union(&self.next)
     }
 
-    /// Whether the name is a voter's, in either set.
+    /// Returns whether `name` is a voter in either set.
     pub fn contains(&self, name: &Name) -> bool {
         self.current.contains(name) || self.next.contains(name)
     }
 
-    /// Whether those voters that `counts` is true of are a majority of each set.
+    /// Returns whether the voters for which `counts` returns true are a majority of each set.
     pub fn has_majority(&self, counts: impl Fn(&Name) -> bool) -> bool {
         let is_majority =
             |set: &BTreeSet<Name>| set.iter().filter(|name| counts(name)).count() * 2 > set.len();
         is_majority(&self.current) && is_majority(&self.next)
     }
 
-    /// Identifies both sets.
+    /// Hashes of both sets.
     pub fn hashes(&self) -> VoterSetHashes {
         self.hashes
     }
 
-    /// Whether a process that is configured with `others` and this one share the majority of some set.
+    /// Returns whether this configuration and one with the hashes `others` have a set in common.
     pub fn overlaps(&self, others: VoterSetHashes) -> bool {
         let own = [self.hashes.current, self.hashes.next];
         own.contains(&others.current) || own.contains(&others.next)
@@ -91,7 +94,7 @@
     (set.len() == count).then_some(set).ok_or(VotersError::Duplicate)
 }
 
-/// The lower half of the hash: on the wire a set takes four bytes.
+/// Lower half of the hash, to save space in messages.
 #[expect(clippy::cast_possible_truncation, reason = "the lower half of the hash is what is wanted")]
 fn hash_of(set: &BTreeSet<Name>) -> u32 {
     let mut hasher = SipHasher13::new();
--- a/lease/tests/application.rs
+++ b/lease/tests/application.rs
@@ -1,5 +1,5 @@
-//! An application without state or commands, at three processes in steps of virtual time: each hook is called where its
-//! documentation says so.
+//! Tests that the hooks of [`Application`] are called as documented, with three voters, one more process and
+//! virtual time.
 
 use flaxhead_lease::{
     AdmissionStatus, Application, ApplicationTypes, Ballot, CommandError, Config, Context, Effect, Facts,
@@ -13,22 +13,22 @@
 
 const LEASE: Micros = 6_000_000;
 const STEP: Micros = 20_000;
-/// What each report says.
+/// Value of each report.
 const COUNT_PER_REPORT: u32 = 7;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Event {
-    Heard(Process),
+    Reported(Process),
     Left(Process),
 }
 
-/// Reports a number, and is granted as many as the leader has counted of it.
+/// Reports a constant number, and is granted the sum of its reports as counted by the leader.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-struct Count {
+struct Counter {
     renews_early: bool,
     reports: Vec<Micros>,
     granted: Vec<Grant>,
-    fences: Vec<Ballot>,
+    ballots: Vec<Ballot>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -39,7 +39,7 @@
     count: u32,
 }
 
-impl ApplicationTypes for Count {
+impl ApplicationTypes for Counter {
     type State = ();
     type Report = u32;
     type Grant = u32;
@@ -54,7 +54,7 @@
     const MAX_COMMAND_BYTES: usize = 0;
 }
 
-impl Application for Count {
+impl Application for Counter {
     type LeaderData = BTreeMap<Process, u32>;
 
     fn report(&mut self, now: Micros, _: &LocalReplica<Self>, (): &()) -> u32 {
@@ -74,7 +74,7 @@
     }
 
     fn higher_ballot_observed(&mut self, ballot: &Ballot) {
-        self.fences.push(ballot.clone());
+        self.ballots.push(ballot.clone());
     }
 
     fn wants_early_renewal(&self) -> bool {
@@ -93,7 +93,7 @@
     ) {
         assert_eq!(received.is_first, !counts.contains_key(received.process), "{received:?}");
         *counts.entry(received.process.clone()).or_default() += received.report;
-        context.record_event(Event::Heard(received.process.clone()));
+        context.record_event(Event::Reported(received.process.clone()));
     }
 
     fn grant(
@@ -125,71 +125,71 @@
     }
 }
 
-struct Net {
+struct Network {
     now: Micros,
-    machines: Vec<Machine<Count>>,
-    gone: BTreeSet<usize>,
+    machines: Vec<Machine<Counter>>,
+    ended: BTreeSet<usize>,
     random: Pcg32,
     events: Vec<Event>,
 }
 
-/// A message on its way.
+/// Message in transit.
 struct Envelope {
     from: Name,
     to: Name,
-    message: Message<Count>,
+    message: Message<Counter>,
 }
 
-fn name(place: usize) -> Name {
-    Name::new(&format!("n{place}")).expect("a name")
+fn name(index: usize) -> Name {
+    Name::new(&format!("n{index}")).expect("valid name")
 }
 
-fn process(place: usize) -> Process {
-    let host = u8::try_from(place + 1).expect("few processes");
-    Process { name: name(place), incarnation: 1, address: SocketAddr::from(([127, 0, 0, host], 7_000)) }
+fn process(index: usize) -> Process {
+    let host = u8::try_from(index + 1).expect("few processes");
+    Process { name: name(index), incarnation: 1, address: SocketAddr::from(([127, 0, 0, host], 7_000)) }
 }
 
-impl Net {
-    fn new() -> Net {
-        let voters = Voters::new((0..3).map(name).collect(), Vec::new()).expect("voters");
+impl Network {
+    fn new() -> Network {
+        let voters = Voters::new((0..3).map(name).collect(), Vec::new()).expect("valid voters");
         let config = Config { lease_duration: LEASE, state_loss_timeout: LEASE, ..Config::default() };
         let machine =
-            |place| Machine::new(config.clone(), Count::default(), voters.clone(), process(place), 0);
-        Net {
+            |index| Machine::new(config.clone(), Counter::default(), voters.clone(), process(index), 0);
+        Network {
             now: 0,
             machines: (0..4).map(machine).collect(),
-            gone: BTreeSet::new(),
+            ended: BTreeSet::new(),
             random: Pcg32::seed_from_u64(3),
             events: Vec::new(),
         }
     }
 
-    fn play(&mut self, span: Micros) {
+    fn run_for(&mut self, span: Micros) {
         let until = self.now + span;
         while self.now < until {
             self.now += STEP;
-            let mut on_the_way = VecDeque::new();
-            for place in 0..self.machines.len() {
-                on_the_way.extend(self.act(place, None));
+            let mut in_transit = VecDeque::new();
+            for index in 0..self.machines.len() {
+                in_transit.extend(self.handle_event(index, None));
             }
-            while let Some(envelope) = on_the_way.pop_front() {
-                let receiver = |place: &usize| name(*place) == envelope.to;
-                let place = (0..self.machines.len()).find(receiver).expect("one");
-                on_the_way.extend(self.act(place, Some(envelope)));
+            while let Some(envelope) = in_transit.pop_front() {
+                let receiver = |index: &usize| name(*index) == envelope.to;
+                let index = (0..self.machines.len()).find(receiver).expect("known receiver");
+                in_transit.extend(self.handle_event(index, Some(envelope)));
             }
         }
     }
 
-    /// A process takes a message, or its time comes; what it sends by that.
-    fn act(&mut self, place: usize, envelope: Option<Envelope>) -> Vec<Envelope> {
-        if self.gone.contains(&place) {
+    /// Delivers a message to a process, or runs its timers. Returns the messages that the process sends.
+    fn handle_event(&mut self, index: usize, envelope: Option<Envelope>) -> Vec<Envelope> {
+        if self.ended.contains(&index) {
             return Vec::new();
         }
-        let facts = Facts { members: self.members_but(place), participates: true, application: () };
+        let facts = Facts { members: self.other_members(index), participates: true, application: () };
         let random = &mut self.random as &mut dyn RngCore;
         let mut context = Context { now: self.now, facts: &facts, random };
         let mut effects = Vec::new();
-        let machine = &mut self.machines[place];
+        let machine = &mut self.machines[index];
         match envelope {
             None => machine.tick(&mut context, &mut effects),
             Some(Envelope { from, message, .. }) => {
@@ -199,7 +199,7 @@
         let mut sent = Vec::new();
         for effect in effects {
             match effect {
-                Effect::Send { to, message } => sent.push(Envelope { from: name(place), to, message }),
+                Effect::Send { to, message } => sent.push(Envelope { from: name(index), to, message }),
                 Effect::Event(event) => self.events.push(event),
                 Effect::CommandCompleted { .. } | Effect::LeadershipChanged(_) => {}
             }
@@ -207,65 +207,66 @@
         sent
     }
 
-    fn members_but(&self, place: usize) -> BTreeMap<Name, MemberStatus> {
+    fn other_members(&self, index: usize) -> BTreeMap<Name, MemberStatus> {
         let member = |other: usize| {
-            let presence = if self.gone.contains(&other) { Presence::Exited } else { Presence::Alive };
+            let presence = if self.ended.contains(&other) { Presence::Exited } else { Presence::Alive };
             let Process { name, incarnation, address } = process(other);
             (name, MemberStatus { incarnation, address, presence, since: 0 })
         };
-        (0..self.machines.len()).filter(|other| *other != place).map(member).collect()
+        (0..self.machines.len()).filter(|other| *other != index).map(member).collect()
     }
 
     fn leader(&self) -> usize {
-        let leads = |place: &usize| {
-            !self.gone.contains(place) && self.machines[*place].leading_ballot(self.now).is_some()
+        let leads = |index: &usize| {
+            !self.ended.contains(index) && self.machines[*index].leading_ballot(self.now).is_some()
         };
-        (0..3).find(leads).expect("one leads")
+        (0..3).find(leads).expect("a leader")
     }
 }
 
 #[test]
-fn reports_and_grants_go_between_each_process_and_the_leader_and_a_new_one_is_known_by_its_fence() {
-    let mut net = Net::new();
-    net.play(5 * LEASE);
-    let first = net.leader();
-    for machine in &net.machines {
+fn reports_and_grants_are_exchanged_with_each_leader_and_ballots_increase() {
+    let mut network = Network::new();
+    network.run_for(5 * LEASE);
+    let first = network.leader();
+    for machine in &network.machines {
         assert_eq!(machine.admission_status(), AdmissionStatus::Admitted);
-        let Count { granted, fences, .. } = machine.application();
+        let Counter { granted, ballots, .. } = machine.application();
         let lasts_a_lease = |grant: &Grant| grant.expires_at == grant.requested_at + LEASE;
         assert!(granted.iter().all(lasts_a_lease), "{granted:?}");
-        // Each report was counted once, and what the leader made of them came with the grants.
+        // Each grant exceeds the one before it by one report, so the leader counted each report once.
         let counted_once = |two: &[Grant]| two[1].count == two[0].count + COUNT_PER_REPORT;
         assert!(granted.windows(2).all(counted_once), "{granted:?}");
-        assert_eq!(fences.last().map(|fence| &fence.name), Some(&name(first)));
-        assert!(fences.is_sorted(), "{fences:?}");
+        assert_eq!(ballots.last().map(|ballot| &ballot.name), Some(&name(first)));
+        assert!(ballots.is_sorted(), "{ballots:?}");
     }
-    net.gone = BTreeSet::from([first]);
-    net.play(5 * LEASE);
-    let second = net.leader();
-    // That the first has left is heard of, and all others report anew: each of their first reports is marked.
-    assert!(net.events.contains(&Event::Left(process(first))), "{:?}", net.events);
-    for (place, machine) in net.machines.iter().enumerate().filter(|(place, _)| *place != first) {
-        let Count { granted, fences, .. } = machine.application();
-        assert_eq!(granted.last().map(|grant| &grant.ballot.name), Some(&name(second)), "{place}");
-        assert_eq!(fences.last().map(|fence| &fence.name), Some(&name(second)));
+    network.ended = BTreeSet::from([first]);
+    network.run_for(5 * LEASE);
+    let second = network.leader();
+    // The new leader learns that the first has ended. The application checks the `is_first` flag of each
+    // first report.
+    assert!(network.events.contains(&Event::Left(process(first))), "{:?}", network.events);
+    for (index, machine) in network.machines.iter().enumerate().filter(|(index, _)| *index != first) {
+        let Counter { granted, ballots, .. } = machine.application();
+        assert_eq!(granted.last().map(|grant| &grant.ballot.name), Some(&name(second)), "{index}");
+        assert_eq!(ballots.last().map(|ballot| &ballot.name), Some(&name(second)));
     }
 }
 
 #[test]
-fn a_process_that_wants_early_renewal_reports_soon_and_at_a_bounded_rate() {
-    let mut net = Net::new();
-    net.play(5 * LEASE);
-    let regular = LEASE / 4;
+fn early_renewals_are_sent_soon_and_rate_limited() {
+    let mut network = Network::new();
+    network.run_for(5 * LEASE);
+    let regular_interval = LEASE / 4;
     let mut reports = Vec::new();
     for _ in 0..2 * LEASE / STEP {
-        net.machines[3].application_mut().renews_early = true;
-        let before = net.machines[3].application().reports.len();
-        net.play(STEP);
-        reports.extend(net.machines[3].application().reports[before..].to_vec());
+        network.machines[3].application_mut().renews_early = true;
+        let before = network.machines[3].application().reports.len();
+        network.run_for(STEP);
+        reports.extend(network.machines[3].application().reports[before..].to_vec());
     }
     let pauses: Vec<Micros> = reports.windows(2).map(|two| two[1] - two[0]).collect();
-    assert!(pauses.iter().all(|pause| *pause >= regular / 12), "{pauses:?}");
-    // Far more often than the regular four in a lease.
-    assert!(pauses.len() > 16 && pauses.iter().all(|pause| *pause < regular / 2), "{pauses:?}");
+    assert!(pauses.iter().all(|pause| *pause >= regular_interval / 12), "{pauses:?}");
+    // Regular renewals would be four per lease.
+    assert!(pauses.len() > 16 && pauses.iter().all(|pause| *pause < regular_interval / 2), "{pauses:?}");
 }
--- a/lease/tests/stale.rs
+++ b/lease/tests/stale.rs
@@ -1,5 +1,5 @@
-//! Messages that come too late, for another process, or from a time that is not yet: none changes anything. Each is shown
-//! beside the same message in time, which does.
+//! Tests that messages that are late, meant for another process or dated in the future change nothing. Each
+//! case is compared with a valid message, which does change the process.
 
 use flaxhead_lease::{
     AdmissionStatus, Application, ApplicationTypes, Ballot, CommandError, Config, Context, Facts,
@@ -9,11 +9,11 @@
 use rand_pcg::Pcg32;
 use std::collections::BTreeSet;
 
-/// Remembers what it was granted, and nothing else.
+/// Application that only records its grants.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-struct Grants(Vec<u32>);
+struct GrantRecorder(Vec<u32>);
 
-impl ApplicationTypes for Grants {
+impl ApplicationTypes for GrantRecorder {
     type State = ();
     type Report = ();
     type Grant = u32;
@@ -28,7 +28,7 @@
     const MAX_COMMAND_BYTES: usize = 0;
 }
 
-impl Application for Grants {
+impl Application for GrantRecorder {
     type LeaderData = ();
 
     fn report(&mut self, _: Micros, _: &LocalReplica<Self>, _: &()) {}
@@ -57,18 +57,18 @@
 const INCARNATION: u64 = 7;
 
 fn name(text: &str) -> Name {
-    Name::new(text).expect("a name")
+    Name::new(text).expect("valid name")
 }
 
 fn ballot(round: u64) -> Ballot {
     Ballot { round, name: name("a"), incarnation: 1 }
 }
 
-/// A process that waits for its admission, once these messages came from the voters.
-fn after(messages: Vec<(&str, Message<Grants>)>) -> Machine<Grants> {
-    let voters = Voters::new(["a", "b", "c"].map(name).to_vec(), Vec::new()).expect("voters");
+/// Returns a process that waits for admission, after it received these messages.
+fn process_after(messages: Vec<(&str, Message<GrantRecorder>)>) -> Machine<GrantRecorder> {
+    let voters = Voters::new(["a", "b", "c"].map(name).to_vec(), Vec::new()).expect("valid voters");
     let me = Process { name: name("q"), incarnation: INCARNATION, address: ([127, 0, 0, 1], 1).into() };
-    let mut machine = Machine::new(Config::default(), Grants::default(), voters, me, NOW - 1_000);
+    let mut machine = Machine::new(Config::default(), GrantRecorder::default(), voters, me, NOW - 1_000);
     let (facts, mut random) = (Facts::default(), Pcg32::new(1, 1));
     for (from, message) in messages {
         let mut context = Context { now: NOW, facts: &facts, random: &mut random };
@@ -78,31 +78,31 @@
 }
 
 #[test]
-fn a_lease_counts_for_the_process_that_asked_and_of_the_highest_leader() {
+fn grants_for_other_incarnations_from_the_future_or_of_superseded_leaders_are_ignored() {
     let granted = |round, incarnation, requested_at| {
         let grant =
             LeaseGrant { ballot: ballot(round), incarnation, requested_at, is_recovered: true, grant: 5 };
         ("a", Message::Granted(Box::new(grant)))
     };
-    let taken = |messages| after(messages).application().0.len();
-    assert_eq!(taken(vec![granted(1, INCARNATION, NOW)]), 1);
-    assert_eq!(taken(vec![granted(1, INCARNATION - 1, NOW)]), 0, "to an earlier process of this name");
+    let accepted_grants = |messages| process_after(messages).application().0.len();
+    assert_eq!(accepted_grants(vec![granted(1, INCARNATION, NOW)]), 1);
+    assert_eq!(accepted_grants(vec![granted(1, INCARNATION - 1, NOW)]), 0, "for an earlier incarnation");
     assert_eq!(
-        taken(vec![granted(1, INCARNATION, NOW + 1)]),
+        accepted_grants(vec![granted(1, INCARNATION, NOW + 1)]),
         0,
-        "asked for at a time that is not yet: a clock went back"
+        "request dated in the future, as after a clock was set back"
     );
     let version = Version { ballot: Some(ballot(2)), seq: 1 };
     let later = Message::StateUpdate { state: Versioned { version, state: () } };
     assert_eq!(
-        taken(vec![("a", later), granted(1, INCARNATION, NOW)]),
+        accepted_grants(vec![("a", later), granted(1, INCARNATION, NOW)]),
         0,
-        "of a leader that froze and was followed by another"
+        "the leader froze and was superseded"
     );
 }
 
 #[test]
-fn what_voters_have_forgotten_counts_for_the_process_that_asked_and_for_a_lease() {
+fn state_loss_replies_to_other_incarnations_or_older_than_a_lease_are_ignored() {
     let reply = |from, incarnation, requested_at| {
         let status = RecoveryStatus {
             voter: Some(RecoveryState::StateLost),
@@ -115,15 +115,12 @@
         (from, Message::RecoveryReply(Box::new(reply)))
     };
     let status = |incarnation, requested_at| {
-        after(vec![reply("a", INCARNATION, NOW), reply("b", incarnation, requested_at)]).admission_status()
+        process_after(vec![reply("a", INCARNATION, NOW), reply("b", incarnation, requested_at)])
+            .admission_status()
     };
     assert_eq!(status(INCARNATION, NOW - 1_000), AdmissionStatus::Autonomous);
-    assert_eq!(
-        status(INCARNATION - 1, NOW - 1_000),
-        AdmissionStatus::Pending,
-        "to an earlier process of this name"
-    );
-    assert_eq!(status(INCARNATION, NOW + 1), AdmissionStatus::Pending, "a clock went back");
+    assert_eq!(status(INCARNATION - 1, NOW - 1_000), AdmissionStatus::Pending, "for an earlier incarnation");
+    assert_eq!(status(INCARNATION, NOW + 1), AdmissionStatus::Pending, "request dated in the future");
     let expired = NOW - Config::default().lease_duration - 1;
-    assert_eq!(status(INCARNATION, expired), AdmissionStatus::Pending, "that voter may lead by now");
+    assert_eq!(status(INCARNATION, expired), AdmissionStatus::Pending, "the voter may be the leader by now");
 }
--- a/maintenance/tests/model.rs
+++ b/maintenance/tests/model.rs
@@ -380,7 +380,7 @@
     }
 
     fn next(&self, world: &World, fault: Fault) -> World {
-        self.run_step(world, fault).world
+        self.run_step(world, fault).state
     }
 }
 
--- a/quota/tests/model/main.rs
+++ b/quota/tests/model/main.rs
@@ -28,7 +28,7 @@
     }
 
     fn next_state(&self, world: &World, fault: Fault) -> Option<World> {
-        Some(self.run_step(world, fault).world)
+        Some(self.run_step(world, fault).state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
--- a/quota/tests/model/world.rs
+++ b/quota/tests/model/world.rs
@@ -142,7 +142,7 @@
             first: world.clone(),
         };
         for _ in 0..40 {
-            world = fleet.run_step(&world, Fault::Nothing).world;
+            world = fleet.run_step(&world, Fault::Nothing).state;
         }
         // Three that start at once, where nobody remembers anything, each take the one seat until a holder has answered.
         let early = (site.seats == 1).then_some("more have a seat than there are");
