--- a/coordination/src/codec.rs
+++ b/coordination/src/codec.rs
@@ -7,7 +7,7 @@
 pub enum CodecError {
     /// Encoded size above the limit of the application.
     #[error(
-        "the message exceeds the size limit of its application; check for overlong names and texts in the settings"
+        "the message exceeds its application's size limit; shorten overlong names and texts in the settings"
     )]
     TooLong,
     /// Undecodable bytes.
--- a/coordination/src/coordinator.rs
+++ b/coordination/src/coordinator.rs
@@ -136,8 +136,8 @@
         self.0.participant.replace(Some(participant));
         loop {
             let persisted = self.0.store.as_ref().and_then(|store| store.borrow_mut().take_persisted());
-            if let Some(mark) = persisted {
-                self.step(|machine, context, effects| machine.state_persisted(context, mark, effects));
+            if let Some(version) = persisted {
+                self.step(|machine, context, effects| machine.state_persisted(context, version, effects));
             }
             self.step(|machine, context, effects| machine.tick(context, effects));
             let next_wake = self.0.clock.to_instant(self.0.machine.borrow().next_wake());
@@ -204,8 +204,8 @@
         }
     }
 
-    /// Calls `operation` on the machine and executes the effects. The participant applies the decision before any
-    /// message about it is sent.
+    /// Calls `operation` on the machine and executes the effects. The participant applies the decision before
+    /// any message about it is sent.
     fn step(&self, operation: impl FnOnce(&mut Machine<A>, &mut Context<'_, A::Facts>, &mut Vec<Effect<A>>)) {
         self.refresh_facts();
         let participant = self.0.participant.borrow().clone();
--- a/coordination/src/store.rs
+++ b/coordination/src/store.rs
@@ -10,7 +10,8 @@
 const FORMAT_VERSION: u16 = 1;
 /// Maximum time between two writes of an unchanged state, because the durations in it become outdated.
 const REFRESH_INTERVAL: Duration = Duration::from_secs(5);
-/// Maximum number of writes that are tracked until they are durable. When full, a new write replaces the newest one.
+/// Maximum number of writes that are tracked until they are durable. When full, a new write replaces the
+/// newest one.
 const MAX_PENDING_WRITES: usize = 16;
 
 /// State that was recovered from the previous process.
@@ -140,7 +141,7 @@
                 if !std::mem::replace(&mut self.last_write_failed, true) {
                     let name = self.name;
                     tracing::info!(
-                        "cannot write the {name} state to disk; changes are not confirmed until a write succeeds: {error}"
+                        "cannot store the {name} state; changes stay unconfirmed until a write succeeds: {error}"
                     );
                 }
             }
--- a/lease/rig/src/system_model.rs
+++ b/lease/rig/src/system_model.rs
@@ -43,7 +43,7 @@
 pub trait SystemModel {
     /// Application that the processes run.
     type Application: Application + Clone + std::fmt::Debug;
-    /// State of the model beside the processes.
+    /// Other state of the model.
     type Environment: Clone;
     /// State that processes find when all of them restart.
     type RestartState: Copy + PartialEq;
--- a/lease/rig/src/system_state.rs
+++ b/lease/rig/src/system_state.rs
@@ -35,7 +35,7 @@
     pub steps_left: u8,
 }
 
-/// State of a model. `M` is the state beside the processes.
+/// State of a model. `M` is the state other than the processes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct SystemState<A: Application, M> {
     /// Number of executed steps.
@@ -54,7 +54,7 @@
     pub process_starts: u64,
     /// First violated invariant; `None`: none was violated.
     pub violation: Option<&'static str>,
-    /// State of the model beside the processes.
+    /// Other state of the model.
     pub environment: M,
 }
 
--- a/lease/src/application.rs
+++ b/lease/src/application.rs
@@ -35,19 +35,19 @@
     pub grant: T::Grant,
 }
 
-/// Subject of an agreement between the proxies. The implementing value is the part that every process has. The leader
-/// additionally keeps [`Application::LeaderData`] during its leadership.
+/// Subject of an agreement between the proxies. The implementing value is the part that every process has.
+/// The leader additionally keeps [`Application::LeaderData`] during its leadership.
 ///
-/// Each application has its own lease and roster ([`crate::Machine`]), so that a failure of one does not affect the
-/// others. The methods use no I/O and no clock: the same calls lead to the same state.
+/// Each application has its own lease and roster ([`crate::Machine`]), so that a failure of one does not
+/// affect the others. The methods use no I/O and no clock: the same calls lead to the same state.
 ///
-/// An application without a common state, which only grants something to each process (such as quotas), uses `()` as
-/// its state and [`crate::NoCommand`] as its command type:
+/// An application without a common state, which only grants something to each process (such as quotas), uses
+/// `()` as its state and [`crate::NoCommand`] as its command type:
 ///
 /// ```
 /// use flaxhead_lease::{
-///     Application, ApplicationTypes, CommandError, LeaderContext, LocalReplica, Micros, NoCommand, Process, ReceivedGrant,
-///     ReceivedReport,
+///     Application, ApplicationTypes, CommandError, LeaderContext, LocalReplica, Micros, NoCommand, Process,
+///     ReceivedGrant, ReceivedReport,
 /// };
 /// use std::collections::BTreeMap;
 ///
@@ -104,12 +104,22 @@
 ///         wanted.insert(received.process.clone(), *received.report);
 ///     }
 ///
-///     fn grant(&self, wanted: &mut Self::LeaderData, _: &mut LeaderContext<'_, Self>, process: &Process) -> u32 {
+///     fn grant(
+///         &self,
+///         wanted: &mut Self::LeaderData,
+///         _: &mut LeaderContext<'_, Self>,
+///         process: &Process,
+///     ) -> u32 {
 ///         let processes = wanted.values().filter(|wanted| **wanted > 0).count().max(1) as u32;
 ///         wanted.get(process).map_or(0, |wanted| (*wanted).min(self.permits / processes))
 ///     }
 ///
-///     fn process_left(&self, wanted: &mut Self::LeaderData, _: &mut LeaderContext<'_, Self>, process: &Process) {
+///     fn process_left(
+///         &self,
+///         wanted: &mut Self::LeaderData,
+///         _: &mut LeaderContext<'_, Self>,
+///         process: &Process,
+///     ) {
 ///         wanted.remove(process);
 ///     }
 ///
@@ -124,7 +134,8 @@
 /// }
 /// ```
 ///
-/// This example is simplified: it grants a withdrawn permit to another process before the permit is known to be free.
+/// This example is simplified: it grants a withdrawn permit to another process before the permit is known to
+/// be free.
 pub trait Application: ApplicationTypes {
     /// Data of the application at the leader, discarded at the end of the leadership.
     type LeaderData: Clone + std::fmt::Debug + Eq + std::hash::Hash;
--- a/lease/src/machine/state.rs
+++ b/lease/src/machine/state.rs
@@ -194,7 +194,7 @@
         }
     }
 
-    /// Leader that was heard of within the last lease duration; `None`: no leader is known.
+    /// Leader that was reported within the last lease duration; `None`: none is known.
     pub(super) fn current_leader(&self, now: Micros) -> Option<Name> {
         let is_fresh =
             |leader: &&KnownLeader| now.saturating_sub(leader.heard_at) <= self.config.lease_duration;
--- a/lease/src/types.rs
+++ b/lease/src/types.rs
@@ -50,7 +50,7 @@
     /// Reason for rejecting a command. [`CommandError::NoLeader`], returned by the application itself, causes
     /// the command to be submitted again.
     type Rejection: Payload + From<CommandError>;
-    /// Input of the application beside the membership.
+    /// Input of the application other than the membership.
     type Facts;
     /// Event of the leader for the audit trail and the log.
     type Event: Clone + Debug + Eq + Hash;
