--- a/lease/src/voters.rs
+++ b/lease/src/voters.rs
@@ -17,7 +17,7 @@
     #[error("expected an odd number of voters from 1 to {MAX_VOTERS}")]
     Count,
     /// Duplicate voter, which would count twice.
-    #[error("duplicate voter name")]
+    #[error("a voter is listed twice")]
     Duplicate,
 }
 
