--- a/coordination/src/coordinator.rs
+++ b/coordination/src/coordinator.rs
@@ -1,4 +1,4 @@
-//! Driver of a lease machine: its timers, messages, commands and effects.
+//! Driver of a lease machine: runs its timers, delivers messages and commands, and executes its effects.
 
 use crate::participant::{Clock, Participant};
 use crate::store::StateStore;
@@ -21,23 +21,23 @@
 
 /// Maximum age of the host and member data that a decision uses.
 const MAX_FACTS_AGE: Duration = Duration::from_millis(50);
-/// Maximum time between two ticks of the machine, because changes of the facts send no notification.
+/// Maximum time between two ticks of the lease machine, because nothing notifies it of changed facts.
 const MAX_TICK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Configuration of a coordinator.
+/// Configuration of the lease machine that a coordinator drives.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings<A> {
     /// Channel that separates the messages of this application from those of others.
     pub channel: Channel,
-    /// Voters that grant leases.
+    /// Voters that elect the leader by granting its lease.
     pub voters: Voters,
-    /// Time limits of the protocol.
+    /// Time limits of the protocol, which must be equal at all processes.
     pub config: Config,
-    /// Application that is run.
+    /// Application of the lease machine, which defines what is replicated and granted.
     pub application: A,
 }
 
-/// Result of an operator's command.
+/// Response to an operator's command, or the reason for its rejection.
 type CommandResult<A> = Result<
     <A as flaxhead_lease::ApplicationTypes>::Response,
     <A as flaxhead_lease::ApplicationTypes>::Rejection,
@@ -58,7 +58,7 @@
     /// Wakes the loop; also notified by the thread that writes the state to disk.
     wake: Arc<Notify>,
     store: Option<RefCell<StateStore<A>>>,
-    /// True once the process was admitted or serves autonomously.
+    /// True once the process was admitted or serves without admission.
     may_serve: watch::Sender<bool>,
     dropped_messages: Cell<u64>,
 }
@@ -83,7 +83,8 @@
     A::Facts: Default + 'static,
 {
     /// Creates a coordinator on the sockets of `peers` and registers its channel. `store` keeps state over
-    /// restarts; `None`: nothing is kept. `seed` must differ between starts and between applications.
+    /// restarts; `None`: nothing is kept. `seed` initializes jitter and command ids, and must differ between
+    /// the starts of a process and between its applications.
     pub fn start(
         settings: Settings<A>,
         peers: Peers,
@@ -111,8 +112,8 @@
             random: RefCell::new(Pcg32::seed_from_u64(seed)),
             participant: RefCell::new(None),
             pending_commands: RefCell::default(),
-            // Starts at the seed, because responses to commands of an earlier process with this name may
-            // still arrive.
+            // Starts at the seed, which differs at each start. A late response to a command of an earlier
+            // process with this name must not match a command of this one.
             next_command_id: Cell::new(seed | 1),
             clock: Clock::start(),
             wake,
@@ -124,13 +125,13 @@
         coordinator
     }
 
-    /// Reports, as a watch channel, whether the process may serve: it was admitted, or gave up waiting and
-    /// serves autonomously.
+    /// Returns a watch channel of whether the process may serve: it was admitted, or it gave up waiting and
+    /// serves without admission.
     pub fn may_serve(&self) -> watch::Receiver<bool> {
         self.0.may_serve.subscribe()
     }
 
-    /// Runs the machine with `participant` until the future is dropped. Must run inside a
+    /// Drives the lease machine with `participant` until the future is dropped. Must run inside a
     /// [`tokio::task::LocalSet`].
     pub async fn serve(&self, participant: Rc<dyn Participant<A>>) {
         self.0.participant.replace(Some(participant));
@@ -149,12 +150,12 @@
         }
     }
 
-    /// Calls `read` with the machine and its current time.
+    /// Calls `read` with the lease machine and its current time in microseconds.
     pub fn with_machine<R>(&self, read: impl FnOnce(&Machine<A>, Micros) -> R) -> R {
         read(&self.0.machine.borrow(), self.0.clock.now())
     }
 
-    /// Requests a tick of the machine, after the participant's data has changed.
+    /// Requests a tick of the lease machine, after the participant's data has changed.
     pub fn wake(&self) {
         self.0.wake.notify_one();
     }
@@ -178,7 +179,7 @@
         let timeout = Micros::try_from(timeout.as_micros()).unwrap_or(Micros::MAX);
         self.step(|machine, context, effects| machine.submit(context, id, command, timeout, effects));
         self.wake();
-        // The machine completes every command by its deadline, so this error is not expected.
+        // The lease machine completes every command by its deadline, so this error is not expected.
         receiver.await.unwrap_or_else(|_| Err(CommandError::TimedOut.into()))
     }
 
@@ -194,7 +195,7 @@
             facts.members = members::statuses(machine, now);
             facts.participates = machine.participates();
         });
-        // The clock of the membership started earlier than the clock of this machine.
+        // The clock of the membership started earlier than the clock of the lease machine.
         let clock_offset = self.0.peers.with_machine(|_, now| now).saturating_sub(self.0.clock.now());
         for member in facts.members.values_mut() {
             member.since = member.since.saturating_sub(clock_offset);
@@ -204,8 +205,8 @@
         }
     }
 
-    /// Calls `operation` on the machine and executes the effects. The participant applies the decision before
-    /// any message about it is sent.
+    /// Calls `operation` on the lease machine and executes the effects. The participant applies the decision
+    /// before any message about it is sent.
     fn step(&self, operation: impl FnOnce(&mut Machine<A>, &mut Context<'_, A::Facts>, &mut Vec<Effect<A>>)) {
         self.refresh_facts();
         let participant = self.0.participant.borrow().clone();
--- a/coordination/src/store.rs
+++ b/coordination/src/store.rs
@@ -1,4 +1,4 @@
-//! Storage of a coordinator's state on disk, and tracking of what is durable.
+//! Storage of a coordinator's state on disk, and tracking of the writes that the disk has confirmed.
 
 use flaxhead_lease::{Application, Machine, Micros, PersistentState, PersistentStateVersion};
 use flaxhead_snapshot::{AsOf, Part, RecoveredState, Rejection, SnapshotWriter};
@@ -10,20 +10,20 @@
 const FORMAT_VERSION: u16 = 1;
 /// Maximum time between two writes of an unchanged state, because the durations in it become outdated.
 const REFRESH_INTERVAL: Duration = Duration::from_secs(5);
-/// Maximum number of writes that are tracked until they are durable. When full, a new write replaces the
-/// newest one.
+/// Maximum number of writes that are tracked until the disk confirms them. When full, a new write replaces
+/// the newest one.
 const MAX_PENDING_WRITES: usize = 16;
 
-/// State that was recovered from the previous process.
+/// State of the previous process, loaded from disk.
 #[derive(Debug)]
 pub(crate) struct PreviousState<A: Application> {
-    /// Recovered state; `None`: nothing was recovered.
+    /// Loaded state; `None`: none was stored, or it was rejected.
     pub state: Option<PersistentState<A>>,
-    /// Age of the recovered state in microseconds.
+    /// Age of the loaded state in microseconds.
     pub age: Micros,
 }
 
-/// Write that is not durable yet.
+/// Write that the disk has not confirmed yet.
 #[derive(Debug)]
 struct PendingWrite {
     number: u64,
@@ -53,10 +53,10 @@
 /// Result of [`StateStore::open`].
 #[derive(Debug)]
 pub struct OpenedStore<A: Application> {
-    /// Store, usable even if nothing was recovered.
+    /// Store for the state of this process, usable even if no earlier state was loaded.
     pub store: StateStore<A>,
-    /// Reason why the stored state was rejected, which then counts as lost; `None`: the state was recovered,
-    /// or none was stored.
+    /// Reason why the stored state was rejected, which then counts as lost; `None`: the state was loaded, or
+    /// none was stored.
     pub rejection: Option<Rejection>,
 }
 
@@ -93,17 +93,17 @@
         }
     }
 
-    /// Age of the recovered state; `None`: nothing was recovered.
+    /// Age of the loaded state; `None`: none was loaded.
     pub fn recovered_age(&self) -> Option<Duration> {
         self.previous.as_ref().map(|_| Duration::from_micros(self.previous_age))
     }
 
-    /// Takes the recovered state; later calls return none.
+    /// Takes the loaded state, so that later calls return none.
     pub(crate) fn take_previous(&mut self) -> PreviousState<A> {
         PreviousState { state: self.previous.take(), age: self.previous_age }
     }
 
-    /// Registers a callback that another thread calls whenever a write becomes durable.
+    /// Registers a callback that another thread calls whenever the disk has confirmed a write.
     pub(crate) fn on_write(&self, callback: impl Fn() + Send + 'static) {
         self.writer.on_write(callback);
     }
@@ -140,15 +140,14 @@
             Err(error) => {
                 if !std::mem::replace(&mut self.last_write_failed, true) {
                     let name = self.name;
-                    tracing::info!(
-                        "cannot store the {name} state; changes stay unconfirmed until a write succeeds: {error}"
-                    );
+                    tracing::info!("cannot store the {name} state; its changes stay unconfirmed: {error}");
                 }
             }
         }
     }
 
-    /// Takes the version of the newest state that became durable since the last call; `None`: no state did.
+    /// Takes the version of the newest state whose write the disk has confirmed since the last call; `None`:
+    /// no write was confirmed.
     pub(crate) fn take_persisted(&mut self) -> Option<PersistentStateVersion> {
         let durable = self.writer.durable();
         let durable_count = self.pending_writes.iter().take_while(|write| write.number <= durable).count();
--- a/lease/rig/src/fault.rs
+++ b/lease/rig/src/fault.rs
@@ -3,7 +3,7 @@
 /// Fault that lasts for several steps.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum LastingFault {
-    /// The process is stopped; messages to it are queued.
+    /// The process is paused and keeps its memory; messages to it are queued until it resumes.
     Frozen,
     /// The process neither receives messages nor is received from.
     Partitioned,
@@ -23,11 +23,11 @@
     ];
 }
 
-/// Fault of one step. Places are indices into the messages of the step. `R` is the state that processes find
-/// when all of them restart.
+/// Fault of one step. A `place` is an index into the messages of the step, in the order of their delivery.
+/// `R` describes what processes find on disk when all of them restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Fault<R> {
-    /// No fault.
+    /// The step has no fault.
     Nothing,
     /// Loses the message at this place.
     Lose(usize),
@@ -37,23 +37,23 @@
     DeliverDuplicate,
     /// Crashes and restarts one process.
     Crash {
-        /// Index of the process.
+        /// Index of the node whose process crashes.
         node: usize,
         /// Place of the message before which the fault occurs.
         place: usize,
     },
     /// Begins a lasting fault.
     Begin {
-        /// Index of the faulty process.
+        /// Index of the node whose process becomes faulty.
         node: usize,
-        /// Kind of the fault.
+        /// Effect of the fault on the process and its messages.
         kind: LastingFault,
         /// Place of the message before which the fault begins.
         place: usize,
     },
     /// Crashes and restarts all processes.
     RestartAll {
-        /// State that the processes find.
+        /// Description of what the processes find on disk.
         restart_state: R,
         /// Place of the message before which the fault occurs.
         place: usize,
--- a/lease/rig/src/system_model.rs
+++ b/lease/rig/src/system_model.rs
@@ -8,7 +8,7 @@
 /// Maximum number of messages in a step; more indicate an endless exchange of messages.
 const MAX_MESSAGES_PER_STEP: usize = 2_000;
 
-/// Limits on the faults and the length of a history.
+/// Limits on the faults and the length of a history, which is a sequence of steps.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds<'a, R> {
     /// Step at which the history begins.
@@ -19,7 +19,7 @@
     pub faults_between_messages: bool,
     /// Indices of the nodes that may become faulty.
     pub faulty_nodes: &'a [usize],
-    /// Kinds of lasting faults that may occur.
+    /// Lasting faults that may occur; empty: none.
     pub lasting_kinds: &'a [LastingFault],
     /// Duration of a lasting fault in steps. It must exceed a lease and the quarantine of a restarted voter.
     pub lasting_steps: u8,
@@ -41,14 +41,15 @@
 
 /// Model of several processes that run one application, as input of a model checker.
 pub trait SystemModel {
-    /// Application that the processes run.
+    /// Lease application that all processes of the model run.
     type Application: Application + Clone + std::fmt::Debug;
-    /// Other state of the model.
+    /// Model data outside the processes, such as calls in flight or the contents of disks.
     type Environment: Clone;
-    /// State that processes find when all of them restart.
+    /// Description of what the processes find on disk when all of them restart; only a model defines its
+    /// meaning.
     type RestartState: Copy + PartialEq;
 
-    /// Returns the limits on faults and steps.
+    /// Returns the limits on the faults and the length of each history.
     fn bounds(&self) -> Bounds<'_, Self::RestartState>;
 
     /// Delivers a message to a node, or with `None` runs its timers. Returns the messages that the node
--- a/lease/rig/src/system_state.rs
+++ b/lease/rig/src/system_state.rs
@@ -11,7 +11,7 @@
     pub from: usize,
     /// Index of the receiving node.
     pub to: usize,
-    /// Message content.
+    /// Message that one process sent to another.
     pub message: Message<A>,
 }
 
@@ -20,27 +20,27 @@
 pub struct QueuedMessage<A: Application> {
     /// Index of the sending node.
     pub from: usize,
-    /// Message content.
+    /// Message that one process sent to another.
     pub message: Message<A>,
 }
 
 /// Lasting fault in progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ActiveFault {
-    /// Index of the faulty node.
+    /// Index of the faulty node in [`SystemState::nodes`].
     pub node: usize,
-    /// Kind of the fault.
+    /// Effect of the fault on the process and its messages.
     pub kind: LastingFault,
     /// Remaining duration in steps.
     pub steps_left: u8,
 }
 
-/// State of a model. `M` is the state other than the processes.
+/// State of a model between two steps. `M` is the type of the model data outside the processes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct SystemState<A: Application, M> {
     /// Number of executed steps.
     pub step: u8,
-    /// Processes; the voters come first.
+    /// Processes by node index; the voters come first.
     pub nodes: Vec<Machine<A>>,
     /// Lasting fault in progress, if any.
     pub active_fault: Option<ActiveFault>,
@@ -54,7 +54,7 @@
     pub process_starts: u64,
     /// First violated invariant; `None`: none was violated.
     pub violation: Option<&'static str>,
-    /// Other state of the model.
+    /// Model data outside the processes, such as calls in flight or the contents of disks.
     pub environment: M,
 }
 
@@ -88,7 +88,8 @@
         !self.has_fault(node, &[LastingFault::Partitioned, LastingFault::OutboundBlocked])
     }
 
-    /// Returns whether a node is stopped.
+    /// Returns whether the process of a node is frozen: it is paused, keeps its memory, and messages to it
+    /// are queued.
     pub fn is_frozen(&self, node: usize) -> bool {
         self.has_fault(node, &[LastingFault::Frozen])
     }
--- a/lease/src/admission/mod.rs
+++ b/lease/src/admission/mod.rs
@@ -17,7 +17,7 @@
 /// Maximum number of processes with the complete state that a reply names; more than one, in case some of
 /// them fail.
 pub(crate) const MAX_NAMED_PEERS: usize = 3;
-/// Maximum number of stored replies.
+/// Maximum number of processes whose replies are stored, to limit memory.
 const MAX_REPLIES: usize = 64;
 /// Number of query rounds per lease duration.
 const QUERIES_PER_LEASE: Micros = 12;
@@ -27,7 +27,7 @@
 pub struct RecoveryStatus {
     /// Recovery state as a voter; `None`: not a voter.
     pub voter: Option<RecoveryState>,
-    /// True if the state of the process is complete.
+    /// True if the state of the process contains every committed change.
     pub has_complete_state: bool,
     /// True if the process holds a lease.
     pub has_lease: bool,
@@ -37,7 +37,7 @@
     pub peers_with_complete_state: BTreeSet<Name>,
 }
 
-/// Query to be sent.
+/// Query to another process, to be sent by the machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Query {
     /// Receiver of the query.
@@ -46,7 +46,7 @@
     pub wants_state: bool,
 }
 
-/// Local process in its role as a voter.
+/// Recovery state of the local process, which counts like the reply of a voter.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct OwnVoter<'a> {
     /// Name of the local process.
--- a/lease/src/admission/reason.rs
+++ b/lease/src/admission/reason.rs
@@ -15,7 +15,7 @@
     AwaitingAdmission,
     /// Waits: this process has the complete state and has not sent it yet.
     AwaitingState(Name),
-    /// Waits: the state is lost, and operators have time to declare it.
+    /// Waits: the state is lost, and operators have time to restore it and confirm that it is complete.
     AwaitingOperators,
     /// Serves: admitted by a leader.
     Admitted,
--- a/lease/src/admission/reply_summary.rs
+++ b/lease/src/admission/reply_summary.rs
@@ -10,20 +10,22 @@
 ///
 /// The loss of the state is certain once a majority of voters reports it within one lease duration. Each of
 /// them was quarantined for longer than a lease before, so no earlier leader can still hold a lease and know
-/// the state, and no later one can recover it before operators declare it.
+/// the state. A later leader cannot recover it either, until operators restore the state and confirm that it
+/// is complete.
 #[expect(clippy::struct_excessive_bools, reason = "each is one finding, independent of the others")]
 pub(super) struct ReplySummary {
     has_replies: bool,
-    /// True if a running process has the complete state.
+    /// True if a reply shows that some running process has the complete state.
     state_exists: bool,
-    /// Process with the complete state, named by any reply.
+    /// Another process with the complete state, according to any reply.
     peer_with_complete_state: Option<Name>,
     /// True if some process holds a lease.
     lease_exists: bool,
     majority_lost_state: bool,
     majority_votes: bool,
     majority_cannot_vote: bool,
-    /// True while operators still have time to declare the state.
+    /// True while the process still waits for operators to restore the lost state and confirm that it is
+    /// complete.
     within_operator_timeout: bool,
     timed_out: bool,
 }
--- a/lease/src/application.rs
+++ b/lease/src/application.rs
@@ -18,7 +18,7 @@
     pub sent_at: Micros,
     /// True if this is the process's first report to this leader.
     pub is_first: bool,
-    /// Report of the application.
+    /// Report of the application at that process.
     pub report: &'a T::Report,
 }
 
@@ -31,7 +31,7 @@
     pub requested_at: Micros,
     /// End of the lease, by the local clock.
     pub expires_at: Micros,
-    /// Grant of the application.
+    /// Data that the application at the leader granted with the lease.
     pub grant: T::Grant,
 }
 
--- a/lease/src/ballot.rs
+++ b/lease/src/ballot.rs
@@ -51,8 +51,8 @@
 /// State with its version.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Versioned<S> {
-    /// Version of the state.
+    /// Version, by which the newer of two states is determined.
     pub version: Version,
-    /// State itself.
+    /// State of this version.
     pub state: S,
 }
--- a/lease/src/config.rs
+++ b/lease/src/config.rs
@@ -15,17 +15,16 @@
     /// Duration of the leader's lease and of the lease of each process. It limits the time without a leader
     /// after a failure. A process may pause for half of it without losing its lease.
     pub lease_duration: Micros,
-    /// Maximum duration of a request: a process that is no longer heard may have requests in flight for this
-    /// long.
+    /// Maximum duration of a call. A process that no longer reports may have calls in flight for this long.
     pub max_call_duration: Micros,
-    /// Time for which a new leader considers the state incomplete after all voters have lost theirs, unless
-    /// its application declares the state recovered.
+    /// Time for which a new leader considers the state incomplete after a majority of voters has lost theirs.
+    /// It ends earlier if the application calls [`crate::LeaderContext::declare_recovered`].
     pub state_loss_timeout: Micros,
     /// Time for which a restarted process waits for a reply of a process with the complete state, before it
     /// serves without admission.
     pub autonomy_timeout: Micros,
-    /// Time, from its start, for which a process waits for operators to declare a lost state; 0: it does not
-    /// wait.
+    /// Time, from its start, for which a process waits for operators to restore a lost state and confirm that
+    /// it is complete; 0: it does not wait.
     pub operator_timeout: Micros,
 }
 
--- a/lease/src/facts.rs
+++ b/lease/src/facts.rs
@@ -1,4 +1,4 @@
-//! Input of the protocol: the membership, and the data of the application.
+//! Data from outside the protocol: the membership, and the application's own data.
 
 use flaxhead_membership::{Micros, Name};
 use std::collections::BTreeMap;
@@ -15,7 +15,7 @@
     Unreachable,
     /// Ended: its machine refuses connections to its address.
     Exited,
-    /// Leaving by its own announcement; it still completes the requests that it has accepted.
+    /// Leaving by its own announcement; it still completes the calls that it has accepted.
     Left,
 }
 
@@ -26,20 +26,21 @@
     pub incarnation: u64,
     /// Address on which the process listens.
     pub address: SocketAddr,
-    /// State of the process.
+    /// State of the process, as far as the membership knows.
     pub presence: Presence,
     /// Time of the last change of the presence.
     pub since: Micros,
 }
 
-/// Input of the protocol. `F` is the input type of the application.
+/// Data from outside the protocol that a step of the machine uses. `F` is the type of the application's part.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Facts<F> {
-    /// Other members by name.
+    /// Members other than the local process, by name.
     pub members: BTreeMap<Name, MemberStatus>,
     /// True if this process may become the leader or renew its leadership: according to the membership it is
     /// neither cut off, nor displaced, nor leaving.
     pub participates: bool,
-    /// Input of the application.
+    /// Data that the application uses for its decisions besides the membership, such as host capacities. The
+    /// driver reads it anew before a step.
     pub application: F,
 }
--- a/lease/src/leader/commit.rs
+++ b/lease/src/leader/commit.rs
@@ -9,7 +9,8 @@
 use flaxhead_membership::{Micros, Name};
 
 impl<T: ApplicationTypes> LeaderState<T> {
-    /// Returns whether a majority of voters has applied the state with this sequence number.
+    /// Returns whether a majority of voters reported recently that it has applied the state of the sequence
+    /// number `seq` or later.
     pub(super) fn is_committed(&self, now: Micros, config: &Config, voters: &Voters, seq: u64) -> bool {
         let has_it =
             |peer: &PeerState<T>| peer.heard_recently(now, config) && peer.has_applied(&self.ballot, seq);
--- a/lease/src/leader/context.rs
+++ b/lease/src/leader/context.rs
@@ -10,22 +10,22 @@
 use crate::voters::Voters;
 use flaxhead_membership::Micros;
 
-/// Access of an application to the leader that it runs on.
+/// Access of an application's leader hooks to the protocol state of the leader.
 pub struct LeaderContext<'a, T: ApplicationTypes> {
     pub(crate) leader: &'a mut LeaderState<T>,
     pub(crate) voters: &'a Voters,
     /// Current time in microseconds.
     pub now: Micros,
-    /// Time limits of the protocol.
+    /// Time limits that the leader is configured with.
     pub config: &'a Config,
-    /// Membership and the input of the application.
+    /// Membership, and data that the application uses for its decisions.
     pub facts: &'a Facts<T::Facts>,
     /// Process that is the leader.
     pub me: &'a Process,
 }
 
 impl<T: ApplicationTypes> LeaderContext<'_, T> {
-    /// Ballot of the leader.
+    /// Ballot under which the leader was elected.
     pub fn ballot(&self) -> &Ballot {
         &self.leader.ballot
     }
@@ -76,12 +76,13 @@
         self.leader.is_committed(self.now, self.config, self.voters, seq)
     }
 
-    /// Time since which the roster and the state may be incomplete; `None`: both are complete.
+    /// Time since which the roster and the state may lack committed changes; `None`: both are complete.
     pub fn state_lost_since(&self) -> Option<Micros> {
         self.leader.state_lost_since
     }
 
-    /// Declares the state complete. Returns whether it was considered incomplete before.
+    /// Ends the period in which the state is considered incomplete, for example when operators confirm that
+    /// it is complete. Returns whether it was considered incomplete.
     pub fn declare_recovered(&mut self) -> bool {
         self.leader.state_lost_since.take().is_some()
     }
--- a/lease/src/leader/lease.rs
+++ b/lease/src/leader/lease.rs
@@ -18,15 +18,15 @@
         now < self.lease_expiry
     }
 
-    /// Begins a renewal round.
-    pub(crate) fn begin_round(&mut self, now: Micros) {
+    /// Begins another renewal round, which extends the lease once a majority of voters has accepted it.
+    pub(crate) fn begin_renewal_round(&mut self, now: Micros) {
         self.round += 1;
-        self.round_started = now;
+        self.renewal_round_started = now;
         self.acceptances = BTreeSet::new();
     }
 
-    /// Records the acceptance of a proposal. Extends the lease once a majority has accepted the current
-    /// round.
+    /// Records the acceptance of a proposal. Extends the leader's lease once a majority of voters has
+    /// accepted the current renewal round.
     pub(crate) fn record_acceptance(
         &mut self,
         now: Micros,
@@ -45,7 +45,7 @@
         }
         self.acceptances.insert(from.clone());
         if voters.has_majority(|name| self.acceptances.contains(name)) {
-            self.lease_expiry = self.lease_expiry.max(self.round_started + config.lease_duration);
+            self.lease_expiry = self.lease_expiry.max(self.renewal_round_started + config.lease_duration);
         }
     }
 
--- a/lease/src/leader/mod.rs
+++ b/lease/src/leader/mod.rs
@@ -18,4 +18,4 @@
 pub(crate) use dissemination::ReceiverSet;
 pub use peer::PeerState;
 pub use state::LeaderState;
-pub(crate) use state::{OwnState, INITIAL_ROUND};
+pub(crate) use state::{OwnState, INITIAL_RENEWAL_ROUND};
--- a/lease/src/leader/roster.rs
+++ b/lease/src/leader/roster.rs
@@ -10,7 +10,7 @@
 use crate::voters::Voters;
 use flaxhead_membership::Micros;
 
-/// Result of a renewal request.
+/// Outcome of a renewal request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RenewalOutcome {
     /// True if the process has applied a state of this leader, so that its report is valid.
@@ -109,7 +109,7 @@
         }
         match member.presence {
             Presence::Exited => true,
-            // A leaving process ends after it has completed its accepted requests.
+            // A leaving process ends after it has completed its accepted calls.
             Presence::Left => {
                 now.saturating_sub(member.since) >= Config::with_max_drift(config.max_call_duration)
             }
--- a/lease/src/leader/state.rs
+++ b/lease/src/leader/state.rs
@@ -1,4 +1,4 @@
-//! State of a leader.
+//! State of a leader, independent of its application.
 
 use super::candidacy::Candidacy;
 use super::command::UncommittedCommand;
@@ -17,28 +17,29 @@
 pub(super) const INITIAL_ROSTER_SEQ: u64 = 1;
 /// Sequence number of the first state of a leader.
 const INITIAL_STATE_SEQ: u64 = 1;
-/// Renewal round number of the election itself.
-pub(crate) const INITIAL_ROUND: u64 = 1;
+/// Number of the first renewal round, in which the election itself counts as a renewal.
+pub(crate) const INITIAL_RENEWAL_ROUND: u64 = 1;
 
-/// Lease and records of a leader.
+/// Lease of a leader, its replicated state, the roster, and its records about voters and processes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaderState<T: ApplicationTypes> {
     pub(crate) ballot: Ballot,
     /// End of the lease, by the leader's clock.
     pub(super) lease_expiry: Micros,
-    /// Current renewal round, followed by its start and the voters that have accepted it.
+    /// Number of the current renewal round. The two fields below are its start and the voters that accepted
+    /// it.
     pub(crate) round: u64,
-    pub(crate) round_started: Micros,
+    pub(crate) renewal_round_started: Micros,
     pub(super) acceptances: BTreeSet<Name>,
     /// Incarnations of the voters that have promised.
     pub(crate) voter_incarnations: BTreeMap<Name, u64>,
     pub(super) voter_records: BTreeMap<Name, VoterRecord>,
     pub(crate) state: Versioned<T::State>,
-    /// Time to which the durations in the state refer.
+    /// Time at which the durations in the state were last advanced.
     state_as_of: Micros,
     pub(crate) roster: Roster,
     pub(super) peers: BTreeMap<Process, PeerState<T>>,
-    /// Time since which the roster and the state may be incomplete; `None`: both are complete.
+    /// Time since which the roster and the state may lack committed changes; `None`: both are complete.
     pub(crate) state_lost_since: Option<Micros>,
     /// True if the state includes that of a process which remained admitted throughout the loss.
     has_complete_state: bool,
@@ -50,9 +51,10 @@
 
 /// State of the process that becomes the leader.
 pub(crate) struct OwnState<T: ApplicationTypes> {
-    /// State that it has applied.
+    /// State that the process has applied before it became the leader.
     pub state: Versioned<T::State>,
-    /// True if that state is complete.
+    /// True if that state contains every committed change, which holds unless the process restarted and has
+    /// not recovered it.
     pub is_complete: bool,
 }
 
@@ -77,8 +79,8 @@
         let peer = |process: &Process| (process.clone(), PeerState::new(now, config, INITIAL_ROSTER_SEQ));
         LeaderState {
             lease_expiry: started + config.lease_duration,
-            round: INITIAL_ROUND,
-            round_started: started,
+            round: INITIAL_RENEWAL_ROUND,
+            renewal_round_started: started,
             acceptances: grants,
             voter_incarnations: promises.iter().map(incarnation).collect(),
             voter_records: BTreeMap::new(),
@@ -95,12 +97,12 @@
         }
     }
 
-    /// Ballot of the leader.
+    /// Ballot under which the leader was elected.
     pub fn ballot(&self) -> &Ballot {
         &self.ballot
     }
 
-    /// State that the leader replicates.
+    /// State that the leader replicates, with its version.
     pub fn state(&self) -> &Versioned<T::State> {
         &self.state
     }
@@ -110,8 +112,8 @@
         self.peers.iter()
     }
 
-    /// Returns whether the complete state is known.
-    pub(crate) fn is_recovered(&self) -> bool {
+    /// Returns whether the leader's state contains every committed change.
+    pub(crate) fn knows_complete_state(&self) -> bool {
         self.state_lost_since.is_none() || self.has_complete_state
     }
 
--- a/lease/src/lib.rs
+++ b/lease/src/lib.rs
@@ -12,7 +12,8 @@
 //! - *Participants*: the [`Roster`] is stored by a majority of voters. A process is on the roster before it
 //!   gets a lease of its own.
 //! - *State*: **every** process on the roster receives and confirms the replicated state. A new leader
-//!   therefore needs no log, because any process that remained admitted has the complete state.
+//!   therefore needs no log, because any process that remained admitted has the complete state: the one that
+//!   contains every committed change.
 //!
 //! The guarantees for a proxy that is isolated, in a minority, paused or restarted are described in
 //! `docs/design/lease.md`.
--- a/lease/src/machine/commands.rs
+++ b/lease/src/machine/commands.rs
@@ -39,8 +39,8 @@
     /// Runs the application as the leader, and sends out its changes.
     pub(super) fn run_leader(&mut self, context: &mut Context<'_, A::Facts>, effects: &mut Vec<Effect<A>>) {
         let now = context.now;
-        let Some((leader, environment)) = self.leader_with_environment(now, context.facts) else { return };
-        let has_changed = leader.step(&environment);
+        let Some((leader, input)) = self.leader_with_input(now, context.facts) else { return };
+        let has_changed = leader.step(&input);
         effects.extend(leader.state.take_events().into_iter().map(Effect::Event));
         let state = leader.state.state.clone();
         if has_changed || state.version > self.replica.state.version {
@@ -92,8 +92,8 @@
         if self.leading_ballot(now).is_none() {
             return Err(CommandError::NoLeader.into());
         }
-        match self.leader_with_environment(now, context.facts) {
-            Some((leader, environment)) => leader.execute(&environment, from.clone(), id, command),
+        match self.leader_with_input(now, context.facts) {
+            Some((leader, input)) => leader.execute(&input, from.clone(), id, command),
             None => Err(CommandError::NoLeader.into()),
         }
     }
--- a/lease/src/machine/election.rs
+++ b/lease/src/machine/election.rs
@@ -3,7 +3,7 @@
 use super::state::{random_below, Context, Effect, Machine};
 use crate::application::Application;
 use crate::ballot::Ballot;
-use crate::leader::{Candidacy, INITIAL_ROUND};
+use crate::leader::{Candidacy, INITIAL_RENEWAL_ROUND};
 use crate::message::{Denial, Message, Promise, Proposal};
 use crate::roster::Roster;
 use flaxhead_membership::{Micros, Name};
@@ -89,7 +89,7 @@
         let Some(promise) = candidacy.promises.get(to) else { return };
         let proposal = Proposal {
             ballot: candidacy.ballot.clone(),
-            round: INITIAL_ROUND,
+            round: INITIAL_RENEWAL_ROUND,
             incarnation: promise.incarnation,
             is_recovered: false,
             roster: Roster::default(),
--- a/lease/src/machine/leader.rs
+++ b/lease/src/machine/leader.rs
@@ -1,4 +1,4 @@
-//! Leader with the data of its application.
+//! Leader role: its protocol state together with the data of its application.
 
 use crate::application::{Application, ReceivedReport};
 use crate::config::Config;
@@ -15,8 +15,8 @@
     pub data: A::LeaderData,
 }
 
-/// Input of the leader's operations.
-pub(super) struct LeaderEnvironment<'a, A: Application> {
+/// Data of the machine that the leader's operations need: time, configuration, membership and application.
+pub(super) struct LeaderInput<'a, A: Application> {
     pub now: Micros,
     pub config: &'a Config,
     pub voters: &'a Voters,
@@ -25,9 +25,9 @@
     pub application: &'a A,
 }
 
-/// Result of a renewal request.
+/// Outcome of a renewal request, from which the answer is built.
 pub(super) struct RenewalResponse<A: Application> {
-    /// Grant of the application; `None`: no lease is granted.
+    /// Data that the application grants with the lease; `None`: no lease is granted.
     pub grant: Option<A::Grant>,
     /// True if the process needs the current state.
     pub is_behind: bool,
@@ -37,78 +37,74 @@
 
 fn context<'a, A: Application>(
     leader: &'a mut LeaderState<A>,
-    environment: &LeaderEnvironment<'a, A>,
+    input: &LeaderInput<'a, A>,
 ) -> LeaderContext<'a, A> {
-    let LeaderEnvironment { now, config, voters, facts, me, .. } = *environment;
+    let LeaderInput { now, config, voters, facts, me, .. } = *input;
     LeaderContext { leader, voters, now, config, facts, me }
 }
 
 impl<A: Application> Leader<A> {
-    pub fn new(mut state: LeaderState<A>, environment: &LeaderEnvironment<'_, A>) -> Leader<A> {
-        let data = environment.application.begin_leadership(&mut context(&mut state, environment));
+    pub fn new(mut state: LeaderState<A>, input: &LeaderInput<'_, A>) -> Leader<A> {
+        let data = input.application.begin_leadership(&mut context(&mut state, input));
         Leader { state, data }
     }
 
     /// Runs the application, after the removal of ended processes. Returns whether the state has changed.
-    pub fn step(&mut self, environment: &LeaderEnvironment<'_, A>) -> bool {
-        let LeaderEnvironment { now, config, .. } = *environment;
+    pub fn step(&mut self, input: &LeaderInput<'_, A>) -> bool {
+        let LeaderInput { now, config, .. } = *input;
         if !self.state.is_leading(now) {
             return false;
         }
         self.state.advance(now);
-        self.state.remove_ended(now, config, environment.facts, environment.me);
-        self.notify_departed(environment);
+        self.state.remove_ended(now, config, input.facts, input.me);
+        self.notify_departed(input);
         let lost_since = self.state.state_lost_since;
         if lost_since.is_some_and(|since| now.saturating_sub(since) >= config.state_loss_timeout) {
             self.state.state_lost_since = None;
         }
         let before = self.state.state.version.seq;
-        environment.application.step(&mut self.data, &mut context(&mut self.state, environment));
-        self.notify_departed(environment);
+        input.application.step(&mut self.data, &mut context(&mut self.state, input));
+        self.notify_departed(input);
         self.state.state.version.seq != before
     }
 
     /// Informs the application of the processes that were removed from the roster.
-    fn notify_departed(&mut self, environment: &LeaderEnvironment<'_, A>) {
+    fn notify_departed(&mut self, input: &LeaderInput<'_, A>) {
         for process in self.state.take_departed() {
-            let mut context = context(&mut self.state, environment);
-            environment.application.process_left(&mut self.data, &mut context, &process);
+            let mut context = context(&mut self.state, input);
+            input.application.process_left(&mut self.data, &mut context, &process);
         }
     }
 
     /// Handles a renewal request: passes on the report, and decides on the lease.
-    pub fn renew(
-        &mut self,
-        environment: &LeaderEnvironment<'_, A>,
-        renewal: Renewal<A>,
-    ) -> RenewalResponse<A> {
+    pub fn renew(&mut self, input: &LeaderInput<'_, A>, renewal: Renewal<A>) -> RenewalResponse<A> {
         let Renewal { process, sent_at, version, report, .. } = renewal;
-        let LeaderEnvironment { now, config, voters, application, .. } = *environment;
+        let LeaderInput { now, config, voters, application, .. } = *input;
         let outcome = self.state.renew(now, config, voters, &process, version, report.clone());
         if outcome.report_counts {
             let is_first = outcome.is_first_report;
             let received = ReceivedReport { process: &process, sent_at, is_first, report: &report };
-            let mut context = context(&mut self.state, environment);
+            let mut context = context(&mut self.state, input);
             application.report_received(&mut self.data, &mut context, &received);
         }
         let grant = outcome
             .is_granted
-            .then(|| application.grant(&mut self.data, &mut context(&mut self.state, environment), &process));
+            .then(|| application.grant(&mut self.data, &mut context(&mut self.state, input), &process));
         RenewalResponse { grant, is_behind: outcome.is_behind, is_enrolled: outcome.is_enrolled }
     }
 
     /// Executes a command. Its response is held back until the effect is committed.
     pub fn execute(
         &mut self,
-        environment: &LeaderEnvironment<'_, A>,
+        input: &LeaderInput<'_, A>,
         from: Name,
         id: u64,
         command: A::Command,
     ) -> Result<(), A::Rejection> {
-        self.state.advance(environment.now);
-        let mut context = context(&mut self.state, environment);
-        let response = environment.application.command(&mut self.data, &mut context, command);
-        self.notify_departed(environment);
+        self.state.advance(input.now);
+        let mut context = context(&mut self.state, input);
+        let response = input.application.command(&mut self.data, &mut context, command);
+        self.notify_departed(input);
         self.state.defer_response(from, id, response?);
         Ok(())
     }
--- a/lease/src/machine/lease.rs
+++ b/lease/src/machine/lease.rs
@@ -1,6 +1,6 @@
 //! Acquisition and renewal of the leader's lease.
 
-use super::leader::{Leader, LeaderEnvironment};
+use super::leader::{Leader, LeaderInput};
 use super::state::{Context, Effect, Machine};
 use crate::application::Application;
 use crate::leader::{Candidacy, LeaderState, OwnState, ReceiverSet};
@@ -57,7 +57,7 @@
         let own =
             OwnState { state: self.replica.current_state(now), is_complete: self.replica.has_complete_state };
         let state = LeaderState::new(now, &self.config, &self.voters, candidacy, &own, self.me.clone());
-        let environment = LeaderEnvironment {
+        let input = LeaderInput {
             now,
             config: &self.config,
             voters: &self.voters,
@@ -65,28 +65,32 @@
             me: &self.me,
             application: &self.application,
         };
-        let leader = Leader::new(state, &environment);
+        let leader = Leader::new(state, &input);
         self.apply(now, leader.state.state.clone());
         self.leader = Some(Box::new(leader));
         self.failed_candidacies = 0;
         self.record_leader(now, self.me.name.clone());
         effects.push(Effect::LeadershipChanged(Some(ballot)));
-        self.begin_round(context, effects);
+        self.begin_renewal_round(context, effects);
         self.disseminate(now, ReceiverSet::All, effects);
         self.renew(context, effects);
     }
 
     /// Begins a renewal round: sends proposals to the voters that have promised. Other voters, and those that
     /// may have lost their promise in a restart, are asked to promise first.
-    pub(super) fn begin_round(&mut self, context: &mut Context<'_, A::Facts>, effects: &mut Vec<Effect<A>>) {
+    pub(super) fn begin_renewal_round(
+        &mut self,
+        context: &mut Context<'_, A::Facts>,
+        effects: &mut Vec<Effect<A>>,
+    ) {
         let now = context.now;
         let Some(leader) = self.leader.as_mut() else { return };
-        self.next_round_at = now + self.config.renewal_interval();
+        self.next_renewal_round_at = now + self.config.renewal_interval();
         // A leader that is cut off lets its lease expire.
         if !context.facts.participates {
             return;
         }
-        leader.state.begin_round(now);
+        leader.state.begin_renewal_round(now);
         let (ballot, voter_sets) = (leader.state.ballot.clone(), self.voters.hashes());
         let prepare = || Message::Prepare { ballot: ballot.clone(), voter_sets };
         let voters: Vec<Name> = self.voters.iter().cloned().collect();
--- a/lease/src/machine/persistence.rs
+++ b/lease/src/machine/persistence.rs
@@ -73,7 +73,7 @@
         })
     }
 
-    /// Handles the notification that the state of this version is durable, and sends the confirmations that
+    /// Handles the notification that the state of this version is on disk, and sends the confirmations that
     /// waited for it.
     pub fn state_persisted(
         &mut self,
@@ -106,14 +106,15 @@
         self.voter.as_ref().map_or_else(Version::default, |voter| voter.roster.version.clone())
     }
 
-    /// Version of the state that the process may confirm, limited to what is durable.
+    /// Version of the state that the process may confirm: the applied one, unless the disk holds only an
+    /// older one.
     pub(super) fn persisted_state_version(&self) -> Version {
         let applied = &self.replica.state.version;
         let persistence = self.persistence.as_ref();
         persistence.map_or(applied, |disk| applied.min(&disk.persisted.state)).clone()
     }
 
-    /// Version of the roster that the process may confirm, limited to what is durable.
+    /// Version of the roster that the process may confirm: `roster`, unless the disk holds only an older one.
     fn persisted_roster_version(&self, roster: Version) -> Version {
         match &self.persistence {
             Some(persistence) => roster.min(persistence.persisted.roster.clone()),
@@ -121,8 +122,8 @@
         }
     }
 
-    /// Limits an acceptance to the durable roster. If the current roster is newer, the acceptance is repeated
-    /// once that is durable.
+    /// Limits an acceptance to the roster that is on disk. If the current roster is newer, the acceptance is
+    /// repeated once that one is on disk.
     pub(super) fn limit_to_persisted(&mut self, to: &Name, answer: Message<A>) -> Message<A> {
         let Message::Accepted(mut acceptance) = answer else { return answer };
         let persisted = self.persisted_roster_version(acceptance.roster.clone());
--- a/lease/src/machine/receive.rs
+++ b/lease/src/machine/receive.rs
@@ -132,7 +132,7 @@
         }
         self.record_leader(now, from.clone());
         self.step_down_if_outvoted(context, effects);
-        // A state that is not durable yet is confirmed later.
+        // A state that is not on disk yet is confirmed later.
         if self.persisted_state_version() != self.replica.state.version {
             return;
         }
--- a/lease/src/machine/renewal.rs
+++ b/lease/src/machine/renewal.rs
@@ -118,10 +118,10 @@
         let (incarnation, requested_at) = (renewal.process.incarnation, renewal.sent_at);
         let is_of_another_leader =
             renewal.version.ballot.as_ref().is_some_and(|version_ballot| *version_ballot != ballot);
-        let Some((leader, environment)) = self.leader_with_environment(now, context.facts) else { return };
+        let Some((leader, input)) = self.leader_with_input(now, context.facts) else { return };
         let wants_its_state = leader.state.state_lost_since.is_some() && is_of_another_leader;
-        let RenewalResponse { grant, is_behind, is_enrolled } = leader.renew(&environment, renewal);
-        let is_recovered = leader.state.is_recovered();
+        let RenewalResponse { grant, is_behind, is_enrolled } = leader.renew(&input, renewal);
+        let is_recovered = leader.state.knows_complete_state();
         if let Some(grant) = grant {
             let ballot = ballot.clone();
             let grant = LeaseGrant { ballot, incarnation, requested_at, is_recovered, grant };
@@ -141,12 +141,13 @@
     /// Sends the changed roster to the voters, on whose acceptance the lease of a new process depends.
     /// Several new processes share a round if they come within the resend interval.
     fn announce_roster(&mut self, context: &mut Context<'_, A::Facts>, effects: &mut Vec<Effect<A>>) {
-        let round_started = self.leader.as_ref().map_or(0, |leader| leader.state.round_started);
-        let next = round_started + self.config.state_resend_interval();
+        let renewal_round_started =
+            self.leader.as_ref().map_or(0, |leader| leader.state.renewal_round_started);
+        let next = renewal_round_started + self.config.state_resend_interval();
         if context.now >= next {
-            self.begin_round(context, effects);
+            self.begin_renewal_round(context, effects);
         } else {
-            self.next_round_at = self.next_round_at.min(next);
+            self.next_renewal_round_at = self.next_renewal_round_at.min(next);
         }
     }
 }
--- a/lease/src/machine/schedule.rs
+++ b/lease/src/machine/schedule.rs
@@ -11,7 +11,7 @@
         let voter = self.voter.as_ref().map_or(Micros::MAX, Voter::next_wake);
         let is_candidate = self.voter.is_some() && self.leader.is_none();
         let candidacy = if is_candidate { self.next_candidacy_at } else { Micros::MAX };
-        let round = if self.leader.is_some() { self.next_round_at } else { Micros::MAX };
+        let round = if self.leader.is_some() { self.next_renewal_round_at } else { Micros::MAX };
         let query =
             if self.replica.is_admitted { Micros::MAX } else { self.replica.admission_wait.next_query_at };
         [
@@ -39,8 +39,8 @@
         self.recover_voter(context, effects);
         self.query_peers(context, effects);
         self.begin_candidacy(context, effects);
-        if self.leader.is_some() && context.now >= self.next_round_at {
-            self.begin_round(context, effects);
+        if self.leader.is_some() && context.now >= self.next_renewal_round_at {
+            self.begin_renewal_round(context, effects);
         }
         if context.now >= self.next_renewal() {
             self.renew(context, effects);
--- a/lease/src/machine/state.rs
+++ b/lease/src/machine/state.rs
@@ -1,6 +1,6 @@
 //! State and public interface of the machine.
 
-use super::leader::{Leader, LeaderEnvironment};
+use super::leader::{Leader, LeaderInput};
 use super::pending_command::PendingCommand;
 use super::persistence_state::Persistence;
 use crate::application::Application;
@@ -20,11 +20,11 @@
 
 const MICROS_PER_MILLI: Micros = 1_000;
 
-/// Input of each step of the machine.
+/// Data that the driver passes to the machine with each message, timer or command.
 pub struct Context<'a, F> {
     /// Current time in microseconds, counted from any fixed point before the start of the process.
     pub now: Micros,
-    /// Membership and the input of the application.
+    /// Membership, and data that the application uses for its decisions.
     pub facts: &'a Facts<F>,
     /// Source of random jitter.
     pub random: &'a mut dyn RngCore,
@@ -37,12 +37,12 @@
     Send {
         /// Receiver of the message.
         to: Name,
-        /// Message content.
+        /// Message to encode and send.
         message: Message<A>,
     },
     /// Reports the result of a command that was submitted to this process.
     CommandCompleted {
-        /// Command id.
+        /// Id under which the command was submitted.
         id: u64,
         /// Response, or reason for the rejection.
         result: Result<A::Response, A::Rejection>,
@@ -53,14 +53,15 @@
     Event(A::Event),
 }
 
-/// Leader known to a process.
+/// Leader that a message named, with the time of that message.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct KnownLeader {
     pub name: Name,
     pub heard_at: Micros,
 }
 
-/// State machine of one process for one application.
+/// State machine of one process for one application. It combines the roles of a process: participant, voter
+/// and leader.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Machine<A: Application> {
     pub(super) config: Config,
@@ -81,14 +82,14 @@
     /// Time of the last lease request.
     pub(super) last_renewal_at: Micros,
     /// Time of the leader's next renewal round.
-    pub(super) next_round_at: Micros,
+    pub(super) next_renewal_round_at: Micros,
     pub(super) known_leader: Option<KnownLeader>,
     /// Index of the voter that was last asked in place of an unknown leader.
     pub(super) voter_cursor: usize,
     /// Processes that recently reported a complete state, with the time of the report.
     pub(super) peers_with_complete_state: BTreeMap<Name, Micros>,
     pub(super) pending_commands: VecDeque<PendingCommand<A::Command>>,
-    /// Progress of the persistence; `None`: persistence is disabled.
+    /// Record of what the disk holds; `None`: the process stores no state.
     pub(super) persistence: Option<Persistence>,
     /// Messages of the process to itself, handled at the end of each step.
     pub(super) loopback: VecDeque<Message<A>>,
@@ -106,7 +107,7 @@
             has_started: false,
             next_renewal_at: now,
             last_renewal_at: now,
-            next_round_at: now,
+            next_renewal_round_at: now,
             known_leader: None,
             voter_cursor: 0,
             peers_with_complete_state: BTreeMap::new(),
@@ -127,27 +128,27 @@
         self.leader.as_ref().filter(|leader| leader.state.is_leading(now)).map(|leader| &leader.data)
     }
 
-    /// Local process.
+    /// Name, incarnation and address of the local process.
     pub fn me(&self) -> &Process {
         &self.me
     }
 
-    /// Configured voters.
+    /// Voters that the process is configured with.
     pub fn voters(&self) -> &Voters {
         &self.voters
     }
 
-    /// Time limits of the protocol.
+    /// Time limits that the process is configured with.
     pub fn config(&self) -> &Config {
         &self.config
     }
 
-    /// Application of the machine.
+    /// Application that the machine runs.
     pub fn application(&self) -> &A {
         &self.application
     }
 
-    /// Application, for updates with local data.
+    /// Application that the machine runs, for passing it data of the local process.
     pub fn application_mut(&mut self) -> &mut A {
         &mut self.application
     }
@@ -167,17 +168,17 @@
         self.leader_state(now).map(LeaderState::ballot)
     }
 
-    /// Records of this process as the leader; `None`: it is not the leader.
+    /// Lease, state and records of this process as the leader; `None`: it is not the leader.
     pub fn leader_state(&self, now: Micros) -> Option<&LeaderState<A>> {
         self.leader.as_ref().map(|leader| &leader.state).filter(|state| state.is_leading(now))
     }
 
-    /// Admission status of the process.
+    /// Admission of the process by a leader.
     pub fn admission_status(&self) -> AdmissionStatus {
         self.replica.admission_status()
     }
 
-    /// Status of the lease for operators.
+    /// Status of the lease as shown to operators.
     pub fn status(&self, now: Micros) -> LeaseStatus {
         let leader_state = self.leader_state(now);
         LeaseStatus {
@@ -201,19 +202,19 @@
         self.known_leader.as_ref().filter(is_fresh).map(|leader| leader.name.clone())
     }
 
-    /// Records that the process `name` is the leader.
+    /// Remembers `name` as the leader, for one lease duration from `now`.
     pub(super) fn record_leader(&mut self, now: Micros, name: Name) {
         self.known_leader = Some(KnownLeader { name, heard_at: now });
     }
 
-    /// Returns the leader and the input of its operations; `None`: this process is not the leader.
-    pub(super) fn leader_with_environment<'a>(
+    /// Returns the leader with the data that its operations need; `None`: this process is not the leader.
+    pub(super) fn leader_with_input<'a>(
         &'a mut self,
         now: Micros,
         facts: &'a Facts<A::Facts>,
-    ) -> Option<(&'a mut Leader<A>, LeaderEnvironment<'a, A>)> {
+    ) -> Option<(&'a mut Leader<A>, LeaderInput<'a, A>)> {
         let leader = self.leader.as_deref_mut()?;
-        let environment = LeaderEnvironment {
+        let input = LeaderInput {
             now,
             config: &self.config,
             voters: &self.voters,
@@ -221,7 +222,7 @@
             me: &self.me,
             application: &self.application,
         };
-        Some((leader, environment))
+        Some((leader, input))
     }
 
     /// Records a ballot. Returns whether messages under it are valid, because no higher one is known.
@@ -260,14 +261,14 @@
         }
     }
 
-    /// Sends the answer, if there is one.
+    /// Sends `answer` to a process; `None`: nothing is sent.
     pub(super) fn reply(&mut self, to: &Name, answer: Option<Message<A>>, effects: &mut Vec<Effect<A>>) {
         if let Some(message) = answer {
             self.send(to, message, effects);
         }
     }
 
-    /// Voters other than this process.
+    /// Configured voters without the local process.
     pub(super) fn other_voters(&self) -> Vec<Name> {
         self.voters.iter().filter(|name| **name != self.me.name).cloned().collect()
     }
--- a/lease/src/message.rs
+++ b/lease/src/message.rs
@@ -11,9 +11,9 @@
 use flaxhead_membership::{Micros, Name};
 use serde::{Deserialize, Serialize};
 
-/// Maximum encoded size of a roster, enough for several thousand processes.
+/// Maximum encoded size of a roster, in bytes; enough for several thousand processes.
 const MAX_ROSTER_BYTES: usize = 1 << 17;
-/// Maximum encoded size of the other parts of a message: numbers, a process, two ballots.
+/// Maximum encoded size of the other parts of a message, in bytes: numbers, a process, two ballots.
 const MAX_HEADER_BYTES: usize = 1 << 9;
 
 /// Promise of a voter to accept no lower ballot, with the data that it stores.
@@ -52,7 +52,7 @@
     pub round: u64,
     /// Incarnation of the voter that promised; a restarted voter has lost the promise.
     pub incarnation: u64,
-    /// True if the leader's roster is complete.
+    /// True if the leader's roster contains every process that may hold a lease, and its state is complete.
     pub is_recovered: bool,
     /// Processes that may hold a lease.
     pub roster: Roster,
@@ -97,7 +97,7 @@
     pub process: Process,
     /// Time of the request, by the clock of the process. The lease is counted from it.
     pub sent_at: Micros,
-    /// True if the state of the process is complete.
+    /// True if the state of the process contains every committed change.
     pub has_complete_state: bool,
     /// Version of the state that the process has applied.
     pub version: Version,
@@ -117,9 +117,9 @@
     pub incarnation: u64,
     /// Time of the request, by the clock of the requesting process. The lease is counted from it.
     pub requested_at: Micros,
-    /// True if the leader knows the complete state.
+    /// True if the leader's state contains every committed change.
     pub is_recovered: bool,
-    /// Grant of the application.
+    /// Data that the application grants with the lease.
     pub grant: T::Grant,
 }
 
@@ -214,7 +214,7 @@
     Command {
         /// Number that the response repeats.
         id: u64,
-        /// Command of the application.
+        /// Command, to be executed by the application at the leader.
         command: T::Command,
     },
     /// Answer to `Command`.
--- a/lease/src/persistent_state.rs
+++ b/lease/src/persistent_state.rs
@@ -1,4 +1,4 @@
-//! State that a process stores on disk.
+//! State that a process keeps on disk over a restart.
 
 use crate::ballot::{Ballot, Version, Versioned};
 use crate::roster::Roster;
--- a/lease/src/replica.rs
+++ b/lease/src/replica.rs
@@ -11,7 +11,7 @@
 pub enum AdmissionStatus {
     /// Started, without knowing the state.
     Pending,
-    /// On the roster.
+    /// Admitted by a leader; the process is on the roster.
     Admitted,
     /// Serving without admission, for a reason given by [`AdmissionReason`].
     Autonomous,
@@ -33,7 +33,7 @@
 pub(crate) enum BallotCheck {
     /// Lower: messages under it are ignored.
     Stale,
-    /// Equal.
+    /// Equal to the highest known one.
     Current,
     /// Higher: it replaces the highest known one.
     Raised,
@@ -42,15 +42,15 @@
 /// Applied state and lease of the local process.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LocalReplica<T: ApplicationTypes> {
-    /// Progress of the wait for admission.
+    /// Queries, replies and conclusions of the process while it waits for its admission.
     pub(crate) admission_wait: AdmissionWait,
     /// True if the process serves without admission.
     pub(crate) is_autonomous: bool,
-    /// True if the state is complete: it came from a leader that knew it, or from a process with the complete
-    /// state.
+    /// True if the state contains every committed change: it came from a leader that knew it, or from a
+    /// process whose state is complete.
     pub(crate) has_complete_state: bool,
     pub(crate) state: Versioned<T::State>,
-    /// Time to which the durations in the state refer.
+    /// Time at which the durations in the state were exact.
     state_as_of: Micros,
     pub(crate) highest_ballot: Option<Ballot>,
     pub(crate) is_admitted: bool,
@@ -120,15 +120,20 @@
         true
     }
 
-    /// Takes the lease that was requested at `requested_at`. Before its admission, a process that does not
-    /// serve takes a lease only from a leader that knows the complete state (`is_recovered`). Returns whether
-    /// the lease was taken.
-    pub(crate) fn take_lease(&mut self, requested_at: Micros, is_recovered: bool, config: &Config) -> bool {
-        if !(self.is_admitted || is_recovered || self.is_autonomous) {
+    /// Takes the lease that was requested at `requested_at`. Returns false if the process still waits for its
+    /// admission and the leader does not know the complete state, because the process could then serve with
+    /// an incomplete state.
+    pub(crate) fn take_lease(
+        &mut self,
+        requested_at: Micros,
+        leader_knows_state: bool,
+        config: &Config,
+    ) -> bool {
+        if !(self.is_admitted || leader_knows_state || self.is_autonomous) {
             return false;
         }
         self.is_admitted = true;
-        self.has_complete_state |= is_recovered;
+        self.has_complete_state |= leader_knows_state;
         self.admission_wait.reason = AdmissionReason::Admitted;
         self.lease_expiry = self.lease_expiry.max(requested_at + config.lease_duration);
         true
--- a/lease/src/roster.rs
+++ b/lease/src/roster.rs
@@ -20,9 +20,9 @@
 /// Processes that may hold a lease.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Roster {
-    /// Version of the roster.
+    /// Version, by which the newer of two rosters is determined.
     pub version: Version,
-    /// Processes on the roster.
+    /// Processes that may hold a lease, including those that were not heard recently.
     pub processes: BTreeSet<Process>,
 }
 
--- a/lease/src/status.rs
+++ b/lease/src/status.rs
@@ -18,7 +18,8 @@
     /// True if the process is the leader.
     #[serde(rename = "holds")]
     pub is_leader: bool,
-    /// True if the process is the leader and the state is lost, so that it makes no new decisions.
+    /// True if the process is the leader and its state may lack committed changes, so that it makes no new
+    /// decisions.
     #[serde(rename = "forgotten")]
     pub is_state_lost: bool,
     /// Admission status: `waits`, `admitted` or `alone`.
--- a/lease/src/types.rs
+++ b/lease/src/types.rs
@@ -37,22 +37,23 @@
 /// Types of an application, and the maximum size of each in a message. The driver checks the sizes on sending
 /// and receiving.
 pub trait ApplicationTypes: Clone + Debug + Eq + Hash {
-    /// State that is replicated to every process.
+    /// State that the leader replicates to every process; `()` for none.
     type State: ReplicatedState;
-    /// Report that a process sends with each lease renewal.
+    /// Report that a process sends to the leader with each request for lease renewal, such as its usage.
     type Report: Payload;
-    /// Grant that the leader sends with a lease.
+    /// Data that the leader grants to a process together with its lease, such as a number of permits; `()`
+    /// for nothing.
     type Grant: Payload;
     /// Command of an operator; [`NoCommand`] if there are none.
     type Command: Payload;
-    /// Result of a committed command.
+    /// Response to a command, sent once its effect is committed.
     type Response: Payload;
     /// Reason for rejecting a command. [`CommandError::NoLeader`], returned by the application itself, causes
     /// the command to be submitted again.
     type Rejection: Payload + From<CommandError>;
-    /// Input of the application other than the membership.
+    /// Data that the application uses for its decisions, other than the membership.
     type Facts;
-    /// Event of the leader for the audit trail and the log.
+    /// Event that the application records at the leader, for the audit trail and the log.
     type Event: Clone + Debug + Eq + Hash;
 
     /// Maximum encoded size of the state.
--- a/lease/tests/application.rs
+++ b/lease/tests/application.rs
@@ -13,7 +13,7 @@
 
 const LEASE: Micros = 6_000_000;
 const STEP: Micros = 20_000;
-/// Value of each report.
+/// Number that each process reports, to be added up by the leader.
 const COUNT_PER_REPORT: u32 = 7;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
