--- a/lease/src/application.rs
+++ b/lease/src/application.rs
@@ -1,4 +1,4 @@
-//! Interface between the protocol and the applications that it replicates.
+//! Trait of an application, whose state the protocol replicates and whose grants it distributes.
 
 use crate::ballot::Ballot;
 use crate::leader::LeaderContext;
@@ -7,42 +7,46 @@
 use crate::types::ApplicationTypes;
 use flaxhead_membership::Micros;
 
-/// Report of a process, received by the leader with a lease renewal. Only reports of processes that have
-/// applied a state of this leader are passed on, because such a process ignores all lower ballots.
+/// Report of a process, received by the leader with a lease renewal. The leader passes on only reports of
+/// processes that have applied a state of this leader, because such a process ignores messages under lower
+/// ballots.
 #[derive(Debug)]
 pub struct ReceivedReport<'a, T: ApplicationTypes> {
     /// Reporting process.
     pub process: &'a Process,
-    /// Time of sending, by the clock of the process. Reports may arrive out of order or twice; the one with
-    /// the greatest time is the latest.
+    /// Time of sending, by the clock of the reporting process. Reports may arrive out of order or twice; the
+    /// one with the greatest time is the latest.
     pub sent_at: Micros,
     /// True if this is the process's first report to this leader.
     pub is_first: bool,
-    /// Report of the application at that process.
+    /// Data that the application at the reporting process returned from [`Application::report`].
     pub report: &'a T::Report,
 }
 
-/// Lease that the local process has received.
+/// Lease that the leader granted to the local process.
 #[derive(Debug)]
 pub struct ReceivedGrant<T: ApplicationTypes> {
-    /// Ballot of the leader, the highest known to the process.
+    /// Ballot of the leader that granted the lease; the highest that the local process knows.
     pub ballot: Ballot,
-    /// Time of the request, by the local clock.
+    /// Time at which the local process requested the lease, by its own clock.
     pub requested_at: Micros,
-    /// End of the lease, by the local clock.
+    /// End of the lease, by the clock of the local process.
     pub expires_at: Micros,
-    /// Data that the application at the leader granted with the lease.
+    /// Data that the application at the leader returned from [`Application::grant`].
     pub grant: T::Grant,
 }
 
-/// Subject of an agreement between the proxies. The implementing value is the part that every process has.
-/// The leader additionally keeps [`Application::LeaderData`] during its leadership.
+/// Logic and data that the proxies run in agreement, such as the drains of hosts or the quotas of tenants.
 ///
-/// Each application has its own lease and roster ([`crate::Machine`]), so that a failure of one does not
+/// An implementation defines the replicated state, the reports of processes, the leader's grants, and the
+/// commands of operators. Every process has one value of the implementing type. The leader additionally has
+/// [`Application::LeaderData`], from the start to the end of its leadership.
+///
+/// Each application has its own leader and roster ([`crate::Machine`]), so that a failure of one does not
 /// affect the others. The methods use no I/O and no clock: the same calls lead to the same state.
 ///
-/// An application without a common state, which only grants something to each process (such as quotas), uses
-/// `()` as its state and [`crate::NoCommand`] as its command type:
+/// An application without a replicated state, which only grants something to each process (such as quotas),
+/// uses `()` as its state and [`crate::NoCommand`] as its command type:
 ///
 /// ```
 /// use flaxhead_lease::{
@@ -137,51 +141,53 @@
 /// This example is simplified: it grants a withdrawn permit to another process before the permit is known to
 /// be free.
 pub trait Application: ApplicationTypes {
-    /// Data of the application at the leader, discarded at the end of the leadership.
+    /// Data that the application keeps only at the leader, discarded at the end of the leadership.
     type LeaderData: Clone + std::fmt::Debug + Eq + std::hash::Hash;
 
-    // Hooks that are called at every process.
+    // Methods that the machine calls at every process.
 
-    /// Returns the report for the renewal that is sent now.
+    /// Returns the report that this process sends to the leader with the lease request of this moment.
     fn report(&mut self, now: Micros, replica: &LocalReplica<Self>, facts: &Self::Facts) -> Self::Report;
 
-    /// Called when a state was applied that is no older than the one before.
+    /// Called after this process has applied a state that the leader replicated, another process sent, or the
+    /// disk held. The state is at least as new as the one before it.
     fn state_changed(&mut self, now: Micros, state: &Self::State) {
         let _ = (now, state);
     }
 
-    /// Called when a lease was received from the leader with the highest known ballot.
+    /// Called when this process receives a lease from the leader with the highest ballot that it knows.
     fn lease_granted(&mut self, granted: &ReceivedGrant<Self>) {
         let _ = granted;
     }
 
-    /// Called when a higher ballot becomes known. Grants under lower ballots will not be renewed.
+    /// Called when this process learns of a ballot higher than all that it knew, so of a later leader. Leases
+    /// that were granted under lower ballots will not be renewed.
     fn higher_ballot_observed(&mut self, ballot: &Ballot) {
         let _ = ballot;
     }
 
-    /// Called, while this process waits for its admission, when every voter has reported within one lease
-    /// duration that it has lost the state.
+    /// Called while this process waits for its admission and every voter has reported, within one lease
+    /// duration, that it has not recovered the state. May be called repeatedly.
     fn state_lost(&mut self) {}
 
-    /// Returns whether the next report should be sent before the regular renewal. Called after each event.
-    /// The protocol limits early renewals to twelve times the regular rate, with jitter. The application
-    /// resets its request in [`Application::report`].
+    /// Returns whether this process should request its next lease before the regular time, to send its
+    /// report. Called after each event. Early requests are limited to twelve times the regular rate, with
+    /// jitter. To stop them, the application returns false again once [`Application::report`] was called.
     fn wants_early_renewal(&self) -> bool {
         false
     }
 
-    // Hooks that are called only at the leader.
+    // Methods that the machine calls only at the leader.
 
     /// Called when this process becomes the leader, to create the application's data.
     ///
-    /// The state is the newest that a majority of voters or this process had. If too many voters have lost
-    /// theirs ([`LeaderContext::state_lost_since`]), the states of all of them are merged into it
-    /// ([`crate::ReplicatedState::merge`]). The roster is that of the last leader, as far as it is known. The
-    /// state is then replicated to all processes.
+    /// The state in `context` is the newest that this process or a promising voter had. If too many voters
+    /// have lost theirs ([`LeaderContext::state_lost_since`]), the states of all of them are merged into it
+    /// ([`crate::ReplicatedState::merge`]). The roster is that of the last leader, as far as the promising
+    /// voters know it. After this call, the leader replicates the state to all processes on the roster.
     fn begin_leadership(&self, context: &mut LeaderContext<'_, Self>) -> Self::LeaderData;
 
-    /// Called for the report of a process that has applied a state of this leader.
+    /// Called at the leader for each report of a process that has applied a state of this leader.
     fn report_received(
         &self,
         data: &mut Self::LeaderData,
@@ -191,7 +197,7 @@
         let _ = (data, context, received);
     }
 
-    /// Returns the grant that is sent with the lease of a process. The message may be lost.
+    /// Returns the grant that the leader sends to `process` with its lease. The message may be lost.
     fn grant(
         &self,
         data: &mut Self::LeaderData,
@@ -199,7 +205,8 @@
         process: &Process,
     ) -> Self::Grant;
 
-    /// Called when a process was removed from the roster, because it has ended or was replaced.
+    /// Called after `process` was removed from the roster, because it has ended or a later process replaced
+    /// it.
     fn process_left(
         &self,
         data: &mut Self::LeaderData,
@@ -209,17 +216,18 @@
         let _ = (data, context, process);
     }
 
-    /// Called after each event and timer. [`LeaderContext::publish`] must be called if the state was changed.
+    /// Called at the leader after each message, timer and command, to make the decisions that have become
+    /// due. Must call [`LeaderContext::publish`] if it changes the state.
     fn step(&self, data: &mut Self::LeaderData, context: &mut LeaderContext<'_, Self>) {
         let _ = (data, context);
     }
 
-    /// Executes a command of an operator. The response is sent once the state at the end of this call is
-    /// committed.
+    /// Executes a command of an operator at the leader. The response is sent to the operator once the state
+    /// at the end of this call is committed.
     ///
     /// # Errors
     ///
-    /// The application's rejection, if the command changes nothing.
+    /// The application's rejection, if the command changes nothing. It is sent at once.
     fn command(
         &self,
         data: &mut Self::LeaderData,
--- a/lease/src/ballot.rs
+++ b/lease/src/ballot.rs
@@ -1,18 +1,18 @@
-//! Ballots and versions, which order leaders and the states that they write.
+//! Ballots, which order the leaders, and versions, which order the states and rosters that the leaders write.
 
 use flaxhead_membership::Name;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Election number of a leader, sent with all its messages as a fencing token. Ballots are unique, and a
-/// later leader has a greater one.
+/// Election number of a candidate or leader, sent with its messages as a fencing token. Ballots are unique,
+/// and a later leader has a greater one.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ballot {
-    /// Election round, counted over all proxies.
+    /// Number of the election: one more than in the highest ballot that the candidate knew.
     pub round: u64,
-    /// Name of the candidate.
+    /// Name of the candidate, which distinguishes ballots of the same round.
     pub name: Name,
-    /// Incarnation of the candidate, because a restarted process may use a round again.
+    /// Incarnation of the candidate, because after a restart it may use the same round again.
     pub incarnation: u64,
 }
 
@@ -22,13 +22,15 @@
     }
 }
 
-/// Version of a state or a roster, ordered by the ballot of its writer, then by that leader's sequence
-/// number.
+/// Version of a state or a roster, ordered by the ballot of the leader that wrote it, then by that leader's
+/// sequence number.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Version {
-    /// Ballot of the leader that wrote it; `None`: no leader has written it, as in a new process.
+    /// Ballot of the leader that wrote it; `None`: the initial state or roster of a process, written by no
+    /// leader.
     pub ballot: Option<Ballot>,
-    /// Sequence number, counted separately by each leader.
+    /// Sequence number, counted by each leader from 1, separately for states and rosters; 0 in the initial
+    /// version.
     pub seq: u64,
 }
 
@@ -48,11 +50,11 @@
     }
 }
 
-/// State with its version.
+/// State of an application, with its version.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Versioned<S> {
-    /// Version, by which the newer of two states is determined.
+    /// Version that tells which of two states is newer.
     pub version: Version,
-    /// State of this version.
+    /// State that has this version.
     pub state: S,
 }
--- a/lease/src/message.rs
+++ b/lease/src/message.rs
@@ -1,4 +1,4 @@
-//! Messages between processes.
+//! Messages between the machines of one application in different processes.
 //!
 //! The driver encodes them by position, so the order of variants and fields must not change.
 
@@ -13,18 +13,19 @@
 
 /// Maximum encoded size of a roster, in bytes; enough for several thousand processes.
 const MAX_ROSTER_BYTES: usize = 1 << 17;
-/// Maximum encoded size of the other parts of a message, in bytes: numbers, a process, two ballots.
+/// Maximum encoded size of everything in a message but the roster and the application's data, in bytes:
+/// numbers, a process, two ballots.
 const MAX_HEADER_BYTES: usize = 1 << 9;
 
-/// Promise of a voter to accept no lower ballot, with the data that it stores.
+/// Promise of a voter to accept no ballot lower than `ballot`, with the data that the voter stores.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(bound = "")]
 pub struct Promise<T: ApplicationTypes> {
-    /// Ballot of the candidate.
+    /// Ballot of the candidate that requested the promise.
     pub ballot: Ballot,
-    /// Incarnation of the voter.
+    /// Incarnation of the promising voter. A proposal to it must repeat this number.
     pub incarnation: u64,
-    /// Recovery state of the voter.
+    /// Progress of the voter's recovery after its restart.
     pub recovery: RecoveryState,
     /// Roster that the voter stores.
     pub roster: Roster,
@@ -32,56 +33,60 @@
     pub state: Versioned<T::State>,
 }
 
-/// Refusal of a voter to promise or to accept.
+/// Refusal of a voter to promise or to accept a ballot, because it has promised a higher one or has granted
+/// another leader a lease that is still valid.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Denial {
-    /// Ballot that is denied.
+    /// Ballot that the voter refuses.
     pub ballot: Ballot,
-    /// Highest ballot that the voter has promised.
+    /// Highest ballot that the voter has promised; `None`: none.
     pub promised: Option<Ballot>,
-    /// Remaining time of another leader's lease at this voter, in microseconds; 0: none.
+    /// Remaining time of the lease that the voter has granted to another leader, in microseconds; 0: none is
+    /// valid.
     pub lease_left: Micros,
 }
 
-/// Request to a voter that has promised: to grant the lease, or to extend it.
+/// Request to a voter that has promised, to grant the leader's lease to the sender or to extend it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Proposal {
-    /// Ballot of the candidate or leader.
+    /// Ballot of the sender, which is a candidate or the leader.
     pub ballot: Ballot,
-    /// Renewal round.
+    /// Number of the leader's renewal round. The election is the first.
     pub round: u64,
-    /// Incarnation of the voter that promised; a restarted voter has lost the promise.
+    /// Incarnation of the voter when it promised. A voter that has restarted since has lost the promise and
+    /// ignores the proposal.
     pub incarnation: u64,
-    /// True if the leader's roster contains every process that may hold a lease, and its state is complete.
+    /// True if the leader's roster contains every process that may hold a lease, and its state is complete. A
+    /// voter that accepts the proposal becomes [`RecoveryState::Recovered`].
     pub is_recovered: bool,
-    /// Processes that may hold a lease.
+    /// Roster for the voter to store, if it is newer than the stored one.
     pub roster: Roster,
 }
 
 /// Acceptance of a [`Proposal`] by a voter.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Acceptance {
-    /// Ballot of the leader.
+    /// Ballot that the voter accepts.
     pub ballot: Ballot,
-    /// Renewal round that is accepted.
+    /// Renewal round of the accepted proposal.
     pub round: u64,
-    /// Incarnation of the voter.
+    /// Incarnation of the accepting voter.
     pub incarnation: u64,
-    /// Version of the roster that the voter stores.
+    /// Version of the roster that the voter stores; if it stores its state on disk, the version there.
     pub roster: Version,
 }
 
-/// Response of a voter to another that has restarted.
+/// Data that a voter sends to another voter that has restarted and requested it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(bound = "")]
 pub struct VoterRecoveryResponse<T: ApplicationTypes> {
-    /// Nonce of the request.
+    /// Nonce of the request to which this responds.
     pub nonce: u64,
-    /// Recovery state of the responding voter.
+    /// Progress of the responding voter's own recovery.
     pub recovery: RecoveryState,
-    /// Highest ballot that the voter has promised.
+    /// Highest ballot that the voter has promised; `None`: none.
     pub promised: Option<Ballot>,
-    /// Remaining time of the lease that the voter has granted, in microseconds; 0: none.
+    /// Remaining time of the leader's lease that the voter has granted, in microseconds; 0: none is valid.
     pub lease_left: Micros,
     /// Roster that the voter stores.
     pub roster: Roster,
@@ -89,52 +94,53 @@
     pub state: Versioned<T::State>,
 }
 
-/// Request of a process for a lease, or for its renewal.
+/// Request of a process to the leader for a lease, or for the renewal of its lease.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(bound = "")]
 pub struct Renewal<T: ApplicationTypes> {
     /// Requesting process.
     pub process: Process,
-    /// Time of the request, by the clock of the process. The lease is counted from it.
+    /// Time of the request, by the clock of the requesting process. The duration of the lease counts from it.
     pub sent_at: Micros,
-    /// True if the state of the process contains every committed change.
+    /// True if the state of the requesting process contains every committed change.
     pub has_complete_state: bool,
-    /// Version of the state that the process has applied.
+    /// Version of the state that the requesting process has applied; if it stores its state on disk, the
+    /// version there if that is older.
     pub version: Version,
-    /// Highest ballot known to the process.
+    /// Highest ballot known to the requesting process; `None`: it knows none.
     pub highest_ballot: Option<Ballot>,
-    /// Report of the application.
+    /// Data that the application returned from [`crate::Application::report`].
     pub report: T::Report,
 }
 
-/// Lease of one process.
+/// Lease that the leader grants to one process, in response to its [`Renewal`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(bound = "")]
 pub struct LeaseGrant<T: ApplicationTypes> {
-    /// Ballot of the leader.
+    /// Ballot of the leader that grants the lease.
     pub ballot: Ballot,
-    /// Incarnation of the process that gets the lease.
+    /// Incarnation of the process that requested the lease. A later process of the same name ignores it.
     pub incarnation: u64,
-    /// Time of the request, by the clock of the requesting process. The lease is counted from it.
+    /// Time of the request, by the clock of the requesting process. The duration of the lease counts from it.
     pub requested_at: Micros,
     /// True if the leader's state contains every committed change.
     pub is_recovered: bool,
-    /// Data that the application grants with the lease.
+    /// Data that the application at the leader grants with the lease.
     pub grant: T::Grant,
 }
 
-/// Query of a process that waits for admission.
+/// Query of a process that waits for admission, about the leader, the voters and the state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RecoveryQuery {
     /// Incarnation of the querying process.
     pub incarnation: u64,
     /// Time of the query, by the clock of the querying process.
     pub sent_at: Micros,
-    /// True if the reply should include the state.
+    /// True if the reply should include the state of the queried process.
     pub wants_state: bool,
 }
 
-/// Reply to a [`RecoveryQuery`].
+/// Reply to a [`RecoveryQuery`], with what the replying process knows.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(bound = "")]
 pub struct RecoveryReply<T: ApplicationTypes> {
@@ -142,9 +148,9 @@
     pub incarnation: u64,
     /// Time of the query, by the clock of the querying process.
     pub requested_at: Micros,
-    /// Information of the replying process.
+    /// Recovery, lease and leader, as known to the replying process.
     pub status: RecoveryStatus,
-    /// State of the replying process, if it was requested and is complete.
+    /// State of the replying process; `None`: it was not requested, or it is not known to be complete.
     pub state: Option<Versioned<T::State>>,
 }
 
@@ -152,82 +158,85 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(bound = "")]
 pub enum Message<T: ApplicationTypes> {
-    /// Request of a candidate to promise not to accept any lower ballot.
+    /// Request of a candidate or leader to a voter, to promise not to accept any lower ballot.
     Prepare {
-        /// Ballot of the candidate.
+        /// Ballot of the sender.
         ballot: Ballot,
-        /// Hashes of the voter sets of the candidate's configuration.
+        /// Hashes of the voter sets in the sender's configuration. A voter ignores the request if they do not
+        /// overlap with its own.
         voter_sets: VoterSetHashes,
     },
-    /// Answer to `Prepare`: the voter promises.
+    /// Response to `Prepare`: the voter promises.
     Promised(Box<Promise<T>>),
-    /// Answer to `Prepare` or `Propose`: the voter declines.
+    /// Response to `Prepare` or `Propose`: the voter refuses.
     Denied(Denial),
-    /// Request of a candidate or leader for the lease, to a voter that has promised.
+    /// Request of a candidate or leader to a voter that has promised, to grant the leader's lease.
     Propose(Proposal),
-    /// Answer to `Propose`: the voter grants the lease and stores the roster.
+    /// Response to `Propose`: the voter grants the leader's lease and stores the roster.
     Accepted(Acceptance),
-    /// Request of a restarted voter for the data of another voter.
+    /// Request of a restarted voter for the promise, roster and state of another voter.
     VoterRecoveryRequest {
-        /// Number that the response repeats.
+        /// Number that the response repeats, so that it can be matched to its request.
         nonce: u64,
-        /// Hashes of the voter sets of the sender's configuration.
+        /// Hashes of the voter sets in the sender's configuration. A voter ignores the request if they do not
+        /// overlap with its own.
         voter_sets: VoterSetHashes,
     },
-    /// Answer to `VoterRecoveryRequest`.
+    /// Response to `VoterRecoveryRequest`, with the promise, roster and state of the sender.
     VoterRecoveryResponse(Box<VoterRecoveryResponse<T>>),
-    /// Replication of the leader's state.
+    /// Replication of the leader's state to another process, which confirms it with its next `Renew`.
     StateUpdate {
-        /// State with its version.
+        /// Current state of the leader, with its version.
         state: Versioned<T::State>,
     },
-    /// Request of a process for a lease, with its report.
+    /// Request of a process to the leader for a lease, with its report.
     Renew(Box<Renewal<T>>),
-    /// Request of a leader with an incomplete state for the state of a process.
+    /// Request of a leader whose state may be incomplete, for the state of another process.
     StateRequest {
-        /// Ballot of the leader.
+        /// Ballot of the requesting leader.
         ballot: Ballot,
     },
-    /// Answer to `StateRequest`.
+    /// Response to `StateRequest`, with the state of the sender for the leader to merge.
     StateResponse {
-        /// Ballot of the request.
+        /// Ballot of the leader that requested the state.
         ballot: Ballot,
-        /// State that the process has applied.
+        /// State that the sender has applied.
         state: Versioned<T::State>,
-        /// True if that state is complete, because the process remained admitted.
+        /// True if `state` contains every committed change, because the sender remained admitted.
         is_complete: bool,
     },
-    /// Answer to `Renew`: the process gets a lease.
+    /// Response to `Renew`: the leader grants a lease to the process.
     Granted(Box<LeaseGrant<T>>),
-    /// Query of a process that waits for admission.
+    /// Query of a process that waits for admission to any other process.
     RecoveryQuery(RecoveryQuery),
-    /// Answer to `RecoveryQuery`.
+    /// Reply to `RecoveryQuery`, with what the sender knows of the leader, the voters and the state.
     RecoveryReply(Box<RecoveryReply<T>>),
-    /// Answer to `Renew`, `StateUpdate` or `Command`: the sender is not the leader, or knows a higher ballot.
+    /// Response to `Renew`: the sender is not the leader. Response to `StateUpdate`: the sender knows a
+    /// higher ballot or a newer state.
     NotLeader {
-        /// Leader known to the sender.
+        /// Leader known to the sender; `None`: it knows none.
         leader: Option<Name>,
-        /// Highest ballot known to the sender.
+        /// Highest ballot known to the sender; `None`: it knows none.
         highest_ballot: Option<Ballot>,
     },
-    /// Command of an operator, forwarded to the leader.
+    /// Command of an operator, forwarded to the leader by the process to which it was submitted.
     Command {
-        /// Number that the response repeats.
+        /// Id of the command at the sender, which the response repeats.
         id: u64,
-        /// Command, to be executed by the application at the leader.
+        /// Command that the application at the leader executes.
         command: T::Command,
     },
-    /// Answer to `Command`.
+    /// Response to `Command`, sent once its effect is committed, or at once if it is rejected.
     CommandResponse {
-        /// Id of the command.
+        /// Id that the submitting process gave the command.
         id: u64,
-        /// Response, or reason for the rejection.
+        /// Response of the application, or reason for the rejection.
         result: Result<T::Response, T::Rejection>,
     },
 }
 
 impl<T: ApplicationTypes> Message<T> {
-    /// Maximum encoded size of any message, in bytes.
+    /// Maximum encoded size of any message of this application, in bytes.
     pub const MAX_BYTES: usize = MAX_HEADER_BYTES
         + MAX_ROSTER_BYTES
         + T::MAX_STATE_BYTES
@@ -235,7 +244,7 @@
         + T::MAX_GRANT_BYTES
         + T::MAX_COMMAND_BYTES;
 
-    /// Maximum encoded size of this message, in bytes. Sender and receiver drop longer ones.
+    /// Maximum encoded size of a message of this variant, in bytes. Sender and receiver drop longer ones.
     pub fn max_len(&self) -> usize {
         MAX_HEADER_BYTES + self.max_payload_len()
     }
--- a/lease/src/replica.rs
+++ b/lease/src/replica.rs
@@ -1,4 +1,4 @@
-//! Applied state and lease of the local process.
+//! State that the local process has applied, and the lease that the leader has granted to it.
 
 use crate::admission::{AdmissionReason, AdmissionWait};
 use crate::ballot::{Ballot, Versioned};
@@ -6,19 +6,19 @@
 use crate::types::{ApplicationTypes, ReplicatedState};
 use flaxhead_membership::Micros;
 
-/// Admission of a process by the leader.
+/// Stage of a process's admission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum AdmissionStatus {
-    /// Started, without knowing the state.
+    /// Waiting for admission since the start; the process must not serve yet.
     Pending,
-    /// Admitted by a leader; the process is on the roster.
+    /// Admitted: a leader has put the process on the roster and granted it a lease.
     Admitted,
-    /// Serving without admission, for a reason given by [`AdmissionReason`].
+    /// Serving without admission, because no leader can be expected; [`AdmissionReason`] says why.
     Autonomous,
 }
 
 impl AdmissionStatus {
-    /// Name on the status pages.
+    /// Name of the stage on the status pages, which must not change.
     pub(crate) fn as_str(self) -> &'static str {
         match self {
             AdmissionStatus::Pending => "waits",
@@ -28,29 +28,29 @@
     }
 }
 
-/// Comparison of a received ballot with the highest known one.
+/// Result of comparing a received ballot with the highest one that the process knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum BallotCheck {
-    /// Lower: messages under it are ignored.
+    /// Lower than the highest known ballot: messages under it are ignored.
     Stale,
-    /// Equal to the highest known one.
+    /// Equal to the highest known ballot.
     Current,
-    /// Higher: it replaces the highest known one.
+    /// Higher than the highest known ballot, and recorded in its place.
     Raised,
 }
 
-/// Applied state and lease of the local process.
+/// State that the local process has applied, and the lease that the leader has granted to it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LocalReplica<T: ApplicationTypes> {
-    /// Queries, replies and conclusions of the process while it waits for its admission.
+    /// Queries, replies and conclusions of the process while it waits for admission.
     pub(crate) admission_wait: AdmissionWait,
-    /// True if the process serves without admission.
+    /// True if the process may serve without admission. Stays true once it is set.
     pub(crate) is_autonomous: bool,
-    /// True if the state contains every committed change: it came from a leader that knew it, or from a
-    /// process whose state is complete.
+    /// True if `state` contains every committed change: it came from a leader with the complete state, or
+    /// from another process that has it.
     pub(crate) has_complete_state: bool,
     pub(crate) state: Versioned<T::State>,
-    /// Time at which the durations in the state were exact.
+    /// Time at which the durations in `state` were exact, by the local clock.
     state_as_of: Micros,
     pub(crate) highest_ballot: Option<Ballot>,
     pub(crate) is_admitted: bool,
@@ -71,34 +71,36 @@
         }
     }
 
-    /// Applied state, with its durations as received.
+    /// State that the process has applied. The durations in it are those at the time of receipt;
+    /// [`LocalReplica::current_state`] advances them.
     pub fn state(&self) -> &Versioned<T::State> {
         &self.state
     }
 
-    /// Applied state, with its durations advanced to `now`.
+    /// State that the process has applied, with its durations advanced to `now`.
     pub fn current_state(&self, now: Micros) -> Versioned<T::State> {
         let mut state = self.state.clone();
         state.state.advance(now.saturating_sub(self.state_as_of));
         state
     }
 
-    /// Highest ballot known to the process, which ignores messages under a lower one.
+    /// Highest ballot that the process knows; `None`: none. The process ignores messages under lower ballots.
     pub fn highest_ballot(&self) -> Option<&Ballot> {
         self.highest_ballot.as_ref()
     }
 
-    /// Returns whether a leader that knows the state has admitted the process.
+    /// Returns whether a leader has granted the process a lease since it started.
     pub fn is_admitted(&self) -> bool {
         self.is_admitted
     }
 
-    /// End of the lease, by the local clock; a time in the past if the process holds none.
+    /// End of the lease that the leader granted to the process, by the local clock; in the past if none is
+    /// valid.
     pub fn lease_expiry(&self) -> Micros {
         self.lease_expiry
     }
 
-    /// Compares a ballot with the highest known one, and replaces that if it is lower.
+    /// Compares a ballot with the highest one that the process knows, and records it if it is higher.
     pub(crate) fn observe_ballot(&mut self, ballot: &Ballot) -> BallotCheck {
         if self.highest_ballot.as_ref().is_some_and(|own| own > ballot) {
             return BallotCheck::Stale;
@@ -110,7 +112,7 @@
         BallotCheck::Raised
     }
 
-    /// Applies a state. Returns false if the current one is newer.
+    /// Replaces the state by `state`. Returns false, without a change, if the current state is newer.
     pub(crate) fn apply(&mut self, now: Micros, state: Versioned<T::State>) -> bool {
         if state.version < self.state.version {
             return false;
@@ -120,9 +122,11 @@
         true
     }
 
-    /// Takes the lease that was requested at `requested_at`. Returns false if the process still waits for its
-    /// admission and the leader does not know the complete state, because the process could then serve with
-    /// an incomplete state.
+    /// Records a lease that the leader granted to this process at its request of `requested_at`.
+    /// `leader_knows_state` says whether the leader's state is complete.
+    ///
+    /// Returns false, without recording the lease, if the process still waits for admission and the leader's
+    /// state is not complete. The process would otherwise begin to serve with an incomplete state.
     pub(crate) fn take_lease(
         &mut self,
         requested_at: Micros,
@@ -139,7 +143,7 @@
         true
     }
 
-    /// Merges the complete state of another process.
+    /// Merges the complete state of another process into the state of this one.
     pub(crate) fn merge(&mut self, now: Micros, other: Versioned<T::State>) {
         let mut own = self.current_state(now);
         if other.version > own.version {
@@ -152,7 +156,7 @@
         self.state_as_of = now;
     }
 
-    /// Admission status of the process.
+    /// Stage of the admission, derived from the recorded lease and conclusions.
     pub(crate) fn admission_status(&self) -> AdmissionStatus {
         match (self.is_admitted, self.is_autonomous) {
             (true, _) => AdmissionStatus::Admitted,
--- a/lease/src/roster.rs
+++ b/lease/src/roster.rs
@@ -1,4 +1,4 @@
-//! Processes that may hold a lease.
+//! Roster of the processes to which a leader may have granted a lease.
 
 use crate::ballot::Version;
 use flaxhead_membership::Name;
@@ -6,23 +6,25 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// Process that may hold a lease.
+/// One run of a proxy, identified by its name and incarnation.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Process {
-    /// Name, which a restart keeps.
+    /// Name of the proxy, which stays the same over a restart.
     pub name: Name,
-    /// Incarnation, which differs between processes of the same name.
+    /// Incarnation, which differs between the processes of one name.
     pub incarnation: u64,
-    /// Address on which the process listens. A later process on the same address has replaced it.
+    /// Address on which the process listens. A later process with the same name and address has replaced it.
     pub address: SocketAddr,
 }
 
-/// Processes that may hold a lease.
+/// Processes to which this leader or an earlier one may have granted a lease. Voters store the roster, so
+/// that a later leader knows whom to wait for.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Roster {
-    /// Version, by which the newer of two rosters is determined.
+    /// Version that tells which of two rosters is newer.
     pub version: Version,
-    /// Processes that may hold a lease, including those that were not heard recently.
+    /// Processes on the roster, including those that have stopped reporting. A process is removed once it is
+    /// known to have ended.
     pub processes: BTreeSet<Process>,
 }
 
--- a/lease/src/voter/mod.rs
+++ b/lease/src/voter/mod.rs
@@ -1,4 +1,4 @@
-//! Voter role of a process: grants of the leader's lease, and storage of the roster in memory.
+//! Voter role of a process: grants the leader's lease, and keeps the roster in memory.
 
 mod recovery;
 
@@ -12,25 +12,28 @@
 use recovery::ReceivedRecovery;
 use std::collections::BTreeMap;
 
-/// Lease that a voter has granted.
+/// Leader's lease that this voter has granted.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct GrantedLease {
-    /// Ballot of the leader.
+    /// Ballot of the candidate or leader to which the lease was granted.
     pub ballot: Ballot,
-    /// End of the lease, by the voter's clock and including the maximum drift.
+    /// End of the lease, by the voter's clock and extended by the maximum clock drift.
     pub expires_at: Micros,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Voter<T: ApplicationTypes> {
     pub recovery: RecoveryState,
-    /// True if the stored state of the previous process was recovered. The quarantine then only waits for old
-    /// leases to expire.
+    /// True if this voter loaded from disk everything that it stored before its restart. It then becomes
+    /// `Recovered` at the end of the quarantine, without requests to other voters.
     pub was_recovered: bool,
     quarantined_until: Micros,
     next_recovery_at: Micros,
+    /// Number of the last requests to other voters; responses must repeat it or an earlier one.
     nonce: u64,
+    /// Last response of each other voter, while this one is recovering.
     responses: BTreeMap<Name, ReceivedRecovery<T>>,
+    /// Highest ballot that this voter has promised; it accepts no lower one.
     pub promised: Option<Ballot>,
     lease: Option<GrantedLease>,
     pub roster: Roster,
@@ -52,12 +55,13 @@
         }
     }
 
-    /// Returns whether the voter may vote.
+    /// Returns whether the voter may promise and accept ballots.
     pub(crate) fn may_vote(&self) -> bool {
         self.recovery.may_vote()
     }
 
-    /// Time of the voter's next timer.
+    /// Time at which the quarantine ends or the next recovery requests are due; `Micros::MAX`: no timer is
+    /// set.
     pub(crate) fn next_wake(&self) -> Micros {
         match self.recovery {
             RecoveryState::Quarantined => self.quarantined_until,
@@ -66,13 +70,15 @@
         }
     }
 
-    /// Remaining time of the granted lease in microseconds; 0 if there is none or its ballot is `except`.
+    /// Remaining time of the lease that this voter has granted, in microseconds; 0 if none is valid or it was
+    /// granted under the ballot `except`.
     pub(crate) fn lease_left(&self, now: Micros, except: Option<&Ballot>) -> Micros {
         let lease = self.lease.as_ref().filter(|lease| Some(&lease.ballot) != except);
         lease.map_or(0, |lease| lease.expires_at.saturating_sub(now))
     }
 
-    /// Answers a candidate's request for a promise; `None`: the voter may not vote.
+    /// Handles the request of a candidate or leader to promise `ballot`. Returns the promise or the denial;
+    /// `None`: the voter may not vote.
     pub(crate) fn prepare(
         &mut self,
         now: Micros,
@@ -97,8 +103,8 @@
         })))
     }
 
-    /// Answers a proposal; `None`: the voter may not vote, or the promise was given by an earlier incarnation
-    /// and is lost.
+    /// Handles a proposal to grant or extend the leader's lease. Returns the acceptance or the denial;
+    /// `None`: the voter may not vote, or an earlier incarnation of it gave the promise, which is lost.
     pub(crate) fn accept(
         &mut self,
         now: Micros,
--- a/lease/src/voter/recovery.rs
+++ b/lease/src/voter/recovery.rs
@@ -1,4 +1,4 @@
-//! Recovery of a restarted voter from the data of other voters.
+//! Recovery of a restarted voter from the responses of other voters.
 
 use super::Voter;
 use crate::ballot::{Ballot, Versioned};
@@ -10,7 +10,7 @@
 use crate::voters::Voters;
 use flaxhead_membership::{Micros, Name};
 
-/// Response of another voter, with the time of its arrival.
+/// Response of another voter to this one's recovery request, with the time of its arrival.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct ReceivedRecovery<T: ApplicationTypes> {
     received_at: Micros,
@@ -21,8 +21,8 @@
 }
 
 impl<T: ApplicationTypes> Voter<T> {
-    /// Ends the quarantine when its time is over. Returns the nonce of the requests to be sent to the other
-    /// voters; `None`: none are due.
+    /// Ends the quarantine if its time is over. Returns the nonce for the recovery requests that are now due
+    /// to the other voters; `None`: none are due.
     pub(crate) fn begin_recovery(&mut self, now: Micros, config: &Config) -> Option<u64> {
         if self.recovery == RecoveryState::Quarantined && now >= self.quarantined_until {
             self.recovery =
@@ -36,7 +36,8 @@
         Some(self.nonce)
     }
 
-    /// Response to the recovery request of another voter.
+    /// Returns the response to a recovery request that another voter sent with `nonce`. `state` is the state
+    /// that this process has applied.
     pub(crate) fn recovery_response(
         &self,
         now: Micros,
@@ -53,8 +54,8 @@
         }
     }
 
-    /// Stores a recovery response. Returns the newest state of all responses when this voter may vote again;
-    /// `None`: more responses are needed.
+    /// Stores the response of the voter `from`. If the responses suffice for this voter to vote again, takes
+    /// over their data and returns the newest state among them; `None`: more responses are needed.
     pub(crate) fn handle_recovery_response(
         &mut self,
         now: Micros,
@@ -76,25 +77,27 @@
         self.adopt_newest_data()
     }
 
-    /// Recovery state that the responses allow; `None`: more responses are needed.
+    /// Recovery state to which this voter may advance with the stored responses; `None`: more responses are
+    /// needed.
     fn next_recovery_state(&self, voters: &Voters, me: &Name) -> Option<RecoveryState> {
-        // A majority of recovered voters, which never includes this one, stores everything that a majority
-        // stored before.
+        // This voter is not recovered, so the majority consists of others. Each roster and state that any
+        // majority stored is stored by at least one of them.
         let has_recovered = |name: &Name| {
             self.responses.get(name).is_some_and(|response| response.recovery == RecoveryState::Recovered)
         };
         if voters.has_majority(has_recovered) {
             return Some(RecoveryState::Recovered);
         }
-        // If a majority has lost its data, no majority of recovered voters can exist any more.
+        // If a majority has lost its data, no majority of recovered voters can exist any more, and waiting is
+        // useless.
         let has_lost_data = |name: &Name| {
             name == me || self.responses.get(name).is_some_and(|response| response.recovery.has_lost_data())
         };
         voters.has_majority(has_lost_data).then_some(RecoveryState::StateLost)
     }
 
-    /// Takes over the newest data of all responses and of this voter's disk. Returns the newest state of the
-    /// responses.
+    /// Takes over the highest promise and the newest roster of all responses and of this voter. Returns the
+    /// newest state of the responses.
     fn adopt_newest_data(&mut self) -> Option<Versioned<T::State>> {
         let responses = std::mem::take(&mut self.responses);
         let promises = responses.values().map(|response| response.promised.clone());
--- a/lease/src/voters/tests.rs
+++ b/lease/src/voters/tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `voters`.
+//! Unit tests of the voter configuration.
 
 use super::*;
 
@@ -45,7 +45,8 @@
             );
         }
     }
-    // Without the middle step, two majorities without a common voter exist.
+    // Without the intermediate configuration, which has both sets, two majorities without a common voter
+    // exist.
     assert!(!configurations[0].overlaps(configurations[2].hashes()));
     assert!(majorities(&configurations[0]).iter().any(|first_majority| majorities(&configurations[2])
         .iter()
