--- a/lease/src/machine/admission.rs
+++ b/lease/src/machine/admission.rs
@@ -1,4 +1,4 @@
-//! Messages of a process that waits for admission, and the replies of other processes.
+//! Queries of a process that waits for admission, and the replies of other processes.
 
 use super::state::{Context, Effect, Machine};
 use crate::admission::{AdmissionReason, AdmissionWait, OwnVoter, Query, RecoveryStatus, MAX_NAMED_PEERS};
@@ -7,9 +7,9 @@
 use flaxhead_membership::{Micros, Name};
 
 impl<A: Application> Machine<A> {
-    /// Delays the first query at random, because many processes may start at once. Also delays the candidacy
-    /// of a voter that recovered from disk: such voters send no queries and would all become candidates at
-    /// the end of the quarantine.
+    /// Delays the first query of this process at random, because many processes may start at once. Also
+    /// delays the candidacy of a voter that loaded its data from disk: such voters send no recovery requests
+    /// and would all become candidates at the end of the quarantine.
     pub(super) fn spread_first_actions(&mut self, context: &mut Context<'_, A::Facts>) {
         if std::mem::replace(&mut self.has_started, true) {
             return;
@@ -22,7 +22,8 @@
         self.replica.admission_wait.next_query_at = context.now + jitter;
     }
 
-    /// Sends the queries of the next round, if they are due, until the process is admitted.
+    /// Sends the next round of queries about the leader, the voters and the state, if it is due. Does nothing
+    /// once this process is admitted.
     pub(super) fn query_peers(&mut self, context: &mut Context<'_, A::Facts>, effects: &mut Vec<Effect<A>>) {
         let now = context.now;
         if self.replica.is_admitted || now < self.replica.admission_wait.next_query_at {
@@ -41,7 +42,7 @@
         self.evaluate_admission(now);
     }
 
-    /// Replies to a query of a process that waits for admission.
+    /// Replies to the query of another process that waits for admission.
     pub(super) fn handle_recovery_query(
         &mut self,
         now: Micros,
@@ -66,8 +67,8 @@
         self.send(from, Message::RecoveryReply(Box::new(reply)), effects);
     }
 
-    /// Handles the reply to a query. Replies to an earlier process of the same name, replies dated in the
-    /// future, and replies after the admission are ignored.
+    /// Handles the reply to a query of this process. Ignores replies to an earlier process of the same name,
+    /// replies to a query dated in the future, and all replies after the admission.
     pub(super) fn handle_recovery_reply(
         &mut self,
         context: &mut Context<'_, A::Facts>,
@@ -96,8 +97,8 @@
         self.evaluate_admission(now);
     }
 
-    /// Delays the first renewal at random, because many processes learn of a new leader at once. Processes
-    /// that already serve spread over a longer interval.
+    /// Delays the first lease request to a newly known leader at random, because many processes learn of it
+    /// at once. The delay is longer for processes that already serve.
     fn schedule_first_renewal(&mut self, context: &mut Context<'_, A::Facts>) {
         let regular = self.config.renewal_interval();
         let query = AdmissionWait::query_interval(&self.config);
@@ -105,7 +106,8 @@
         self.next_renewal_at = context.now + self.jitter(context) * interval / regular;
     }
 
-    /// Evaluates the replies so far. A process that may serve once continues to serve until it is admitted.
+    /// Concludes from the replies so far whether this process may serve without admission. Once it may, it
+    /// may until it is admitted.
     fn evaluate_admission(&mut self, now: Micros) {
         let recovery = self.voter.as_ref().map(|voter| voter.recovery);
         let own = OwnVoter { name: &self.me.name, recovery };
@@ -119,7 +121,8 @@
         self.replica.has_complete_state |= has_complete_state;
     }
 
-    /// Records that another process reported a complete state.
+    /// Remembers for one lease duration that the process `name` has the complete state, to name it in replies
+    /// to queries.
     pub(super) fn record_peer_with_complete_state(&mut self, now: Micros, name: &Name) {
         let lease = self.config.lease_duration;
         self.peers_with_complete_state.retain(|_, at| now.saturating_sub(*at) <= lease);
--- a/lease/src/machine/commands.rs
+++ b/lease/src/machine/commands.rs
@@ -1,4 +1,4 @@
-//! Periodic work of the leader, and commands of operators.
+//! Work of the leader after each event, and forwarding of operators' commands to the leader.
 
 use super::pending_command::PendingCommand;
 use super::state::{Context, Effect, Machine};
@@ -8,11 +8,12 @@
 use crate::message::Message;
 use flaxhead_membership::{Micros, Name};
 
-/// Maximum number of commands of one process that are not completed.
+/// Maximum number of commands without a result that were submitted at one process.
 const MAX_PENDING_COMMANDS: usize = 64;
 
 impl<A: Application> Machine<A> {
-    /// Submits an operator's command. An [`Effect::CommandCompleted`] with its `id` follows within `timeout`.
+    /// Submits an operator's command at this process. An [`Effect::CommandCompleted`] with `id` follows
+    /// within `timeout` microseconds.
     pub fn submit(
         &mut self,
         context: &mut Context<'_, A::Facts>,
@@ -30,13 +31,13 @@
         self.tick(context, effects);
     }
 
-    /// Time at which the next pending command is resent or times out.
+    /// Time at which the next pending command is sent again or times out; `Micros::MAX`: none is pending.
     pub(super) fn next_command_wake(&self) -> Micros {
         let wakes = self.pending_commands.iter().map(|pending| pending.resend_at.min(pending.deadline));
         wakes.min().unwrap_or(Micros::MAX)
     }
 
-    /// Runs the application as the leader, and sends out its changes.
+    /// Runs the application if this process is the leader, and sends a changed state to the other processes.
     pub(super) fn run_leader(&mut self, context: &mut Context<'_, A::Facts>, effects: &mut Vec<Effect<A>>) {
         let now = context.now;
         let Some((leader, input)) = self.leader_with_input(now, context.facts) else { return };
@@ -46,13 +47,14 @@
         if has_changed || state.version > self.replica.state.version {
             self.apply(now, state);
             self.disseminate(now, ReceiverSet::All, effects);
-            // The leader's own confirmation counts towards the commitment of the state.
+            // The leader confirms the state to itself like any process, so that it counts in the majority.
             return self.renew(context, effects);
         }
         self.disseminate(now, ReceiverSet::Unconfirmed, effects);
         self.send_committed_responses(now, effects);
     }
 
+    /// Sends the responses to commands whose effects are now committed.
     fn send_committed_responses(&mut self, now: Micros, effects: &mut Vec<Effect<A>>) {
         let Some(leader) = self.leader.as_mut() else { return };
         let committed = leader.state.take_committed(now, &self.config, &self.voters);
@@ -65,7 +67,8 @@
         }
     }
 
-    /// Executes a command that another process forwarded to this leader.
+    /// Executes a command that the process `from` forwarded to this leader. A rejection is sent at once, the
+    /// response after the commit.
     pub(super) fn handle_command(
         &mut self,
         context: &mut Context<'_, A::Facts>,
@@ -81,6 +84,8 @@
         self.run_leader(context, effects);
     }
 
+    /// Passes a command to the application; an error if this process is not the leader or the application
+    /// rejects it.
     fn execute_command(
         &mut self,
         context: &mut Context<'_, A::Facts>,
@@ -98,7 +103,7 @@
         }
     }
 
-    /// Sends the pending commands to the leader, repeatedly until they are completed.
+    /// Sends the pending commands of this process to the leader, again at intervals until they complete.
     pub(super) fn forward_commands(
         &mut self,
         context: &mut Context<'_, A::Facts>,
@@ -130,6 +135,7 @@
         }
     }
 
+    /// Completes the pending commands past their deadline with `error`.
     fn fail_overdue_commands(&mut self, now: Micros, error: CommandError, effects: &mut Vec<Effect<A>>) {
         let is_overdue = |pending: &PendingCommand<A::Command>| now >= pending.deadline;
         let overdue = self.pending_commands.iter().filter(|pending| is_overdue(pending));
@@ -139,7 +145,7 @@
         self.pending_commands.retain(|pending| !is_overdue(pending));
     }
 
-    /// Executes a command that was submitted at the leader itself.
+    /// Executes a command that was submitted at this process, which is the leader.
     fn execute_own_command(
         &mut self,
         context: &mut Context<'_, A::Facts>,
@@ -156,8 +162,8 @@
         }
     }
 
-    /// Completes a command that was submitted here. If the receiver was not the leader, the command stays
-    /// pending and is sent to the next known leader.
+    /// Reports the result of a command that was submitted at this process. If the process that received it
+    /// was not the leader, the command stays pending and is sent to the next known leader.
     pub(super) fn complete_command(
         &mut self,
         id: u64,
--- a/lease/src/machine/election.rs
+++ b/lease/src/machine/election.rs
@@ -1,4 +1,4 @@
-//! Election of the leader, and the end of its leadership.
+//! Candidacies of a voter for the leader's lease, and the end of a leadership.
 
 use super::state::{random_below, Context, Effect, Machine};
 use crate::application::Application;
@@ -8,19 +8,19 @@
 use crate::roster::Roster;
 use flaxhead_membership::{Micros, Name};
 
-/// Maximum number of doublings of the candidacy backoff, which limits it to two lease durations.
+/// Maximum number of doublings of the backoff between candidacies, which limits it to two lease durations.
 const MAX_BACKOFF_DOUBLINGS: u32 = 3;
 
 impl<A: Application> Machine<A> {
-    /// Delays the next candidacy by `after` plus an exponential backoff with jitter, so that one of several
-    /// competing candidates succeeds.
+    /// Delays this voter's next candidacy by `after` microseconds plus an exponential backoff with jitter, so
+    /// that one of several competing candidates succeeds.
     pub(super) fn back_off_candidacy(&mut self, context: &mut Context<'_, A::Facts>, after: Micros) {
         let backoff = self.config.renewal_interval() << self.failed_candidacies.min(MAX_BACKOFF_DOUBLINGS);
         self.failed_candidacies = self.failed_candidacies.saturating_add(1);
         self.next_candidacy_at = context.now + after + backoff / 2 + random_below(context, backoff);
     }
 
-    /// Starts a candidacy if it is due and this voter has granted no other lease that is still valid.
+    /// Starts a candidacy if it is due, unless a lease that this voter granted to a leader is still valid.
     pub(super) fn begin_candidacy(
         &mut self,
         context: &mut Context<'_, A::Facts>,
@@ -46,7 +46,7 @@
         self.request_promises(now, ballot, effects);
     }
 
-    /// Requests promises from all voters, including this one.
+    /// Requests promises for `ballot` from all voters, including this one.
     fn request_promises(&mut self, now: Micros, ballot: Ballot, effects: &mut Vec<Effect<A>>) {
         let voter_sets = self.voters.hashes();
         for to in self.other_voters() {
@@ -58,7 +58,8 @@
         self.reply(&me, own, effects);
     }
 
-    /// Handles a promise. Once a majority has promised, the lease is proposed to these voters.
+    /// Handles a voter's promise to this candidate or leader. Once a majority has promised, the candidate
+    /// proposes the leader's lease to these voters.
     pub(super) fn handle_promise(&mut self, from: &Name, promise: Promise<A>, effects: &mut Vec<Effect<A>>) {
         if !self.voters.contains(from) {
             return;
@@ -75,7 +76,7 @@
         if !candidacy.is_proposed && !self.voters.has_majority(|name| promises.contains_key(name)) {
             return;
         }
-        // A voter that promises after the majority gets the proposal at once.
+        // A voter that promises after the majority did gets its proposal at once.
         let was_proposed = std::mem::replace(&mut candidacy.is_proposed, true);
         let voters: Vec<Name> =
             if was_proposed { vec![from.clone()] } else { candidacy.promises.keys().cloned().collect() };
@@ -84,6 +85,7 @@
         }
     }
 
+    /// Proposes the lease of this candidate to a voter that has promised. A candidate has no roster yet.
     fn propose_candidacy(&mut self, to: &Name, effects: &mut Vec<Effect<A>>) {
         let Some(candidacy) = &self.candidacy else { return };
         let Some(promise) = candidacy.promises.get(to) else { return };
@@ -97,14 +99,14 @@
         self.send(to, Message::Propose(proposal), effects);
     }
 
-    /// Handles the denial of a candidacy. A denial of a renewal is ignored: the leader's lease stays valid
-    /// until it expires.
+    /// Handles a voter's denial of this candidate's ballot: gives up the candidacy and backs off. A denial of
+    /// a renewal is ignored, because the leader's lease stays valid until it expires.
     pub(super) fn handle_denial(&mut self, context: &mut Context<'_, A::Facts>, denial: Denial) {
         let Denial { ballot, promised, lease_left } = denial;
         if self.candidacy.as_ref().is_none_or(|candidacy| candidacy.ballot != ballot) {
             return;
         }
-        // The next ballot must exceed the one that the voter has promised.
+        // The ballot of the next candidacy must exceed the one that the denying voter has promised.
         if let (Some(voter), Some(promised)) = (self.voter.as_mut(), promised) {
             voter.promised = voter.promised.take().max(Some(promised));
         }
@@ -112,7 +114,7 @@
         self.back_off_candidacy(context, lease_left);
     }
 
-    /// Steps down if the leader's lease has expired.
+    /// Ends the leadership of this process if its lease as the leader has expired.
     pub(super) fn step_down_if_expired(
         &mut self,
         context: &mut Context<'_, A::Facts>,
@@ -123,7 +125,7 @@
         }
     }
 
-    /// Steps down if a ballot higher than the leader's own is known.
+    /// Ends the leadership of this process if it knows a ballot higher than its own.
     pub(super) fn step_down_if_outvoted(
         &mut self,
         context: &mut Context<'_, A::Facts>,
@@ -134,7 +136,7 @@
         }
     }
 
-    /// Steps down if `ballot` is higher than the leader's own.
+    /// Ends the leadership of this process if `ballot` is higher than its own, and records that ballot.
     pub(super) fn step_down_below(
         &mut self,
         context: &mut Context<'_, A::Facts>,
@@ -147,6 +149,7 @@
         }
     }
 
+    /// Ends the leadership or candidacy of this process, and delays its next candidacy.
     fn step_down(&mut self, context: &mut Context<'_, A::Facts>, effects: &mut Vec<Effect<A>>) {
         if self.leader.take().is_some() {
             effects.push(Effect::LeadershipChanged(None));
--- a/lease/src/machine/leader.rs
+++ b/lease/src/machine/leader.rs
@@ -1,4 +1,4 @@
-//! Leader role: its protocol state together with the data of its application.
+//! Leader role of a process: the protocol state together with the application's data.
 
 use crate::application::{Application, ReceivedReport};
 use crate::config::Config;
@@ -15,7 +15,7 @@
     pub data: A::LeaderData,
 }
 
-/// Data of the machine that the leader's operations need: time, configuration, membership and application.
+/// Parts of the machine that the methods of [`Leader`] read: time, configuration, membership and application.
 pub(super) struct LeaderInput<'a, A: Application> {
     pub now: Micros,
     pub config: &'a Config,
@@ -25,13 +25,13 @@
     pub application: &'a A,
 }
 
-/// Outcome of a renewal request, from which the answer is built.
+/// Decision on a process's lease request, from which the leader builds its response.
 pub(super) struct RenewalResponse<A: Application> {
-    /// Data that the application grants with the lease; `None`: no lease is granted.
+    /// Data that the application grants with the lease; `None`: the process gets no lease now.
     pub grant: Option<A::Grant>,
-    /// True if the process needs the current state.
+    /// True if the process has not applied the leader's current state, which must then be sent to it.
     pub is_behind: bool,
-    /// True if the process was added to the roster.
+    /// True if this request added the process to the roster.
     pub is_enrolled: bool,
 }
 
@@ -49,7 +49,8 @@
         Leader { state, data }
     }
 
-    /// Runs the application, after the removal of ended processes. Returns whether the state has changed.
+    /// Removes ended processes from the roster, then runs [`Application::step`]. Returns whether that step
+    /// published a new state.
     pub fn step(&mut self, input: &LeaderInput<'_, A>) -> bool {
         let LeaderInput { now, config, .. } = *input;
         if !self.state.is_leading(now) {
@@ -68,7 +69,7 @@
         self.state.state.version.seq != before
     }
 
-    /// Informs the application of the processes that were removed from the roster.
+    /// Calls [`Application::process_left`] for each process that was removed from the roster.
     fn notify_departed(&mut self, input: &LeaderInput<'_, A>) {
         for process in self.state.take_departed() {
             let mut context = context(&mut self.state, input);
@@ -76,7 +77,7 @@
         }
     }
 
-    /// Handles a renewal request: passes on the report, and decides on the lease.
+    /// Handles a process's lease request: passes its report to the application, and decides on the lease.
     pub fn renew(&mut self, input: &LeaderInput<'_, A>, renewal: Renewal<A>) -> RenewalResponse<A> {
         let Renewal { process, sent_at, version, report, .. } = renewal;
         let LeaderInput { now, config, voters, application, .. } = *input;
@@ -93,7 +94,8 @@
         RenewalResponse { grant, is_behind: outcome.is_behind, is_enrolled: outcome.is_enrolled }
     }
 
-    /// Executes a command. Its response is held back until the effect is committed.
+    /// Executes the command `id` that was submitted at the process `from`. Its response is held back until
+    /// its effect is committed; an error is the application's rejection.
     pub fn execute(
         &mut self,
         input: &LeaderInput<'_, A>,
--- a/lease/src/machine/lease.rs
+++ b/lease/src/machine/lease.rs
@@ -1,4 +1,4 @@
-//! Acquisition and renewal of the leader's lease.
+//! Acquisition and renewal of the leader's lease, which a majority of voters grants.
 
 use super::leader::{Leader, LeaderInput};
 use super::state::{Context, Effect, Machine};
@@ -8,7 +8,8 @@
 use flaxhead_membership::{Micros, Name};
 
 impl<A: Application> Machine<A> {
-    /// Handles the acceptance of a proposal of this leader or candidate.
+    /// Handles a voter's acceptance of this process's proposal: extends the lease of the leader, or makes a
+    /// candidate the leader once a majority has accepted.
     pub(super) fn handle_acceptance(
         &mut self,
         context: &mut Context<'_, A::Facts>,
@@ -30,12 +31,12 @@
         }
     }
 
-    /// Counts an acceptance for the candidacy. Returns whether a majority has accepted.
+    /// Counts the acceptance of the voter `from` for the candidacy. Returns whether a majority has accepted.
     fn is_elected_by(&mut self, now: Micros, from: &Name, acceptance: &Acceptance) -> bool {
         let candidacy = self.candidacy.as_mut().filter(|candidacy| candidacy.ballot == acceptance.ballot);
         let Some(candidacy) = candidacy else { return false };
-        // The lease is counted from the start of the candidacy, so a later acceptance would grant an expired
-        // lease.
+        // The duration of the lease counts from the start of the candidacy, so the lease would already have
+        // expired.
         let is_late = now >= candidacy.started + self.config.lease_duration;
         let promise = candidacy.promises.get(from);
         if is_late || promise.is_none_or(|promise| promise.incarnation != acceptance.incarnation) {
@@ -46,6 +47,7 @@
         self.voters.has_majority(|name| grants.contains(name))
     }
 
+    /// Starts the leadership after a won election: informs the driver, and sends the roster and the state.
     fn become_leader(
         &mut self,
         context: &mut Context<'_, A::Facts>,
@@ -76,8 +78,8 @@
         self.renew(context, effects);
     }
 
-    /// Begins a renewal round: sends proposals to the voters that have promised. Other voters, and those that
-    /// may have lost their promise in a restart, are asked to promise first.
+    /// Begins a renewal round of the leader's lease: sends a proposal to each voter that has promised. Asks
+    /// the other voters to promise first, and asks again those that may have lost their promise in a restart.
     pub(super) fn begin_renewal_round(
         &mut self,
         context: &mut Context<'_, A::Facts>,
@@ -86,7 +88,7 @@
         let now = context.now;
         let Some(leader) = self.leader.as_mut() else { return };
         self.next_renewal_round_at = now + self.config.renewal_interval();
-        // A leader that is cut off lets its lease expire.
+        // A leader that the membership finds cut off, displaced or leaving lets its lease expire.
         if !context.facts.participates {
             return;
         }
@@ -105,7 +107,8 @@
         }
     }
 
-    /// Returns whether a voter that has promised no longer accepts proposals, possibly after a restart.
+    /// Returns whether a voter has promised but not accepted a proposal recently, possibly because it
+    /// restarted.
     fn is_unresponsive_voter(&self, now: Micros, voter: &Name) -> bool {
         let is_unresponsive = |state: &LeaderState<A>| {
             state.voter_incarnations.contains_key(voter)
@@ -114,8 +117,8 @@
         *voter != self.me.name && self.leader.as_ref().is_some_and(|leader| is_unresponsive(&leader.state))
     }
 
-    /// Returns the proposal for a voter; `None`: this process is not the leader, or the voter has not
-    /// promised.
+    /// Returns the proposal that extends this leader's lease at the voter `to`; `None`: this process is not
+    /// the leader, or the voter has not promised.
     fn proposal_to(&self, to: &Name) -> Option<Proposal> {
         let state = &self.leader.as_ref()?.state;
         Some(Proposal {
@@ -127,6 +130,7 @@
         })
     }
 
+    /// Sends the current proposal of this leader to a voter, if that voter has promised.
     pub(super) fn propose_to(&mut self, to: &Name, effects: &mut Vec<Effect<A>>) {
         let message = self.proposal_to(to).map(Message::Propose);
         self.reply(to, message, effects);
--- a/lease/src/machine/mod.rs
+++ b/lease/src/machine/mod.rs
@@ -1,4 +1,5 @@
-//! State machine of one process: its roles, and the messages between them and other processes.
+//! State machine of one process for one application: its roles, and the messages that it exchanges with the
+//! machines of other processes.
 
 mod admission;
 mod commands;
--- a/lease/src/machine/persistence.rs
+++ b/lease/src/machine/persistence.rs
@@ -1,8 +1,9 @@
-//! Persistence of the state over a restart of the process.
+//! Persistence of a machine's state over a restart of the process.
 //!
-//! Confirmations that other processes rely on (an applied state, a stored roster) are sent only once the disk
-//! holds what they confirm. A process that restarts with its stored state therefore behaves like a paused
-//! one, except for leases: granted leases are not stored, so a restarted voter is quarantined in any case.
+//! A process reports an applied state or a stored roster to others only once it is on disk, because they rely
+//! on it. A process that restarts with its stored state therefore behaves like a paused one, except for
+//! leases: the leader's leases that a voter has granted are not stored, so a restarted voter is quarantined
+//! in any case.
 
 use super::persistence_state::{Persistence, WaitingAcceptance};
 use super::state::{Context, Effect, Machine};
@@ -16,8 +17,8 @@
 use flaxhead_membership::{Micros, Name};
 
 impl<A: Application> Machine<A> {
-    /// Enables persistence. `found` is the stored state of the previous process, and `age` its age in
-    /// microseconds. Must be called before any other event.
+    /// Enables persistence, and loads the state `found` that the previous process stored `age` microseconds
+    /// ago; `None`: none was found. Must be called before any other method that changes the machine.
     #[must_use]
     pub fn with_persistence(
         mut self,
@@ -48,7 +49,7 @@
         }
     }
 
-    /// Returns the state that a restart would need.
+    /// Returns the state to be stored on disk, which the process needs after a restart.
     pub fn persistent_state(&self, now: Micros) -> PersistentState<A> {
         PersistentState {
             is_recovered: self.is_recovered_voter(),
@@ -73,8 +74,8 @@
         })
     }
 
-    /// Handles the notification that the state of this version is on disk, and sends the confirmations that
-    /// waited for it.
+    /// Records that the state of `version` is on disk. Sends the responses that waited for it: an acceptance
+    /// to the leader, and a renewal that reports the newer applied state.
     pub fn state_persisted(
         &mut self,
         context: &mut Context<'_, A::Facts>,
@@ -96,6 +97,8 @@
         self.handle_loopback(context, effects);
     }
 
+    /// Returns whether this process is a voter whose roster and state are recovered, or were so when it
+    /// loaded them.
     fn is_recovered_voter(&self) -> bool {
         self.voter
             .as_ref()
@@ -106,15 +109,16 @@
         self.voter.as_ref().map_or_else(Version::default, |voter| voter.roster.version.clone())
     }
 
-    /// Version of the state that the process may confirm: the applied one, unless the disk holds only an
-    /// older one.
+    /// Version of the state that this process may report to the leader as applied: the applied one, unless
+    /// the disk holds only an older one.
     pub(super) fn persisted_state_version(&self) -> Version {
         let applied = &self.replica.state.version;
         let persistence = self.persistence.as_ref();
         persistence.map_or(applied, |disk| applied.min(&disk.persisted.state)).clone()
     }
 
-    /// Version of the roster that the process may confirm: `roster`, unless the disk holds only an older one.
+    /// Version of the roster that this voter may report to the leader as stored: `roster`, unless the disk
+    /// holds only an older one.
     fn persisted_roster_version(&self, roster: Version) -> Version {
         match &self.persistence {
             Some(persistence) => roster.min(persistence.persisted.roster.clone()),
@@ -122,10 +126,11 @@
         }
     }
 
-    /// Limits an acceptance to the roster that is on disk. If the current roster is newer, the acceptance is
-    /// repeated once that one is on disk.
-    pub(super) fn limit_to_persisted(&mut self, to: &Name, answer: Message<A>) -> Message<A> {
-        let Message::Accepted(mut acceptance) = answer else { return answer };
+    /// Limits the roster version in an acceptance for the leader `to` to the one that is on disk. If the
+    /// voter has a newer roster, the acceptance is sent again once that roster is on disk. Other messages are
+    /// returned unchanged.
+    pub(super) fn limit_to_persisted(&mut self, to: &Name, response: Message<A>) -> Message<A> {
+        let Message::Accepted(mut acceptance) = response else { return response };
         let persisted = self.persisted_roster_version(acceptance.roster.clone());
         if let Some(persistence) = self.persistence.as_mut().filter(|_| persisted < acceptance.roster) {
             let (ballot, round) = (acceptance.ballot.clone(), acceptance.round);
--- a/lease/src/machine/receive.rs
+++ b/lease/src/machine/receive.rs
@@ -1,4 +1,4 @@
-//! Handling of received messages.
+//! Handling of the messages that a machine receives.
 
 use super::state::{Context, Effect, KnownLeader, Machine};
 use crate::application::{Application, ReceivedGrant};
@@ -8,7 +8,7 @@
 use flaxhead_membership::{Micros, Name};
 
 impl<A: Application> Machine<A> {
-    /// Handles a message of another process.
+    /// Handles a message of the process `from`. A message under the machine's own name is ignored.
     pub fn receive(
         &mut self,
         context: &mut Context<'_, A::Facts>,
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Handles the messages that this process has sent to itself.
+    /// Handles the messages that this process has sent to itself, for example as leader and voter.
     pub(super) fn handle_loopback(
         &mut self,
         context: &mut Context<'_, A::Facts>,
@@ -87,13 +87,13 @@
         }
         let now = context.now;
         let (incarnation, state) = (self.me.incarnation, self.replica.current_state(now));
-        let answer = self.voter.as_mut().and_then(|voter| voter.prepare(now, incarnation, ballot, state));
-        if matches!(answer, Some(Message::Promised(_))) && *from != self.me.name {
-            // The first candidate gets time to complete its election.
+        let response = self.voter.as_mut().and_then(|voter| voter.prepare(now, incarnation, ballot, state));
+        if matches!(response, Some(Message::Promised(_))) && *from != self.me.name {
+            // This voter delays its own candidacy, so that the candidate can complete its election.
             let earliest = now + self.config.renewal_interval() + self.jitter(context);
             self.next_candidacy_at = self.next_candidacy_at.max(earliest);
         }
-        self.reply(from, answer, effects);
+        self.reply(from, response, effects);
     }
 
     fn handle_proposal(
@@ -108,12 +108,12 @@
         }
         let (ballot, incarnation) = (proposal.ballot.clone(), self.me.incarnation);
         let voter = self.voter.as_mut();
-        let answer = voter.and_then(|voter| voter.accept(now, &self.config, incarnation, proposal));
-        if matches!(answer, Some(Message::Accepted(_))) && self.accept_ballot(&ballot) {
+        let response = voter.and_then(|voter| voter.accept(now, &self.config, incarnation, proposal));
+        if matches!(response, Some(Message::Accepted(_))) && self.accept_ballot(&ballot) {
             self.record_leader(now, from.clone());
         }
-        let answer = answer.map(|answer| self.limit_to_persisted(from, answer));
-        self.reply(from, answer, effects);
+        let response = response.map(|response| self.limit_to_persisted(from, response));
+        self.reply(from, response, effects);
     }
 
     fn handle_state_update(
@@ -132,12 +132,12 @@
         }
         self.record_leader(now, from.clone());
         self.step_down_if_outvoted(context, effects);
-        // A state that is not on disk yet is confirmed later.
+        // A state that is not on disk yet is reported by `state_persisted`.
         if self.persisted_state_version() != self.replica.state.version {
             return;
         }
-        // All processes receive the state at the same time, so the confirmation must not synchronize their
-        // regular renewals.
+        // This renewal confirms the state to the leader. It leaves the time of the regular renewal as it was,
+        // because all processes receive the state at once and would renew together from then on.
         let (next_renewal_at, last_renewal_at) = (self.next_renewal_at, self.last_renewal_at);
         self.renew(context, effects);
         if next_renewal_at > now {
@@ -211,7 +211,7 @@
         }
     }
 
-    /// Replies that this process is not the leader, or knows a higher ballot.
+    /// Sends a [`Message::NotLeader`] with the leader and the highest ballot that this process knows.
     pub(super) fn reply_not_leader(&mut self, now: Micros, to: &Name, effects: &mut Vec<Effect<A>>) {
         let (leader, highest_ballot) = (self.current_leader(now), self.replica.highest_ballot.clone());
         self.send(to, Message::NotLeader { leader, highest_ballot }, effects);
--- a/lease/src/machine/renewal.rs
+++ b/lease/src/machine/renewal.rs
@@ -1,4 +1,4 @@
-//! Leases of the processes, which every process requests and the leader grants.
+//! Leases of the processes: every process, including the leader, requests one and the leader grants it.
 
 use super::leader::RenewalResponse;
 use super::state::{Context, Effect, Machine};
@@ -7,23 +7,22 @@
 use crate::message::{LeaseGrant, Message, Renewal};
 use flaxhead_membership::{Micros, Name};
 
-/// Maximum number of renewals in one renewal interval, if the application requests early renewal.
+/// Maximum number of lease requests in one renewal interval, if the application wants early renewal.
 const MAX_RENEWALS_PER_INTERVAL: Micros = 12;
-/// Fraction of the renewal interval, as its reciprocal, by which a renewal may come early. Up to a quarter of
+/// Reciprocal of the fraction of the renewal interval by which a renewal may come early. Up to a quarter of
 /// the interval is added at random.
 const JITTER_DIVISOR: Micros = 8;
-/// Fraction of the regular jitter, as its reciprocal, that is kept in early renewals.
+/// Reciprocal of the fraction of the regular jitter that is added to early renewals.
 const EARLY_JITTER_DIVISOR: Micros = 6;
 
 impl<A: Application> Machine<A> {
-    /// Time of the next renewal: the regular time, or the earliest that the rate limit permits if the
-    /// application requests early renewal.
+    /// Time of this process's next lease request: the regular time, or the earliest that the rate limit
+    /// permits if the application wants early renewal.
     pub(super) fn next_renewal(&self) -> Micros {
         if !(self.replica.is_admitted && self.application.wants_early_renewal()) {
             return self.next_renewal_at;
         }
-        // A part of the regular jitter is kept, so that processes which renew early together do not
-        // synchronize.
+        // Without jitter, processes that renew early together would stay synchronized.
         let interval = self.config.renewal_interval();
         let earliest_regular = self.last_renewal_at + interval - interval / JITTER_DIVISOR;
         let jitter = self.next_renewal_at.saturating_sub(earliest_regular);
@@ -32,12 +31,13 @@
         early.min(self.next_renewal_at)
     }
 
-    /// Requests a lease from the leader, or from the voters in turn if no leader is known.
+    /// Sends this process's lease request to the leader. If no leader is known, an admitted process sends it
+    /// to one voter after another; those that are not the leader respond with the leader that they know.
     pub(super) fn renew(&mut self, context: &mut Context<'_, A::Facts>, effects: &mut Vec<Effect<A>>) {
         let now = context.now;
         self.schedule_renewal(context);
         let leader = self.current_leader(now);
-        // A process that waits for admission learns of the leader from its queries.
+        // A process that waits for admission learns of the leader from the replies to its queries.
         if leader.is_none() && !self.replica.is_admitted {
             return;
         }
@@ -57,7 +57,8 @@
         }
     }
 
-    /// Schedules the next regular renewal. A process that waits for admission renews more often.
+    /// Schedules this process's next regular lease request. A process that neither is admitted nor serves
+    /// renews at the interval of its queries, which is shorter.
     fn schedule_renewal(&mut self, context: &mut Context<'_, A::Facts>) {
         let regular = self.config.renewal_interval();
         let waits = !self.replica.is_admitted && !self.replica.is_autonomous;
@@ -67,16 +68,16 @@
         self.next_renewal_at = context.now + interval - interval / JITTER_DIVISOR + jitter;
     }
 
-    /// Returns the next voter in turn, to be asked in place of an unknown leader.
+    /// Returns the next voter in turn, to which a lease request is sent while no leader is known.
     fn next_voter(&mut self) -> Option<Name> {
         let voters: Vec<&Name> = self.voters.iter().collect();
         self.voter_cursor = (self.voter_cursor + 1) % voters.len().max(1);
         voters.get(self.voter_cursor).map(|name| (*name).clone())
     }
 
-    /// Returns whether an admitted process has had no answer for a while. Its renewals then go to all voters,
-    /// so that restarted voters learn, before they could conclude that the state is lost, that a process with
-    /// the complete state exists.
+    /// Returns whether this process is admitted, but its last granted request was sent more than one and a
+    /// half renewal intervals ago. Its requests then go to all voters: restarted voters learn that a process
+    /// with the complete state exists, before they could conclude that the state is lost.
     fn is_unanswered(&self, now: Micros) -> bool {
         let overdue = 3 * self.config.renewal_interval() / 2;
         self.replica.is_admitted && self.replica.lease_expiry + overdue < now + self.config.lease_duration
@@ -93,7 +94,8 @@
         }
     }
 
-    /// Handles the renewal request of another process.
+    /// Handles the lease request of a process. A leader grants the lease if it can, and sends its state to a
+    /// process that is behind; another process names the leader.
     pub(super) fn handle_renewal(
         &mut self,
         context: &mut Context<'_, A::Facts>,
@@ -108,7 +110,8 @@
         if renewal.has_complete_state {
             self.record_peer_with_complete_state(now, from);
         }
-        // A process that remained admitted may know a higher ballot than restarted voters do.
+        // Restarted voters may have elected this leader without knowing the highest ballot, which a process
+        // that remained admitted still knows.
         if let Some(known_ballot) = &renewal.highest_ballot {
             self.step_down_below(context, known_ballot, effects);
         }
@@ -138,8 +141,8 @@
         self.run_leader(context, effects);
     }
 
-    /// Sends the changed roster to the voters, on whose acceptance the lease of a new process depends.
-    /// Several new processes share a round if they come within the resend interval.
+    /// Sends the changed roster to the voters in a new renewal round. A new process gets its lease only after
+    /// a majority has stored the roster. Processes that are added within one resend interval share a round.
     fn announce_roster(&mut self, context: &mut Context<'_, A::Facts>, effects: &mut Vec<Effect<A>>) {
         let renewal_round_started =
             self.leader.as_ref().map_or(0, |leader| leader.state.renewal_round_started);
--- a/lease/src/machine/replication.rs
+++ b/lease/src/machine/replication.rs
@@ -7,7 +7,7 @@
 use flaxhead_membership::{Micros, Name};
 
 impl<A: Application> Machine<A> {
-    /// Sends the state to one process.
+    /// Sends the leader's state to one process. Does nothing if this process is not the leader.
     pub(super) fn send_state(&mut self, to: &Name, effects: &mut Vec<Effect<A>>) {
         let state = self.leader.as_ref().map(|leader| leader.state.state.clone());
         if let Some(state) = state.filter(|_| *to != self.me.name) {
@@ -15,7 +15,7 @@
         }
     }
 
-    /// Sends the state to all receivers of the given kind.
+    /// Sends the leader's state to the processes that `receiver_set` selects.
     pub(super) fn disseminate(
         &mut self,
         now: Micros,
--- a/lease/src/machine/schedule.rs
+++ b/lease/src/machine/schedule.rs
@@ -1,4 +1,4 @@
-//! Timers of a process.
+//! Timers of a machine.
 
 use super::state::{Context, Effect, Machine};
 use crate::application::Application;
@@ -6,7 +6,7 @@
 use flaxhead_membership::Micros;
 
 impl<A: Application> Machine<A> {
-    /// Time at which [`Machine::tick`] must be called next.
+    /// Time at which the driver must call [`Machine::tick`] next, unless another event makes it earlier.
     pub fn next_wake(&self) -> Micros {
         let voter = self.voter.as_ref().map_or(Micros::MAX, Voter::next_wake);
         let is_candidate = self.voter.is_some() && self.leader.is_none();
@@ -32,7 +32,8 @@
         self.leader.as_ref().map_or(Micros::MAX, |leader| leader.state.next_dissemination(&self.config))
     }
 
-    /// Performs all actions whose time has come.
+    /// Performs all actions that are due at the time of `context`: candidacy, renewals, queries, and the work
+    /// of the leader.
     pub fn tick(&mut self, context: &mut Context<'_, A::Facts>, effects: &mut Vec<Effect<A>>) {
         self.step_down_if_expired(context, effects);
         self.spread_first_actions(context);
--- a/lease/src/machine/state.rs
+++ b/lease/src/machine/state.rs
@@ -1,4 +1,4 @@
-//! State and public interface of the machine.
+//! State of the machine, and the part of its public interface that reads it.
 
 use super::leader::{Leader, LeaderInput};
 use super::pending_command::PendingCommand;
@@ -20,83 +20,90 @@
 
 const MICROS_PER_MILLI: Micros = 1_000;
 
-/// Data that the driver passes to the machine with each message, timer or command.
+/// Data that the driver passes to the machine in each call.
 pub struct Context<'a, F> {
-    /// Current time in microseconds, counted from any fixed point before the start of the process.
+    /// Current time in microseconds, by the machine's monotonic clock. The clock may start at any time before
+    /// the process.
     pub now: Micros,
-    /// Membership, and data that the application uses for its decisions.
+    /// Membership, and the data from outside that the application uses.
     pub facts: &'a Facts<F>,
-    /// Source of random jitter.
+    /// Random numbers, for jitter.
     pub random: &'a mut dyn RngCore,
 }
 
-/// Action that the driver must execute.
+/// Action that the driver must execute after a call of the machine.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Effect<A: Application> {
     /// Sends a message to another process.
     Send {
-        /// Receiver of the message.
+        /// Name of the receiving process.
         to: Name,
-        /// Message to encode and send.
+        /// Message for the driver to encode.
         message: Message<A>,
     },
-    /// Reports the result of a command that was submitted to this process.
+    /// Reports the result of a command to its submitter at this process.
     CommandCompleted {
-        /// Id under which the command was submitted.
+        /// Id that the driver passed to [`Machine::submit`].
         id: u64,
-        /// Response, or reason for the rejection.
+        /// Response of the application, or reason for the rejection.
         result: Result<A::Response, A::Rejection>,
     },
-    /// Reports that this process became the leader under this ballot, or with `None` is no longer the leader.
+    /// Reports that this process became the leader under this ballot; `None`: it is no longer the leader.
     LeadershipChanged(Option<Ballot>),
-    /// Reports an event that the application recorded at the leader.
+    /// Reports an event that the application recorded while this process was the leader.
     Event(A::Event),
 }
 
-/// Leader that a message named, with the time of that message.
+/// Process that another process named as the leader, or that acted as one, and when this was received.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct KnownLeader {
     pub name: Name,
     pub heard_at: Micros,
 }
 
-/// State machine of one process for one application. It combines the roles of a process: participant, voter
-/// and leader.
+/// State machine of one process for one application. It combines the roles of the process: participant
+/// (requests a lease and applies the state), voter, and leader.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Machine<A: Application> {
     pub(super) config: Config,
     pub(super) application: A,
     pub(super) voters: Voters,
     pub(super) me: Process,
-    /// Voter role; `None`: the process is not a voter and never becomes the leader.
+    /// Voter role; `None`: the process is not a configured voter and never becomes the leader.
     pub(super) voter: Option<Voter<A>>,
     pub(super) replica: LocalReplica<A>,
+    /// Attempt of this voter to become the leader, if one is in progress.
     pub(super) candidacy: Option<Candidacy<A>>,
     pub(super) next_candidacy_at: Micros,
-    /// Number of consecutive unsuccessful candidacies.
+    /// Number of consecutive backoffs, which determines the length of the next one; reset when this voter
+    /// becomes the leader.
     pub(super) failed_candidacies: u32,
+    /// Leader role; `None`: this process is not the leader.
     pub(super) leader: Option<Box<Leader<A>>>,
-    /// True once the random delay of the first actions was set.
+    /// True once the first query and the first candidacy were delayed at random.
     pub(super) has_started: bool,
+    /// Time of this process's next regular lease request.
     pub(super) next_renewal_at: Micros,
-    /// Time of the last lease request.
+    /// Time of this process's last lease request.
     pub(super) last_renewal_at: Micros,
-    /// Time of the leader's next renewal round.
+    /// Time at which this process, if it is the leader, next renews the leader's lease.
     pub(super) next_renewal_round_at: Micros,
+    /// Last known leader, which counts for one lease duration.
     pub(super) known_leader: Option<KnownLeader>,
-    /// Index of the voter that was last asked in place of an unknown leader.
+    /// Index of the voter that last received a lease request while no leader was known.
     pub(super) voter_cursor: usize,
-    /// Processes that recently reported a complete state, with the time of the report.
+    /// Processes that recently reported a complete state to this one, with the time of the report.
     pub(super) peers_with_complete_state: BTreeMap<Name, Micros>,
     pub(super) pending_commands: VecDeque<PendingCommand<A::Command>>,
-    /// Record of what the disk holds; `None`: the process stores no state.
+    /// Record of what the disk holds; `None`: the state is not stored on disk.
     pub(super) persistence: Option<Persistence>,
-    /// Messages of the process to itself, handled at the end of each step.
+    /// Messages of this process to itself, handled before the current call returns.
     pub(super) loopback: VecDeque<Message<A>>,
 }
 
 impl<A: Application> Machine<A> {
-    /// Creates the machine of a process that starts at `now`, in microseconds.
+    /// Creates the machine of a process that starts at `now`, in microseconds by the clock that all later
+    /// calls use.
     pub fn new(config: Config, application: A, voters: Voters, me: Process, now: Micros) -> Machine<A> {
         let voter = voters.contains(&me.name).then(|| Voter::new(now, &config));
         Machine {
@@ -123,62 +130,63 @@
         }
     }
 
-    /// Data of the application at the leader; `None`: this process is not the leader.
+    /// Data that the application keeps at the leader; `None`: this process is not the leader.
     pub fn leader_data(&self, now: Micros) -> Option<&A::LeaderData> {
         self.leader.as_ref().filter(|leader| leader.state.is_leading(now)).map(|leader| &leader.data)
     }
 
-    /// Name, incarnation and address of the local process.
+    /// Name, incarnation and address of this process.
     pub fn me(&self) -> &Process {
         &self.me
     }
 
-    /// Voters that the process is configured with.
+    /// Voters with which this process is configured.
     pub fn voters(&self) -> &Voters {
         &self.voters
     }
 
-    /// Time limits that the process is configured with.
+    /// Time limits with which this process is configured.
     pub fn config(&self) -> &Config {
         &self.config
     }
 
-    /// Application that the machine runs.
+    /// This process's value of the application.
     pub fn application(&self) -> &A {
         &self.application
     }
 
-    /// Application that the machine runs, for passing it data of the local process.
+    /// This process's value of the application, into which the driver may put data of the process.
     pub fn application_mut(&mut self) -> &mut A {
         &mut self.application
     }
 
-    /// Applied state and lease of the local process.
+    /// State that this process has applied, and the lease that the leader has granted to it.
     pub fn local_replica(&self) -> &LocalReplica<A> {
         &self.replica
     }
 
-    /// Applied state, with its durations as received.
+    /// State that this process has applied. The durations in it are those at the time of receipt;
+    /// [`LocalReplica::current_state`] advances them.
     pub fn state(&self) -> &A::State {
         &self.replica.state.state
     }
 
-    /// Ballot of this process as the leader; `None`: it is not the leader.
+    /// Ballot under which this process leads; `None`: it is not the leader.
     pub fn leading_ballot(&self, now: Micros) -> Option<&Ballot> {
         self.leader_state(now).map(LeaderState::ballot)
     }
 
-    /// Lease, state and records of this process as the leader; `None`: it is not the leader.
+    /// Lease, state and records that this process keeps as the leader; `None`: it is not the leader.
     pub fn leader_state(&self, now: Micros) -> Option<&LeaderState<A>> {
         self.leader.as_ref().map(|leader| &leader.state).filter(|state| state.is_leading(now))
     }
 
-    /// Admission of the process by a leader.
+    /// Stage of this process's admission.
     pub fn admission_status(&self) -> AdmissionStatus {
         self.replica.admission_status()
     }
 
-    /// Status of the lease as shown to operators.
+    /// Status of this machine, as shown to operators.
     pub fn status(&self, now: Micros) -> LeaseStatus {
         let leader_state = self.leader_state(now);
         LeaseStatus {
@@ -195,19 +203,20 @@
         }
     }
 
-    /// Leader that was reported within the last lease duration; `None`: none is known.
+    /// Leader that this process learned of within the last lease duration; `None`: it knows none.
     pub(super) fn current_leader(&self, now: Micros) -> Option<Name> {
         let is_fresh =
             |leader: &&KnownLeader| now.saturating_sub(leader.heard_at) <= self.config.lease_duration;
         self.known_leader.as_ref().filter(is_fresh).map(|leader| leader.name.clone())
     }
 
-    /// Remembers `name` as the leader, for one lease duration from `now`.
+    /// Remembers the process `name` as the leader, for one lease duration from `now`.
     pub(super) fn record_leader(&mut self, now: Micros, name: Name) {
         self.known_leader = Some(KnownLeader { name, heard_at: now });
     }
 
-    /// Returns the leader with the data that its operations need; `None`: this process is not the leader.
+    /// Returns the leader role together with the input for its methods; `None`: this process is not the
+    /// leader.
     pub(super) fn leader_with_input<'a>(
         &'a mut self,
         now: Micros,
@@ -225,7 +234,8 @@
         Some((leader, input))
     }
 
-    /// Records a ballot. Returns whether messages under it are valid, because no higher one is known.
+    /// Records a received ballot if it is the highest known. Returns false if a higher one is known, so that
+    /// messages under `ballot` must be ignored.
     pub(super) fn accept_ballot(&mut self, ballot: &Ballot) -> bool {
         match self.replica.observe_ballot(ballot) {
             BallotCheck::Stale => false,
@@ -237,7 +247,8 @@
         }
     }
 
-    /// Applies a state unless a newer one or a higher ballot is known. Returns whether it was applied.
+    /// Applies a state of a leader, unless this process knows a newer state or a higher ballot. Returns
+    /// whether it was applied.
     pub(super) fn apply(&mut self, now: Micros, state: Versioned<A::State>) -> bool {
         let Some(ballot) = state.version.ballot.clone() else { return false };
         let is_applied = self.accept_ballot(&ballot) && self.replica.apply(now, state);
@@ -247,12 +258,13 @@
         is_applied
     }
 
-    /// Random duration below the renewal interval.
+    /// Random duration below the renewal interval, in microseconds.
     pub(super) fn jitter(&self, context: &mut Context<'_, A::Facts>) -> Micros {
         random_below(context, self.config.renewal_interval())
     }
 
-    /// Sends a message to another process, or queues one to this process for the end of the step.
+    /// Sends a message to the process `to`. A message to this process itself is handled before the current
+    /// call returns.
     pub(super) fn send(&mut self, to: &Name, message: Message<A>, effects: &mut Vec<Effect<A>>) {
         if *to == self.me.name {
             self.loopback.push_back(message);
@@ -261,20 +273,20 @@
         }
     }
 
-    /// Sends `answer` to a process; `None`: nothing is sent.
-    pub(super) fn reply(&mut self, to: &Name, answer: Option<Message<A>>, effects: &mut Vec<Effect<A>>) {
-        if let Some(message) = answer {
+    /// Sends `response` to the process `to`; with `None`, sends nothing.
+    pub(super) fn reply(&mut self, to: &Name, response: Option<Message<A>>, effects: &mut Vec<Effect<A>>) {
+        if let Some(message) = response {
             self.send(to, message, effects);
         }
     }
 
-    /// Configured voters without the local process.
+    /// Names of all configured voters except this process.
     pub(super) fn other_voters(&self) -> Vec<Name> {
         self.voters.iter().filter(|name| **name != self.me.name).cloned().collect()
     }
 }
 
-/// Random duration below `bound`, which is limited to 32 bits.
+/// Random duration below `bound` in microseconds; a `bound` above 32 bits is reduced to 32 bits.
 pub(super) fn random_below<F>(context: &mut Context<'_, F>, bound: Micros) -> Micros {
     (u64::from(context.random.next_u32()) * bound.min(u64::from(u32::MAX))) >> u32::BITS
 }
--- a/lease/src/machine/voter_recovery.rs
+++ b/lease/src/machine/voter_recovery.rs
@@ -1,4 +1,4 @@
-//! Messages by which a restarted voter recovers its knowledge from other voters.
+//! Messages by which a restarted voter recovers its promise, roster and state from other voters.
 
 use super::state::{Context, Effect, Machine};
 use crate::application::Application;
@@ -8,7 +8,8 @@
 use flaxhead_membership::{Micros, Name};
 
 impl<A: Application> Machine<A> {
-    /// Sends recovery requests to the other voters, if they are due.
+    /// Ends this voter's quarantine when it is over, and sends recovery requests to the other voters if they
+    /// are due.
     pub(super) fn recover_voter(
         &mut self,
         context: &mut Context<'_, A::Facts>,
@@ -22,14 +23,15 @@
         for to in self.other_voters() {
             self.send(&to, Message::VoterRecoveryRequest { nonce, voter_sets }, effects);
         }
-        // A single voter has no other to recover from.
+        // A voter that is the only one has none to recover from, and continues without its earlier data.
         let is_only_voter = self.voters.has_majority(|name| *name == self.me.name);
         if let Some(voter) = self.voter.as_mut().filter(|_| is_only_voter) {
             voter.recovery = RecoveryState::StateLost;
         }
     }
 
-    /// Answers the recovery request of another voter.
+    /// Responds to the recovery request of another voter, unless its configuration has no voter set in common
+    /// with that of this process.
     pub(super) fn handle_voter_recovery_request(
         &mut self,
         now: Micros,
@@ -43,12 +45,12 @@
         }
         let state = self.replica.current_state(now);
         let response = self.voter.as_ref().map(|voter| voter.recovery_response(now, nonce, state));
-        let answer = response.map(|response| Message::VoterRecoveryResponse(Box::new(response)));
-        self.reply(from, answer, effects);
+        let response = response.map(|response| Message::VoterRecoveryResponse(Box::new(response)));
+        self.reply(from, response, effects);
     }
 
-    /// Handles a recovery response. No candidacy starts before the leases that the responding voter has
-    /// granted expire.
+    /// Handles the response of another voter to this one's recovery request. This voter starts no candidacy
+    /// before the leader's lease that the other has granted expires.
     pub(super) fn handle_voter_recovery_response(
         &mut self,
         context: &mut Context<'_, A::Facts>,
