--- a/lease/src/admission/mod.rs
+++ b/lease/src/admission/mod.rs
@@ -1,5 +1,5 @@
-//! Wait of a started process for its admission: the queries that it sends, and its conclusions from the
-//! replies.
+//! Wait of a started process for its admission: the queries that it sends to other processes, and what it
+//! concludes from their replies.
 
 mod reason;
 mod reply_summary;
@@ -14,72 +14,74 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Maximum number of processes with the complete state that a reply names; more than one, in case some of
+/// Maximum number of processes with the complete state that a reply names. More than one, in case some of
 /// them fail.
 pub(crate) const MAX_NAMED_PEERS: usize = 3;
-/// Maximum number of processes whose replies are stored, to limit memory.
+/// Maximum number of processes whose last reply is stored, to limit memory.
 const MAX_REPLIES: usize = 64;
-/// Number of query rounds per lease duration.
+/// Number of rounds of queries per lease duration.
 const QUERIES_PER_LEASE: Micros = 12;
 
-/// Information that a process gives to one that waits for admission.
+/// Content of a reply to a process that waits for admission: what the replying process knows.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RecoveryStatus {
-    /// Recovery state as a voter; `None`: not a voter.
+    /// Progress of the replying process's recovery as a voter; `None`: it is not a voter.
     pub voter: Option<RecoveryState>,
-    /// True if the state of the process contains every committed change.
+    /// True if the state of the replying process contains every committed change.
     pub has_complete_state: bool,
-    /// True if the process holds a lease.
+    /// True if the replying process holds a valid lease from the leader.
     pub has_lease: bool,
-    /// Leader known to the process, if any.
+    /// Leader known to the replying process; `None`: it knows none.
     pub leader: Option<Name>,
-    /// Other processes that recently reported a complete state.
+    /// Other processes that recently reported a complete state to the replying process.
     pub peers_with_complete_state: BTreeSet<Name>,
 }
 
-/// Query to another process, to be sent by the machine.
+/// Query that the machine must send to another process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Query {
-    /// Receiver of the query.
+    /// Name of the process to be queried.
     pub to: Name,
-    /// True if the reply should include the state.
+    /// True if the reply should include the state of the queried process.
     pub wants_state: bool,
 }
 
-/// Recovery state of the local process, which counts like the reply of a voter.
+/// Recovery of the local process as a voter, which counts like the reply of another voter.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct OwnVoter<'a> {
     /// Name of the local process.
     pub name: &'a Name,
-    /// Recovery state; `None`: not a voter.
+    /// Progress of the recovery; `None`: the local process is not a voter.
     pub recovery: Option<RecoveryState>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Reply {
-    /// Time of the query, by the local clock. The reply describes this time or a later one.
+    /// Time at which the query was sent, by the local clock. The reply describes this time or a later one.
     requested_at: Micros,
     status: RecoveryStatus,
 }
 
 impl Reply {
-    /// Returns whether the query was sent within the last lease duration.
+    /// Returns whether the query was sent within the last lease duration, so that the reply still counts.
     fn is_fresh(&self, now: Micros, config: &Config) -> bool {
         now.saturating_sub(self.requested_at) <= config.lease_duration
     }
 }
 
-/// Progress of a process that waits for its admission.
+/// State of a process's wait for admission: the queries sent, the last replies, and the conclusion from them.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct AdmissionWait {
     started: Micros,
-    /// Time of the next round of queries.
+    /// Time at which the next round of queries is due.
     pub next_query_at: Micros,
+    /// Number of rounds of queries so far.
     queries_sent: u64,
+    /// Last reply of each process.
     replies: BTreeMap<Name, Reply>,
-    /// Process whose complete state was received.
+    /// Process that has sent its complete state to this one.
     state_from: Option<Name>,
-    /// Reason for waiting or serving, as of the last evaluation.
+    /// Reason for which the process waits or may serve, as of the last evaluation of the replies.
     pub reason: AdmissionReason,
 }
 
@@ -95,13 +97,14 @@
         }
     }
 
-    /// Time between two rounds of queries in microseconds.
+    /// Time between two rounds of queries, in microseconds.
     pub(crate) fn query_interval(config: &Config) -> Micros {
         (config.lease_duration / QUERIES_PER_LEASE).max(1)
     }
 
-    /// Returns the queries of this round: one to each voter, and one for the state to a process that has it.
-    /// These processes take turns, because one state is enough.
+    /// Returns the queries of the next round: one to each voter, and one to a process with the complete state
+    /// that asks for that state. If several processes have it, they take turns by round, because one state is
+    /// enough.
     pub(crate) fn next_queries(
         &mut self,
         now: Micros,
@@ -119,14 +122,15 @@
         wants_state.into_iter().map(|(to, wants_state)| Query { to, wants_state }).collect()
     }
 
-    /// Processes with the complete state, by their own reply or that of another.
+    /// Processes that have the complete state, by their own reply or according to another process's reply.
     fn peers_with_complete_state(&self) -> BTreeSet<Name> {
         let complete = self.replies.iter().filter(|(_, reply)| reply.status.has_complete_state);
         let reported = self.replies.values().flat_map(|reply| &reply.status.peers_with_complete_state);
         complete.map(|(name, _)| name).chain(reported).cloned().collect()
     }
 
-    /// Stores a reply, unless a later one of the same process is known.
+    /// Stores a reply of the process `from`, unless a later one is known. `with_state` says whether it
+    /// contained the state.
     pub(crate) fn record_reply(
         &mut self,
         from: &Name,
@@ -146,7 +150,8 @@
         }
     }
 
-    /// Recovery state that a voter, or the local process, reported within the last lease duration.
+    /// Recovery state that the voter `name` reported within the last lease duration, or that of the local
+    /// process under its own name; `None`: not known.
     fn voter_recovery(
         &self,
         now: Micros,
@@ -161,7 +166,7 @@
     }
 
     /// Returns whether every voter reported within the last lease duration that it has not recovered, so that
-    /// the state is unknown to all of them.
+    /// none of them knows the state.
     pub(crate) fn all_voters_lost_state(
         &self,
         now: Micros,
@@ -176,8 +181,8 @@
         voters.iter().all(is_lost)
     }
 
-    /// Updates the reason from the replies so far. Returns whether the process may serve without being
-    /// admitted.
+    /// Updates [`AdmissionWait::reason`] from the replies so far. Returns whether the process may serve
+    /// without admission.
     pub(crate) fn evaluate(
         &mut self,
         now: Micros,
--- a/lease/src/admission/reason.rs
+++ b/lease/src/admission/reason.rs
@@ -1,31 +1,36 @@
-//! Reasons for which a process waits or may serve.
+//! Reasons for which a started process waits for admission or may serve.
 
 use flaxhead_membership::Name;
 use std::fmt;
 
-/// Reason for which a started process waits or may serve.
+/// Reason for which a started process waits for admission or may serve. A name in a variant is that of
+/// another process.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum AdmissionReason {
-    /// Waits: no process has replied yet.
+    /// The process waits, because no other process has replied to its queries yet.
     AwaitingReply,
-    /// Waits: recently restarted voters are quarantined, because leases that they granted before may still be
-    /// valid.
+    /// The process waits, because most voters were restarted recently and may not vote yet.
     AwaitingQuarantine,
-    /// Waits: a leader can admit the process.
+    /// The process waits for a leader to admit it; one exists or can be elected.
     AwaitingAdmission,
-    /// Waits: this process has the complete state and has not sent it yet.
+    /// The process waits for the complete state of the named process, which has not sent it yet.
     AwaitingState(Name),
-    /// Waits: the state is lost, and operators have time to restore it and confirm that it is complete.
+    /// The process waits, because the state is lost and operators have time to restore it and declare it
+    /// complete.
     AwaitingOperators,
-    /// Serves: admitted by a leader.
+    /// The process serves, because a leader has admitted it.
     Admitted,
-    /// Serves: a majority of voters has lost the state, and this process has sent its own.
+    /// The process serves without admission, because a majority of voters has lost the state, but the named
+    /// process has sent its complete state.
     StateRecoveredFrom(Name),
-    /// Serves: no majority of voters can vote, and this process has sent its state.
+    /// The process serves without admission, because no majority of voters is known to vote, but the named
+    /// process has sent its complete state.
     NoQuorumStateFrom(Name),
-    /// Serves: a majority of voters has lost the state, and no process has it.
+    /// The process serves without admission and without the state, because a majority of voters has lost it
+    /// and no process that has it is known.
     StateLost,
-    /// Serves: no process with the complete state has replied within [`crate::Config::autonomy_timeout`].
+    /// The process serves without admission and without the state, because it has not received the complete
+    /// state of any process within [`crate::Config::autonomy_timeout`].
     NoReply,
 }
 
--- a/lease/src/admission/reply_summary.rs
+++ b/lease/src/admission/reply_summary.rs
@@ -1,4 +1,4 @@
-//! Conclusions from the replies to a process that waits for admission.
+//! Conclusions that a process which waits for admission draws from the replies to its queries.
 
 use super::{AdmissionReason, AdmissionWait, OwnVoter, Reply};
 use crate::config::Config;
@@ -6,27 +6,31 @@
 use crate::voters::Voters;
 use flaxhead_membership::{Micros, Name};
 
-/// Summary of the recent replies.
+/// Findings from the replies to queries of the last lease duration.
 ///
-/// The loss of the state is certain once a majority of voters reports it within one lease duration. Each of
-/// them was quarantined for longer than a lease before, so no earlier leader can still hold a lease and know
-/// the state. A later leader cannot recover it either, until operators restore the state and confirm that it
-/// is complete.
+/// The state is certainly lost once a majority of voters reports so within one lease duration. Each of them
+/// was quarantined before for longer than the leader's lease lasts, so no earlier leader can still hold that
+/// lease and know the state. A later leader cannot recover the state either, until operators restore it and
+/// declare it complete.
 #[expect(clippy::struct_excessive_bools, reason = "each is one finding, independent of the others")]
 pub(super) struct ReplySummary {
+    /// True if any process has replied.
     has_replies: bool,
     /// True if a reply shows that some running process has the complete state.
     state_exists: bool,
-    /// Another process with the complete state, according to any reply.
+    /// Process that has the complete state, by its own reply or according to another's.
     peer_with_complete_state: Option<Name>,
-    /// True if some process holds a lease.
+    /// True if a replying process holds a valid lease, so a leader was active recently.
     lease_exists: bool,
+    /// True if a majority of voters is past its quarantine without the data from before.
     majority_lost_state: bool,
     majority_votes: bool,
     majority_cannot_vote: bool,
-    /// True while the process still waits for operators to restore the lost state and confirm that it is
-    /// complete.
+    /// True while the process still waits for operators to restore the lost state and declare it complete
+    /// ([`Config::operator_timeout`]).
     within_operator_timeout: bool,
+    /// True once the process has waited for [`Config::autonomy_timeout`] and sent enough queries in that
+    /// time.
     timed_out: bool,
 }
 
@@ -46,7 +50,7 @@
             reply.status.has_complete_state || !reply.status.peers_with_complete_state.is_empty()
         };
         let waited = now.saturating_sub(wait.started);
-        // The elapsed time alone is not enough, because the process may have been stopped. It must also have
+        // The elapsed time alone is not enough, because the process may have been paused. It must also have
         // sent at least half of the queries of that time.
         let has_queried =
             wait.queries_sent * AdmissionWait::query_interval(config) * 2 >= config.autonomy_timeout;
@@ -63,13 +67,13 @@
         }
     }
 
-    /// Decides what the process waits for, or why it may serve. `state_from` is the process that has sent its
-    /// complete state.
+    /// Returns what the process waits for, or why it may serve. `state_from` is the process that has sent its
+    /// complete state to this one; `None`: none has.
     pub(super) fn admission_reason(self, state_from: Option<&Name>) -> AdmissionReason {
         if self.majority_lost_state {
             return self.reason_after_state_loss(state_from);
         }
-        // A majority that votes has a leader, or will elect one.
+        // A majority that can vote has a leader, or will elect one, which will admit this process.
         if self.state_exists && (self.majority_votes || self.lease_exists) {
             return AdmissionReason::AwaitingAdmission;
         }
@@ -82,6 +86,7 @@
         }
     }
 
+    /// Returns the reason in the case that a majority of voters has lost the state.
     fn reason_after_state_loss(self, state_from: Option<&Name>) -> AdmissionReason {
         match (state_from, self.peer_with_complete_state) {
             (Some(name), _) => AdmissionReason::StateRecoveredFrom(name.clone()),
--- a/lease/src/admission/tests.rs
+++ b/lease/src/admission/tests.rs
@@ -19,7 +19,7 @@
     }
 }
 
-/// Reply to a query that was sent at `requested_at`.
+/// Reply of the voter `from` to a query that the waiting process sent at `requested_at`.
 struct TestReply {
     from: &'static str,
     requested_at: Micros,
@@ -31,7 +31,8 @@
     TestReply { from, requested_at, voter: Some(voter), has_complete_state: false }
 }
 
-/// Conclusion at 20 s of a process that started at 0 and has sent this number of query rounds.
+/// Returns whether a process that started at 0, has sent `queries` rounds of queries and has received
+/// `replies` may serve at 20 s, and the reason.
 fn evaluate_replies(queries: u64, replies: &[TestReply]) -> (bool, AdmissionReason) {
     evaluate_with_operator_timeout(0, queries, replies)
 }
@@ -63,8 +64,8 @@
         evaluate_with_operator_timeout(21_000_000, 10, &replies()),
         (false, AdmissionReason::AwaitingOperators)
     );
-    // The quarantined voter may have granted a lease before its restart, and after an old reply another lease
-    // may have been granted.
+    // Neither a quarantined voter, a reply older than a lease, nor a process that is no voter counts: a
+    // leader that knows the state may hold a lease from before the restart or from after the reply.
     let others = [reply("b", NOW, RecoveryState::Quarantined), recovering("b", before), recovering("q", NOW)];
     for other in others {
         let case = format!("{} at {}: {:?}", other.from, other.requested_at, other.voter);
@@ -94,7 +95,8 @@
 fn autonomy_timeout_requires_sent_queries_and_no_majority_that_votes() {
     assert_eq!(evaluate_replies(15, &[]), (true, AdmissionReason::NoReply));
     assert_eq!(evaluate_replies(14, &[]), (false, AdmissionReason::AwaitingReply));
-    // While a process with the complete state runs and a majority votes, a leader will admit the process.
+    // A leader will admit the process while some process has the complete state and a majority of voters can
+    // vote.
     let recovered = |from, has_complete_state| TestReply {
         has_complete_state,
         ..reply(from, NOW, RecoveryState::Recovered)
--- a/lease/src/leader/commit.rs
+++ b/lease/src/leader/commit.rs
@@ -1,4 +1,4 @@
-//! Commitment of the state, and of the commands that changed it.
+//! Commitment of the leader's state, and release of the responses to commands that changed it.
 
 use super::command::{CommittedResponse, UncommittedCommand};
 use super::peer::PeerState;
@@ -9,8 +9,8 @@
 use flaxhead_membership::{Micros, Name};
 
 impl<T: ApplicationTypes> LeaderState<T> {
-    /// Returns whether a majority of voters reported recently that it has applied the state of the sequence
-    /// number `seq` or later.
+    /// Returns whether a majority of voters reported, within the last lease duration, that it has applied
+    /// this leader's state with the sequence number `seq` or later.
     pub(super) fn is_committed(&self, now: Micros, config: &Config, voters: &Voters, seq: u64) -> bool {
         let has_it =
             |peer: &PeerState<T>| peer.heard_recently(now, config) && peer.has_applied(&self.ballot, seq);
@@ -19,13 +19,14 @@
         })
     }
 
-    /// Holds back the response to an executed command until the current state is committed.
+    /// Holds back the response to the command `id`, submitted at `from` and executed just now, until the
+    /// current state is committed.
     pub(crate) fn defer_response(&mut self, from: Name, id: u64, response: T::Response) {
         let state_seq = self.state.version.seq;
         self.uncommitted.push(UncommittedCommand { from, id, state_seq, response });
     }
 
-    /// Takes the responses to all commands that are committed.
+    /// Removes and returns the held-back responses whose commands are now committed.
     pub(crate) fn take_committed(
         &mut self,
         now: Micros,
--- a/lease/src/leader/context.rs
+++ b/lease/src/leader/context.rs
@@ -1,4 +1,4 @@
-//! Interface through which an application reads and changes the leader.
+//! Interface through which an application reads the leader's records and changes the replicated state.
 
 use super::peer::PeerState;
 use super::state::LeaderState;
@@ -10,17 +10,18 @@
 use crate::voters::Voters;
 use flaxhead_membership::Micros;
 
-/// Access of an application's leader hooks to the protocol state of the leader.
+/// Access of an application to the leader, passed to those methods of [`crate::Application`] that run only
+/// there.
 pub struct LeaderContext<'a, T: ApplicationTypes> {
     pub(crate) leader: &'a mut LeaderState<T>,
     pub(crate) voters: &'a Voters,
-    /// Current time in microseconds.
+    /// Current time in microseconds, by the leader's clock.
     pub now: Micros,
-    /// Time limits that the leader is configured with.
+    /// Time limits with which the leader is configured.
     pub config: &'a Config,
-    /// Membership, and data that the application uses for its decisions.
+    /// Membership as known to the leader, and the application's data from outside the protocol.
     pub facts: &'a Facts<T::Facts>,
-    /// Process that is the leader.
+    /// Name, incarnation and address of the leader.
     pub me: &'a Process,
 }
 
@@ -30,69 +31,73 @@
         &self.leader.ballot
     }
 
-    /// Replicated state, with its durations advanced to the current time.
+    /// Replicated state of the application, with its durations advanced to the current time.
     pub fn state(&self) -> &T::State {
         &self.leader.state.state
     }
 
-    /// Replicated state for modification. [`LeaderContext::publish`] must be called after a change.
+    /// Replicated state of the application, for modification. [`LeaderContext::publish`] must be called after
+    /// a change.
     pub fn state_mut(&mut self) -> &mut T::State {
         &mut self.leader.state.state
     }
 
-    /// Sequence number of the current state.
+    /// Sequence number of the current state, which increases with each [`LeaderContext::publish`].
     pub fn state_seq(&self) -> u64 {
         self.leader.state.version.seq
     }
 
-    /// Assigns a new version to the changed state and replicates it.
+    /// Assigns the next sequence number to the changed state, so that the leader replicates it to all
+    /// processes.
     pub fn publish(&mut self) {
         self.leader.publish();
     }
 
-    /// Processes that may hold a lease, with the leader's records of them.
+    /// Processes on the roster, which may hold a lease, with the leader's records of each.
     pub fn processes(&self) -> impl Iterator<Item = (&Process, &PeerState<T>)> {
         self.leader.processes()
     }
 
-    /// Records of a process; `None`: it is not on the roster.
+    /// Leader's records of a process; `None`: it is not on the roster.
     pub fn peer(&self, process: &Process) -> Option<&PeerState<T>> {
         self.leader.peers.get(process)
     }
 
-    /// Returns whether a process reported to this leader within the last lease duration.
+    /// Returns whether the process reported to this leader within the last lease duration.
     pub fn heard_recently(&self, peer: &PeerState<T>) -> bool {
         peer.heard_recently(self.now, self.config)
     }
 
-    /// Returns whether a process has applied this leader's state of the sequence number `seq` or later.
+    /// Returns whether the process has applied this leader's state with the sequence number `seq` or later.
     pub fn has_applied(&self, peer: &PeerState<T>, seq: u64) -> bool {
         peer.has_applied(&self.leader.ballot, seq)
     }
 
-    /// Returns whether a majority of voters has applied the state of the sequence number `seq`, so that any
-    /// later leader knows it.
+    /// Returns whether a majority of voters has applied this leader's state with the sequence number `seq` or
+    /// later, so that any later leader knows its changes.
     pub fn is_committed(&self, seq: u64) -> bool {
         self.leader.is_committed(self.now, self.config, self.voters, seq)
     }
 
-    /// Time since which the roster and the state may lack committed changes; `None`: both are complete.
+    /// Time at which the leader was elected without a majority of recovered voters, so that its roster and
+    /// state may lack committed changes; `None`: both count as complete.
     pub fn state_lost_since(&self) -> Option<Micros> {
         self.leader.state_lost_since
     }
 
-    /// Ends the period in which the state is considered incomplete, for example when operators confirm that
-    /// it is complete. Returns whether it was considered incomplete.
+    /// Makes the leader treat its roster and state as complete, for example because operators have restored
+    /// the state and declared it complete. Returns whether they were treated as incomplete before.
     pub fn declare_recovered(&mut self) -> bool {
         self.leader.state_lost_since.take().is_some()
     }
 
-    /// Removes an ended process from the roster. [`crate::Application::process_left`] is called for it.
+    /// Removes a process that has ended from the roster. [`crate::Application::process_left`] is then called
+    /// for it.
     pub fn remove_process(&mut self, process: &Process) {
         self.leader.remove_process(process);
     }
 
-    /// Records an event for the audit trail.
+    /// Records an event for the audit trail and the log; the driver receives it as [`crate::Effect::Event`].
     pub fn record_event(&mut self, event: T::Event) {
         self.leader.events.push(event);
     }
--- a/lease/src/leader/dissemination.rs
+++ b/lease/src/leader/dissemination.rs
@@ -1,4 +1,4 @@
-//! Selection of the processes to which the state is sent.
+//! Selection of the processes to which the leader sends its state.
 
 use super::peer::PeerState;
 use super::state::LeaderState;
@@ -6,17 +6,19 @@
 use crate::types::ApplicationTypes;
 use flaxhead_membership::{Micros, Name};
 
-/// Receivers of the state.
+/// Processes to which the leader sends its state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ReceiverSet {
-    /// All processes that may hold a lease, after a change of the state.
+    /// All processes on the roster, after a change of the state.
     All,
-    /// Processes that were heard recently and have not confirmed the state within the resend interval.
+    /// Processes that reported within the last lease duration and have not confirmed the current state,
+    /// although a resend interval has passed since it was sent to them.
     Unconfirmed,
 }
 
 impl<T: ApplicationTypes> LeaderState<T> {
-    /// Returns the processes to which the state must be sent now, and records that it was sent.
+    /// Returns the processes in `receiver_set` to which the state must be sent now, and records the time as
+    /// that of sending.
     pub(crate) fn begin_dissemination(
         &mut self,
         now: Micros,
@@ -41,11 +43,12 @@
         receivers
     }
 
-    /// Time of the next resend of the state.
+    /// Time at which the state must next be sent again to a process that has not confirmed it; `Micros::MAX`:
+    /// to none.
     pub(crate) fn next_dissemination(&self, config: &Config) -> Micros {
         let is_behind =
             |peer: &&PeerState<T>| peer.version != self.state.version && peer.last_report_at.is_some();
-        // A process that is no longer heard gets the state when it is heard again.
+        // A process that no longer reports gets the state when it reports again.
         let is_heard = |peer: &&PeerState<T>| peer.heard_recently(peer.state_sent_at, config);
         let due = self.peers.values().filter(is_behind).filter(is_heard);
         let due = due.map(|peer| peer.state_sent_at + config.state_resend_interval());
--- a/lease/src/leader/lease.rs
+++ b/lease/src/leader/lease.rs
@@ -1,4 +1,4 @@
-//! Lease of the leader, and records of what the voters store.
+//! Lease of the leader, and records of what each voter has accepted.
 
 use super::state::LeaderState;
 use super::voter_record::VoterRecord;
@@ -9,24 +9,26 @@
 use flaxhead_membership::{Micros, Name};
 use std::collections::BTreeSet;
 
-/// Number of renewal intervals without an acceptance after which a voter is asked for a new promise.
+/// Number of renewal intervals without an acceptance after which the leader asks a voter for a new promise.
 const VOTER_SILENCE_INTERVALS: Micros = 2;
 
 impl<T: ApplicationTypes> LeaderState<T> {
-    /// Returns whether the leader's lease is valid.
+    /// Returns whether the leader's own lease is valid at `now`.
     pub(crate) fn is_leading(&self, now: Micros) -> bool {
         now < self.lease_expiry
     }
 
-    /// Begins another renewal round, which extends the lease once a majority of voters has accepted it.
+    /// Begins another renewal round of the leader's lease. The lease is extended, counted from `now`, once a
+    /// majority of voters has accepted the round.
     pub(crate) fn begin_renewal_round(&mut self, now: Micros) {
         self.round += 1;
         self.renewal_round_started = now;
         self.acceptances = BTreeSet::new();
     }
 
-    /// Records the acceptance of a proposal. Extends the leader's lease once a majority of voters has
-    /// accepted the current renewal round.
+    /// Records the acceptance of a proposal by the voter `from`. Extends the leader's lease once a majority
+    /// of voters has accepted the current renewal round. Ignores a voter that has restarted since its
+    /// promise.
     pub(crate) fn record_acceptance(
         &mut self,
         now: Micros,
@@ -49,20 +51,22 @@
         }
     }
 
-    /// Records the promise of a voter that came after the election.
+    /// Records the promise of a voter that promised after this leader's election.
     pub(crate) fn record_promise(&mut self, from: &Name, promise: &Promise<T>) {
         self.voter_incarnations.insert(from.clone(), promise.incarnation);
     }
 
-    /// Returns whether a voter has accepted a proposal within the last renewal intervals.
+    /// Returns whether a voter has accepted a proposal within the last [`VOTER_SILENCE_INTERVALS`] renewal
+    /// intervals.
     pub(crate) fn voter_accepted_recently(&self, now: Micros, config: &Config, voter: &Name) -> bool {
         let most = VOTER_SILENCE_INTERVALS * config.renewal_interval();
         self.voter_records.get(voter).is_some_and(|record| now.saturating_sub(record.accepted_at) <= most)
     }
 
-    /// Returns whether a majority of voters stores the roster of this sequence number. Only acceptances
-    /// within the last lease duration count, because a voter may have restarted and lost the roster; its
-    /// quarantine, during which it accepts nothing, is longer than a lease.
+    /// Returns whether a majority of voters stores this leader's roster with the sequence number `roster_seq`
+    /// or later. Only acceptances within the last lease duration count: a voter that restarted after an older
+    /// one may have lost the roster, while the quarantine, in which it accepts nothing, is longer than a
+    /// lease.
     pub(super) fn is_roster_committed(
         &self,
         now: Micros,
--- a/lease/src/leader/mod.rs
+++ b/lease/src/leader/mod.rs
@@ -1,5 +1,5 @@
-//! Records of a leader that do not depend on its application: its lease, the roster, and the version and
-//! report of each process.
+//! State of a leader that does not depend on the kind of application: the leader's lease, the roster, and
+//! what it knows of each process.
 
 mod candidacy;
 mod command;
--- a/lease/src/leader/roster.rs
+++ b/lease/src/leader/roster.rs
@@ -1,4 +1,4 @@
-//! Enrollment of processes, leases of processes, and removal of ended processes.
+//! Addition of processes to the leader's roster, grants of leases to them, and removal of ended processes.
 
 use super::peer::PeerState;
 use super::state::{LeaderState, INITIAL_ROSTER_SEQ};
@@ -10,23 +10,24 @@
 use crate::voters::Voters;
 use flaxhead_membership::Micros;
 
-/// Outcome of a renewal request.
+/// Decision on a process's lease request, as far as it does not depend on the application.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RenewalOutcome {
-    /// True if the process has applied a state of this leader, so that its report is valid.
+    /// True if the process has applied a state of this leader. Only then is its report valid.
     pub report_counts: bool,
-    /// True if this is the first valid report of the process.
+    /// True if this is the first valid report of the process to this leader.
     pub is_first_report: bool,
-    /// True if the process gets a lease.
+    /// True if the process gets a lease now.
     pub is_granted: bool,
-    /// True if the process needs the current state.
+    /// True if the process has not applied the leader's current state, which must then be sent to it.
     pub is_behind: bool,
-    /// True if the process was added to the roster.
+    /// True if this request added the process to the roster.
     pub is_enrolled: bool,
 }
 
 impl<T: ApplicationTypes> LeaderState<T> {
-    /// Handles the renewal request of a process that has applied the state of `version`.
+    /// Handles the lease request of a process that has applied the state of `version`: adds it to the roster,
+    /// records its report, and decides on the lease.
     pub(crate) fn renew(
         &mut self,
         now: Micros,
@@ -49,8 +50,8 @@
                 peer.last_report_at = Some(now);
                 peer.report = Some(report);
             }
-            // A lease requires that the process has applied the current state, because the leader relies on
-            // that as long as the lease is valid.
+            // The leader relies on the process having applied the current state as long as its lease is
+            // valid. The roster must be committed, so that any later leader knows of the lease.
             let recorded_in = peer.recorded_in;
             is_granted =
                 is_current && is_leading && self.is_roster_committed(now, config, voters, recorded_in);
@@ -61,7 +62,7 @@
         RenewalOutcome { report_counts, is_first_report, is_granted, is_behind: !is_current, is_enrolled }
     }
 
-    /// Adds a process to the roster. Returns whether it is new there.
+    /// Adds a process to the roster. Returns false if it is already there.
     fn enroll(&mut self, now: Micros, config: &Config, process: &Process) -> bool {
         let is_new = self.roster.processes.insert(process.clone());
         if is_new {
@@ -72,6 +73,7 @@
         is_new
     }
 
+    /// Removes a process from the roster, and notes it for [`crate::Application::process_left`].
     pub(super) fn remove_process(&mut self, process: &Process) {
         self.peers.remove(process);
         if self.roster.processes.remove(process) {
@@ -80,7 +82,7 @@
         self.departed.push(process.clone());
     }
 
-    /// Removes ended processes, so that the application no longer waits for them.
+    /// Removes processes that have ended from the roster, so that the application no longer waits for them.
     pub(crate) fn remove_ended<F>(&mut self, now: Micros, config: &Config, facts: &Facts<F>, me: &Process) {
         let has_ended = |process: &&Process| {
             let member = facts.members.get(&process.name);
@@ -89,8 +91,8 @@
         };
         let ended: Vec<Process> = self.peers.keys().filter(has_ended).cloned().collect();
         ended.iter().for_each(|process| self.remove_process(process));
-        // An earlier process of the leader's own name and address must have ended before the leader could
-        // listen there.
+        // The leader could listen on its address only after an earlier process of its own name had ended
+        // there.
         let is_predecessor = |process: &&Process| {
             process.name == me.name && process.address == me.address && process.incarnation != me.incarnation
         };
@@ -98,18 +100,19 @@
         predecessors.iter().for_each(|process| self.remove_process(process));
     }
 
-    /// Returns whether a process has ended, judged by the membership's record `member` of its name.
+    /// Returns whether `process` has ended, according to the membership's record `member` of its name.
     fn has_ended(&self, now: Micros, config: &Config, process: &Process, member: &MemberStatus) -> bool {
         if member.incarnation != process.incarnation {
-            // Two processes cannot listen at the same address. The membership may not know yet which
-            // incarnation is the later one, but the ended process no longer reports.
+            // `member` is another process with the same name and address, where only one of them can listen.
+            // The membership may not know yet which is the later one, but the ended one no longer reports.
             return member.address == process.address
                 && member.presence == Presence::Alive
                 && self.is_report_overdue(now, config, process);
         }
         match member.presence {
             Presence::Exited => true,
-            // A leaving process ends after it has completed its accepted calls.
+            // A process that announced its leave ends once its accepted calls have completed, so it counts as
+            // ended after the maximum duration of a call.
             Presence::Left => {
                 now.saturating_sub(member.since) >= Config::with_max_drift(config.max_call_duration)
             }
@@ -117,7 +120,7 @@
         }
     }
 
-    /// Returns whether a process has not reported for longer than a lease duration.
+    /// Returns whether `process` has not reported to this leader for longer than a lease duration.
     fn is_report_overdue(&self, now: Micros, config: &Config, process: &Process) -> bool {
         self.peers.get(process).is_some_and(|peer| {
             let since = peer.last_report_at.unwrap_or(peer.expected_since);
@@ -125,10 +128,10 @@
         })
     }
 
-    /// Returns whether a process of an earlier leader's roster was replaced by a process with the same name
-    /// and address. If the replacement has reported to this leader and the other has not, the other has
-    /// ended, even if the membership does not say so. After all processes were killed and restarted, this
-    /// keeps the leader from waiting for them.
+    /// Returns whether `process`, known only from the roster of an earlier leader, was replaced: another
+    /// process with the same name and address has reported to this leader, and `process` has not. It has then
+    /// ended, even if the membership does not say so. Without this rule, the leader would wait for processes
+    /// that were all killed and restarted together.
     fn has_successor(&self, process: &Process) -> bool {
         let took_part_before =
             |peer: &PeerState<T>| peer.recorded_in == INITIAL_ROSTER_SEQ && peer.last_report_at.is_none();
--- a/lease/tests/application.rs
+++ b/lease/tests/application.rs
@@ -1,5 +1,5 @@
-//! Tests that the hooks of [`Application`] are called as documented, with three voters, one more process and
-//! virtual time.
+//! Tests that the machine calls the methods of [`Application`] as documented, with three voters, one more
+//! process and virtual time.
 
 use flaxhead_lease::{
     AdmissionStatus, Application, ApplicationTypes, Ballot, CommandError, Config, Context, Effect, Facts,
@@ -13,7 +13,7 @@
 
 const LEASE: Micros = 6_000_000;
 const STEP: Micros = 20_000;
-/// Number that each process reports, to be added up by the leader.
+/// Number in each report; the leader adds up the numbers of a process and grants it the sum.
 const COUNT_PER_REPORT: u32 = 7;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -22,7 +22,8 @@
     Left(Process),
 }
 
-/// Reports a constant number, and is granted the sum of its reports as counted by the leader.
+/// Application of the test: each process reports a constant number, and the leader grants it the sum of its
+/// reports. The calls at the process are recorded.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Counter {
     renews_early: bool,
@@ -133,7 +134,7 @@
     events: Vec<Event>,
 }
 
-/// Message in transit.
+/// Message in transit between two processes.
 struct Envelope {
     from: Name,
     to: Name,
@@ -180,7 +181,8 @@
         }
     }
 
-    /// Delivers a message to a process, or runs its timers. Returns the messages that the process sends.
+    /// Delivers a message to the process with this index, or with `None` runs its timers. Returns the
+    /// messages that the process sends.
     fn handle_event(&mut self, index: usize, envelope: Option<Envelope>) -> Vec<Envelope> {
         if self.ended.contains(&index) {
             return Vec::new();
@@ -234,7 +236,8 @@
         let Counter { granted, ballots, .. } = machine.application();
         let lasts_a_lease = |grant: &Grant| grant.expires_at == grant.requested_at + LEASE;
         assert!(granted.iter().all(lasts_a_lease), "{granted:?}");
-        // Each grant exceeds the one before it by one report, so the leader counted each report once.
+        // Each grant exceeds the one before it by the number in one report, so the leader counted each report
+        // once.
         let counted_once = |two: &[Grant]| two[1].count == two[0].count + COUNT_PER_REPORT;
         assert!(granted.windows(2).all(counted_once), "{granted:?}");
         assert_eq!(ballots.last().map(|ballot| &ballot.name), Some(&name(first)));
@@ -243,8 +246,8 @@
     network.ended = BTreeSet::from([first]);
     network.run_for(5 * LEASE);
     let second = network.leader();
-    // The new leader learns that the first has ended. The application checks the `is_first` flag of each
-    // first report.
+    // The new leader removes the first one, which has ended, from its roster. `report_received` checks that
+    // `is_first` is set only for the first report of a process to each leader.
     assert!(network.events.contains(&Event::Left(process(first))), "{:?}", network.events);
     for (index, machine) in network.machines.iter().enumerate().filter(|(index, _)| *index != first) {
         let Counter { granted, ballots, .. } = machine.application();
@@ -267,6 +270,6 @@
     }
     let pauses: Vec<Micros> = reports.windows(2).map(|two| two[1] - two[0]).collect();
     assert!(pauses.iter().all(|pause| *pause >= regular_interval / 12), "{pauses:?}");
-    // Regular renewals would be four per lease.
+    // Without early renewal there would be four reports per lease duration.
     assert!(pauses.len() > 16 && pauses.iter().all(|pause| *pause < regular_interval / 2), "{pauses:?}");
 }
--- a/lease/tests/stale.rs
+++ b/lease/tests/stale.rs
@@ -1,5 +1,5 @@
-//! Tests that messages that are late, meant for another process or dated in the future change nothing. Each
-//! case is compared with a valid message, which does change the process.
+//! Tests that a process ignores messages that are late, meant for another incarnation or dated in the future.
+//! Each case is compared with a valid message, which does change the process.
 
 use flaxhead_lease::{
     AdmissionStatus, Application, ApplicationTypes, Ballot, CommandError, Config, Context, Facts,
@@ -9,7 +9,7 @@
 use rand_pcg::Pcg32;
 use std::collections::BTreeSet;
 
-/// Application that only records its grants.
+/// Application that records the grants that the process receives.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct GrantRecorder(Vec<u32>);
 
@@ -64,7 +64,7 @@
     Ballot { round, name: name("a"), incarnation: 1 }
 }
 
-/// Returns a process that waits for admission, after it received these messages.
+/// Returns the machine of a process that waits for admission, after it has received these messages.
 fn process_after(messages: Vec<(&str, Message<GrantRecorder>)>) -> Machine<GrantRecorder> {
     let voters = Voters::new(["a", "b", "c"].map(name).to_vec(), Vec::new()).expect("valid voters");
     let me = Process { name: name("q"), incarnation: INCARNATION, address: ([127, 0, 0, 1], 1).into() };
