--- a/coordination/src/codec/tests.rs
+++ b/coordination/src/codec/tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of the codec.
+//! Unit tests of the message codec.
 
 use super::*;
 use flaxhead_lease::{
@@ -59,7 +59,7 @@
     let largest = grant_message(1_000);
     let bytes = encode(&largest).expect("within the size limit");
     assert_eq!(decode::<TextApplication>(&bytes), Ok(largest));
-    // Within the size limit of a report, but above that of a grant.
+    // The grant exceeds its own size limit, but not that of a report.
     let oversized = grant_message(1_900);
     assert_eq!(encode(&oversized), Err(CodecError::TooLong));
     let bytes = postcard::to_allocvec(&oversized).expect("encodable");
--- a/coordination/src/coordinator.rs
+++ b/coordination/src/coordinator.rs
@@ -1,4 +1,5 @@
-//! Driver of a lease machine: runs its timers, delivers messages and commands, and executes its effects.
+//! Driver of one lease machine: runs its timers, passes messages and commands to it, and executes its
+//! effects.
 
 use crate::participant::{Clock, Participant};
 use crate::store::StateStore;
@@ -19,25 +20,26 @@
 use tokio::sync::{oneshot, watch, Notify};
 use tokio::time::{sleep_until, Instant};
 
-/// Maximum age of the host and member data that a decision uses.
+/// Maximum age of the application's and the membership's data when the lease machine uses them.
 const MAX_FACTS_AGE: Duration = Duration::from_millis(50);
-/// Maximum time between two ticks of the lease machine, because nothing notifies it of changed facts.
+/// Maximum time between two ticks of the lease machine. Changes of the membership are noticed only in a tick
+/// or another call.
 const MAX_TICK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Configuration of the lease machine that a coordinator drives.
+/// Configuration of a coordinator and its lease machine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings<A> {
-    /// Channel that separates the messages of this application from those of others.
+    /// Channel on the sockets that separates the messages of this application from those of others.
     pub channel: Channel,
-    /// Voters that elect the leader by granting its lease.
+    /// Voters that grant the leader's lease.
     pub voters: Voters,
     /// Time limits of the protocol, which must be equal at all processes.
     pub config: Config,
-    /// Application of the lease machine, which defines what is replicated and granted.
+    /// Value of the application in this process.
     pub application: A,
 }
 
-/// Response to an operator's command, or the reason for its rejection.
+/// Response of the application to an operator's command, or reason for its rejection.
 type CommandResult<A> = Result<
     <A as flaxhead_lease::ApplicationTypes>::Response,
     <A as flaxhead_lease::ApplicationTypes>::Rejection,
@@ -47,23 +49,27 @@
     peers: Peers,
     channel: Channel,
     machine: RefCell<Machine<A>>,
+    /// Data of the membership and the application, as last read.
     facts: RefCell<Facts<A::Facts>>,
+    /// Time of the last reading of `facts`; `None`: not read yet.
     facts_read_at: Cell<Option<Instant>>,
     random: RefCell<Pcg32>,
     participant: RefCell<Option<Rc<dyn Participant<A>>>>,
-    /// Waiting submitters, by command id.
+    /// Senders of the results to the submitters that wait for them, by command id.
     pending_commands: RefCell<HashMap<u64, oneshot::Sender<CommandResult<A>>>>,
     next_command_id: Cell<u64>,
     clock: Clock,
-    /// Wakes the loop; also notified by the thread that writes the state to disk.
+    /// Wakes the loop of [`Coordinator::serve`]; also notified by the thread that writes to disk.
     wake: Arc<Notify>,
+    /// Storage on disk; `None`: the state does not survive a restart.
     store: Option<RefCell<StateStore<A>>>,
-    /// True once the process was admitted or serves without admission.
+    /// True once the process was admitted or may serve without admission.
     may_serve: watch::Sender<bool>,
     dropped_messages: Cell<u64>,
 }
 
-/// Driver of one application in one process, shared by the tasks of one thread.
+/// Driver of the lease machine of one application in one process. Clones share the machine, within one
+/// thread.
 pub struct Coordinator<A: Application>(Rc<Inner<A>>);
 
 impl<A: Application> Clone for Coordinator<A> {
@@ -82,9 +88,10 @@
 where
     A::Facts: Default + 'static,
 {
-    /// Creates a coordinator on the sockets of `peers` and registers its channel. `store` keeps state over
-    /// restarts; `None`: nothing is kept. `seed` initializes jitter and command ids, and must differ between
-    /// the starts of a process and between its applications.
+    /// Creates a coordinator with its lease machine, and registers it for its channel on the sockets of
+    /// `peers`. `store` keeps the state over restarts; with `None`, a restart loses it. `seed` initializes
+    /// the jitter and the command ids, and must differ between the starts of a process and between its
+    /// applications.
     pub fn start(
         settings: Settings<A>,
         peers: Peers,
@@ -112,8 +119,9 @@
             random: RefCell::new(Pcg32::seed_from_u64(seed)),
             participant: RefCell::new(None),
             pending_commands: RefCell::default(),
-            // Starts at the seed, which differs at each start. A late response to a command of an earlier
-            // process with this name must not match a command of this one.
+            // A late response to a command of an earlier process with this name must not match a command of
+            // this one, so the ids begin at the seed, which differs at each start. `| 1` keeps the first id
+            // from being 0.
             next_command_id: Cell::new(seed | 1),
             clock: Clock::start(),
             wake,
@@ -125,14 +133,14 @@
         coordinator
     }
 
-    /// Returns a watch channel of whether the process may serve: it was admitted, or it gave up waiting and
-    /// serves without admission.
+    /// Returns a watch channel of whether the process may serve: it was admitted, or may serve without
+    /// admission.
     pub fn may_serve(&self) -> watch::Receiver<bool> {
         self.0.may_serve.subscribe()
     }
 
-    /// Drives the lease machine with `participant` until the future is dropped. Must run inside a
-    /// [`tokio::task::LocalSet`].
+    /// Runs the timers of the lease machine, with the callbacks of `participant`, until the future is
+    /// dropped. Must run inside a [`tokio::task::LocalSet`].
     pub async fn serve(&self, participant: Rc<dyn Participant<A>>) {
         self.0.participant.replace(Some(participant));
         loop {
@@ -150,27 +158,28 @@
         }
     }
 
-    /// Calls `read` with the lease machine and its current time in microseconds.
+    /// Calls `read` with the lease machine and the current time by its clock, in microseconds.
     pub fn with_machine<R>(&self, read: impl FnOnce(&Machine<A>, Micros) -> R) -> R {
         read(&self.0.machine.borrow(), self.0.clock.now())
     }
 
-    /// Requests a tick of the lease machine, after the participant's data has changed.
+    /// Requests a tick of the lease machine, to be called when data of the participant has changed.
     pub fn wake(&self) {
         self.0.wake.notify_one();
     }
 
-    /// Number of messages that were dropped on sending or receiving because they were too long or
+    /// Number of lease messages that were dropped on sending or receiving, because they were too long or
     /// undecodable.
     pub fn dropped_messages(&self) -> u64 {
         self.0.dropped_messages.get()
     }
 
-    /// Submits an operator's command and waits at most `timeout` for its result.
+    /// Submits an operator's command at this process and waits at most `timeout` for its result.
     ///
     /// # Errors
     ///
-    /// The application's rejection, or a [`CommandError`] if the command did not reach the application.
+    /// The application's rejection, or a [`CommandError`] converted to it if there is no leader, no timely
+    /// response, or too many commands are pending.
     pub async fn submit(&self, command: A::Command, timeout: Duration) -> CommandResult<A> {
         let (sender, receiver) = oneshot::channel();
         let id = self.0.next_command_id.get();
@@ -179,11 +188,11 @@
         let timeout = Micros::try_from(timeout.as_micros()).unwrap_or(Micros::MAX);
         self.step(|machine, context, effects| machine.submit(context, id, command, timeout, effects));
         self.wake();
-        // The lease machine completes every command by its deadline, so this error is not expected.
+        // The lease machine completes every command by its deadline, so the channel is not closed before.
         receiver.await.unwrap_or_else(|_| Err(CommandError::TimedOut.into()))
     }
 
-    /// Reads the facts again if they are older than [`MAX_FACTS_AGE`].
+    /// Reads the data of the membership and the application again if it is older than [`MAX_FACTS_AGE`].
     fn refresh_facts(&self) {
         let read_at = self.0.facts_read_at.get();
         if read_at.is_some_and(|at| at.elapsed() < MAX_FACTS_AGE) {
@@ -195,7 +204,7 @@
             facts.members = members::statuses(machine, now);
             facts.participates = machine.participates();
         });
-        // The clock of the membership started earlier than the clock of the lease machine.
+        // The membership's clock started earlier than the lease machine's, so its times are converted.
         let clock_offset = self.0.peers.with_machine(|_, now| now).saturating_sub(self.0.clock.now());
         for member in facts.members.values_mut() {
             member.since = member.since.saturating_sub(clock_offset);
@@ -205,8 +214,8 @@
         }
     }
 
-    /// Calls `operation` on the lease machine and executes the effects. The participant applies the decision
-    /// before any message about it is sent.
+    /// Calls `operation` on the lease machine and executes the effects. Before any message is sent, the
+    /// participant applies the new state and lease, and the state is passed to the disk writer.
     fn step(&self, operation: impl FnOnce(&mut Machine<A>, &mut Context<'_, A::Facts>, &mut Vec<Effect<A>>)) {
         self.refresh_facts();
         let participant = self.0.participant.borrow().clone();
@@ -245,7 +254,7 @@
             },
             Effect::CommandCompleted { id, result } => {
                 if let Some(sender) = self.0.pending_commands.borrow_mut().remove(&id) {
-                    // The submitter may have stopped waiting.
+                    // The submitter may no longer wait for the result.
                     let _ = sender.send(result);
                 }
             }
@@ -262,6 +271,7 @@
         }
     }
 
+    /// Counts and logs a message to or from the process `other` that was dropped.
     fn record_dropped_message(&self, other: &Name, error: codec::CodecError) {
         self.0.dropped_messages.set(self.0.dropped_messages.get() + 1);
         tracing::debug!("dropped a message on channel {:?} to or from {other}: {error}", self.0.channel);
--- a/coordination/src/lib.rs
+++ b/coordination/src/lib.rs
@@ -1,9 +1,9 @@
-//! Driver of a [`flaxhead_lease::Machine`].
+//! Driver of the lease machines ([`flaxhead_lease::Machine`]) of a process.
 //!
-//! The driver owns the timers, encodes messages within the size limits of the application, collects the
-//! membership data, and leaves every decision to the machine. It runs on the sockets of [`flaxhead_peers`],
-//! on its own [`Channel`], and on the thread that starts it. A process that runs several applications has one
-//! coordinator for each of them; they share only the sockets.
+//! A [`Coordinator`] drives one machine, and so one application. It runs the timers, sends and receives the
+//! messages within the size limits of the application, supplies the membership data, and stores the state on
+//! disk. All decisions are the machine's. It uses the sockets of [`flaxhead_peers`], on its own [`Channel`],
+//! and runs on the thread that starts it. The coordinators of a process share only the sockets.
 
 mod codec;
 mod coordinator;
--- a/coordination/src/members.rs
+++ b/coordination/src/members.rs
@@ -1,4 +1,4 @@
-//! Conversion of the membership into the member list of a lease machine.
+//! Conversion of the members that the membership knows into the member list of a lease machine.
 
 use flaxhead_lease::{MemberStatus, Presence};
 use flaxhead_membership::{Cause, Machine, Member, Micros, Name, State};
@@ -6,7 +6,8 @@
 
 const MICROS_PER_MILLI: Micros = 1_000;
 
-/// Status of all known members but the local one.
+/// Returns the status of all members but the local one, as known to the membership machine `machine`. `now`
+/// and the returned times are by the clock of that machine.
 pub(crate) fn statuses(machine: &Machine, now: Micros) -> BTreeMap<Name, MemberStatus> {
     let view = machine.view(now);
     let since = |name: &Name| {
@@ -26,11 +27,13 @@
     machine.table().others().map(status).collect()
 }
 
+/// Returns the presence that the lease machine assumes for a member, given the membership's state of it.
 fn presence(member: &Member) -> Presence {
     let has_exited = || member.suspicions.iter().any(|suspicion| suspicion.cause == Cause::Refused);
     match member.state {
         State::Left => Presence::Left,
-        // Only a refused connection, reported by the member's own machine, proves that the process has ended.
+        // Only a refused connection proves that the process has ended, because the host at its address must
+        // run to refuse it.
         State::Dead if has_exited() => Presence::Exited,
         State::Dead => Presence::Unreachable,
         State::Suspect => Presence::Suspected,
--- a/coordination/src/store.rs
+++ b/coordination/src/store.rs
@@ -1,4 +1,4 @@
-//! Storage of a coordinator's state on disk, and tracking of the writes that the disk has confirmed.
+//! Storage of a lease machine's state on disk, and tracking of which writes have completed.
 
 use flaxhead_lease::{Application, Machine, Micros, PersistentState, PersistentStateVersion};
 use flaxhead_snapshot::{AsOf, Part, RecoveredState, Rejection, SnapshotWriter};
@@ -6,38 +6,39 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Version of the encoding of the stored bytes.
+/// Version of the encoding of the stored state; another version is rejected on loading.
 const FORMAT_VERSION: u16 = 1;
-/// Maximum time between two writes of an unchanged state, because the durations in it become outdated.
+/// Maximum age of the last write. An unchanged state is written again after it, because the durations in the
+/// state have advanced.
 const REFRESH_INTERVAL: Duration = Duration::from_secs(5);
-/// Maximum number of writes that are tracked until the disk confirms them. When full, a new write replaces
-/// the newest one.
+/// Maximum number of tracked writes that are not on disk yet. When full, a new write replaces the newest one.
 const MAX_PENDING_WRITES: usize = 16;
 
-/// State of the previous process, loaded from disk.
+/// State that the previous process of this name stored on disk.
 #[derive(Debug)]
 pub(crate) struct PreviousState<A: Application> {
-    /// Loaded state; `None`: none was stored, or it was rejected.
+    /// Loaded state; `None`: none was stored, or it could not be decoded.
     pub state: Option<PersistentState<A>>,
-    /// Age of the loaded state in microseconds.
+    /// Time since the state was stored, in microseconds; meaningless without a loaded state.
     pub age: Micros,
 }
 
-/// Write that the disk has not confirmed yet.
+/// Write that has been passed to the writer and is not known to be on disk yet.
 #[derive(Debug)]
 struct PendingWrite {
+    /// Number that the writer gave the write; numbers increase.
     number: u64,
     version: PersistentStateVersion,
 }
 
-/// Most recent write and its time.
+/// Version and time of the last write, to decide whether another is due.
 #[derive(Debug)]
 struct LastWrite {
     version: PersistentStateVersion,
     written_at: Instant,
 }
 
-/// Storage of the state of one application.
+/// Storage of the lease machine's state of one application, as one part of the process's snapshot.
 #[derive(Debug)]
 pub struct StateStore<A: Application> {
     writer: SnapshotWriter,
@@ -45,24 +46,25 @@
     previous: Option<PersistentState<A>>,
     previous_age: Micros,
     last_write: Option<LastWrite>,
-    /// Ordered from the oldest to the newest.
+    /// Writes that are not known to be on disk yet, from the oldest to the newest.
     pending_writes: VecDeque<PendingWrite>,
+    /// True if the writer rejected the last write, so that the error is logged only once.
     last_write_failed: bool,
 }
 
-/// Result of [`StateStore::open`].
+/// Store, opened by [`StateStore::open`], and the reason if the stored state was rejected.
 #[derive(Debug)]
 pub struct OpenedStore<A: Application> {
-    /// Store for the state of this process, usable even if no earlier state was loaded.
+    /// Store for the state of this process. It is usable even if no earlier state was loaded.
     pub store: StateStore<A>,
-    /// Reason why the stored state was rejected, which then counts as lost; `None`: the state was loaded, or
-    /// none was stored.
+    /// Reason why the stored state was rejected and counts as lost; `None`: it was loaded, or none was
+    /// stored.
     pub rejection: Option<Rejection>,
 }
 
 impl<A: Application> StateStore<A> {
-    /// Opens the store of the application `name` and decodes the state of the previous process, if there is
-    /// one.
+    /// Opens the store of the application `name`, and decodes the state that the previous process stored, if
+    /// `recovered` contains it.
     pub fn open(
         writer: SnapshotWriter,
         name: &'static str,
@@ -81,6 +83,7 @@
         OpenedStore { store, rejection }
     }
 
+    /// Decodes this application's part of the recovered snapshot.
     fn recover(&mut self, recovered: &mut RecoveredState) -> Result<(), Rejection> {
         let part = recovered.take(self.name, FORMAT_VERSION)?;
         match postcard::take_from_bytes::<PersistentState<A>>(&part.bytes) {
@@ -93,22 +96,23 @@
         }
     }
 
-    /// Age of the loaded state; `None`: none was loaded.
+    /// Time since the loaded state was stored; `None`: none was loaded.
     pub fn recovered_age(&self) -> Option<Duration> {
         self.previous.as_ref().map(|_| Duration::from_micros(self.previous_age))
     }
 
-    /// Takes the loaded state, so that later calls return none.
+    /// Removes and returns the state that was loaded from disk. Later calls return none.
     pub(crate) fn take_previous(&mut self) -> PreviousState<A> {
         PreviousState { state: self.previous.take(), age: self.previous_age }
     }
 
-    /// Registers a callback that another thread calls whenever the disk has confirmed a write.
+    /// Registers a callback that the writing thread calls after each write has reached the disk.
     pub(crate) fn on_write(&self, callback: impl Fn() + Send + 'static) {
         self.writer.on_write(callback);
     }
 
-    /// Writes the state that a restart would need, if it has changed or [`REFRESH_INTERVAL`] has passed.
+    /// Passes the lease machine's state to the disk writer, if it has changed since the last write or
+    /// [`REFRESH_INTERVAL`] has passed.
     pub(crate) fn save(&mut self, machine: &Machine<A>, now: Micros) {
         let Some(version) = machine.persistent_state_version() else { return };
         let is_written =
@@ -117,7 +121,7 @@
             return;
         }
         let state = machine.persistent_state(now);
-        // Encoding into memory does not fail for these types.
+        // Encoding a state into memory does not fail.
         let Ok(bytes) = postcard::to_allocvec(&state) else { return };
         let part = Part {
             name: self.name.to_owned(),
@@ -136,7 +140,8 @@
                 self.pending_writes.push_back(PendingWrite { number, version });
                 self.last_write_failed = false;
             }
-            // A state that is not stored is not confirmed to the leader either. The error is logged once.
+            // The process does not report the state to the leader as applied until a later write succeeds.
+            // The error is logged once.
             Err(error) => {
                 if !std::mem::replace(&mut self.last_write_failed, true) {
                     let name = self.name;
@@ -146,8 +151,8 @@
         }
     }
 
-    /// Takes the version of the newest state whose write the disk has confirmed since the last call; `None`:
-    /// no write was confirmed.
+    /// Returns the version of the newest state that has reached the disk since the last call; `None`: none
+    /// has.
     pub(crate) fn take_persisted(&mut self) -> Option<PersistentStateVersion> {
         let durable = self.writer.durable();
         let durable_count = self.pending_writes.iter().take_while(|write| write.number <= durable).count();
--- a/lease/rig/src/fault.rs
+++ b/lease/rig/src/fault.rs
@@ -1,20 +1,20 @@
-//! Faults that a model injects.
+//! Faults that a model checker injects into the steps of a model.
 
-/// Fault that lasts for several steps.
+/// Fault of one node that lasts for several steps.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum LastingFault {
-    /// The process is paused and keeps its memory; messages to it are queued until it resumes.
+    /// The process is paused and keeps its memory. Messages to it are queued until it resumes.
     Frozen,
-    /// The process neither receives messages nor is received from.
+    /// Messages from and to the process are lost.
     Partitioned,
-    /// The process receives no messages, but its own are delivered.
+    /// Messages to the process are lost, but its own are delivered.
     InboundBlocked,
-    /// The messages of the process are lost, but it receives those of others.
+    /// Messages from the process are lost, but it receives those of others.
     OutboundBlocked,
 }
 
 impl LastingFault {
-    /// All kinds of lasting faults.
+    /// All variants, for models that inject every lasting fault.
     pub const ALL: &[LastingFault] = &[
         LastingFault::Frozen,
         LastingFault::Partitioned,
@@ -23,39 +23,40 @@
     ];
 }
 
-/// Fault of one step. A `place` is an index into the messages of the step, in the order of their delivery.
-/// `R` describes what processes find on disk when all of them restart.
+/// Fault that occurs in one step. A `place` is the index of a message among all messages of the step, in the
+/// order of their delivery. `R` describes what the processes find on disk when all of them restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Fault<R> {
-    /// The step has no fault.
+    /// No fault occurs in the step.
     Nothing,
-    /// Loses the message at this place.
+    /// Loses the message with this index.
     Lose(usize),
-    /// Delivers the message at this place and keeps a copy.
+    /// Delivers the message with this index, and keeps a copy of it for [`Fault::DeliverDuplicate`] in a
+    /// later step.
     Duplicate(usize),
-    /// Delivers the copy that was kept.
+    /// Delivers the message copy that [`Fault::Duplicate`] kept in an earlier step.
     DeliverDuplicate,
-    /// Crashes and restarts one process.
+    /// Crashes the process of one node, which restarts at once.
     Crash {
         /// Index of the node whose process crashes.
         node: usize,
-        /// Place of the message before which the fault occurs.
+        /// Index of the message before whose delivery the fault occurs.
         place: usize,
     },
-    /// Begins a lasting fault.
+    /// Begins a lasting fault, which ends after [`crate::Bounds::lasting_steps`].
     Begin {
         /// Index of the node whose process becomes faulty.
         node: usize,
-        /// Effect of the fault on the process and its messages.
+        /// Which messages the fault affects, and whether it pauses the process.
         kind: LastingFault,
-        /// Place of the message before which the fault begins.
+        /// Index of the message before whose delivery the fault begins.
         place: usize,
     },
-    /// Crashes and restarts all processes.
+    /// Crashes the processes of all nodes, which restart at once.
     RestartAll {
-        /// Description of what the processes find on disk.
+        /// What the processes find on disk, as defined by the model.
         restart_state: R,
-        /// Place of the message before which the fault occurs.
+        /// Index of the message before whose delivery the fault occurs.
         place: usize,
     },
 }
--- a/lease/rig/src/lib.rs
+++ b/lease/rig/src/lib.rs
@@ -1,7 +1,9 @@
 //! Test support for model checking of lease applications.
 //!
-//! A model implements [`SystemModel`] for its application. This package executes the steps, which consist of
-//! timers and messages between processes, and enumerates the faults that may occur between any two messages.
+//! A model implements [`SystemModel`] for its application. It consists of *nodes*, identified by an index; on
+//! each node runs one process, which a crash replaces by a new one. A *history* is a sequence of *steps*. In
+//! each step, the timers of all nodes run and all messages are delivered, unless a fault prevents it. This
+//! package executes the steps and enumerates the faults that may occur in each.
 
 mod fault;
 mod random;
--- a/lease/rig/src/random.rs
+++ b/lease/rig/src/random.rs
@@ -1,13 +1,14 @@
-//! Deterministic replacement of a random number generator, so that each state of a model has one successor.
+//! Deterministic replacement of the random number generator, so that a state and a fault determine the next
+//! state of a model.
 
 use rand_core::RngCore;
 
-/// Generator that returns a constant. The constant differs between nodes, because candidates with equal
-/// backoffs would collide forever.
+/// Random number generator that always returns the same value. The value differs between nodes, because
+/// candidates with equal backoffs would collide forever.
 pub struct FixedRandom(u32);
 
 impl FixedRandom {
-    /// Creates the generator of a node.
+    /// Creates the generator for the node with the index `node`.
     ///
     /// # Panics
     ///
--- a/lease/rig/src/system_model.rs
+++ b/lease/rig/src/system_model.rs
@@ -5,55 +5,61 @@
 use flaxhead_lease::{Application, Message};
 use std::collections::VecDeque;
 
-/// Maximum number of messages in a step; more indicate an endless exchange of messages.
+/// Maximum number of messages in a step; more indicate that processes respond to each other endlessly.
 const MAX_MESSAGES_PER_STEP: usize = 2_000;
 
-/// Limits on the faults and the length of a history, which is a sequence of steps.
+/// Limits on the faults in a history and on its length. A history is a sequence of steps. `R` is the model's
+/// [`SystemModel::RestartState`].
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds<'a, R> {
-    /// Step at which the history begins.
+    /// [`SystemState::step`] of the state from which the history begins. Not 0 if the model starts from a
+    /// state that is already some steps old, for example with an elected leader.
     pub first_step: u8,
-    /// Maximum number of faults in a history.
+    /// Maximum number of faults in a history, without deliveries of message copies.
     pub max_faults: u8,
-    /// True if faults occur between any two messages; otherwise they occur only between steps.
+    /// True if a fault may occur before any message of a step; otherwise only before the first one, and
+    /// messages are neither lost nor duplicated.
     pub faults_between_messages: bool,
-    /// Indices of the nodes that may become faulty.
+    /// Indices of the nodes at which crashes and lasting faults may occur.
     pub faulty_nodes: &'a [usize],
-    /// Lasting faults that may occur; empty: none.
+    /// Kinds of lasting faults that may occur; empty: none.
     pub lasting_kinds: &'a [LastingFault],
-    /// Duration of a lasting fault in steps. It must exceed a lease and the quarantine of a restarted voter.
+    /// Duration of a lasting fault, in steps. It must exceed a lease and the quarantine of a restarted voter,
+    /// so that the fault has its full effect.
     pub lasting_steps: u8,
-    /// States that processes may find when all of them restart.
+    /// Disk contents that the processes may find when all of them restart; empty: they do not restart
+    /// together.
     pub restart_states: &'a [R],
-    /// Number of steps in which faults may begin.
+    /// Number of steps, from the beginning of the history, in which faults may begin.
     pub fault_steps: u8,
-    /// Number of steps after which the history ends.
+    /// Number of steps of a history. The last ones have no new faults, so that the processes can recover.
     pub steps: u8,
 }
 
-/// Result of a step.
+/// Result of executing one step.
 pub struct StepOutcome<A: Application, M> {
-    /// State after the step.
+    /// State of the model after the step.
     pub state: SystemState<A, M>,
-    /// Number of messages that were sent in the step.
+    /// Number of messages in the step, whether delivered or lost.
     pub messages: usize,
 }
 
-/// Model of several processes that run one application, as input of a model checker.
+/// Model of several nodes whose processes run one lease application, as input of a model checker.
 pub trait SystemModel {
-    /// Lease application that all processes of the model run.
+    /// Lease application that the processes of all nodes run.
     type Application: Application + Clone + std::fmt::Debug;
-    /// Model data outside the processes, such as calls in flight or the contents of disks.
+    /// Model's own data about the surroundings of the processes, such as calls in flight or the contents of
+    /// disks.
     type Environment: Clone;
-    /// Description of what the processes find on disk when all of them restart; only a model defines its
-    /// meaning.
+    /// Description of the disk contents that processes find when all of them restart. Only the model
+    /// interprets it.
     type RestartState: Copy + PartialEq;
 
-    /// Returns the limits on the faults and the length of each history.
+    /// Returns the limits on the faults in each history and on its length.
     fn bounds(&self) -> Bounds<'_, Self::RestartState>;
 
-    /// Delivers a message to a node, or with `None` runs its timers. Returns the messages that the node
-    /// sends.
+    /// Calls the lease machine of a node: with `Some`, to receive a message from the node with that index;
+    /// with `None`, to run its timers. Returns the messages that the node sends.
     fn handle_event(
         &self,
         state: &mut SystemState<Self::Application, Self::Environment>,
@@ -61,24 +67,25 @@
         message: Option<(usize, Message<Self::Application>)>,
     ) -> Vec<Envelope<Self::Application>>;
 
-    /// Replaces the process of a node by a restarted one.
+    /// Replaces the process of a node by a restarted one. The model decides what it finds on disk.
     fn crash(&self, state: &mut SystemState<Self::Application, Self::Environment>, node: usize);
 
-    /// Replaces the processes of all nodes by restarted ones.
+    /// Replaces the processes of all nodes by restarted ones, which find `restart_state` on disk.
     fn restart_all(
         &self,
         state: &mut SystemState<Self::Application, Self::Environment>,
         restart_state: Self::RestartState,
     );
 
-    /// Called when a node is no longer frozen, before its timers run and before the queued messages are
-    /// delivered.
+    /// Called when a node is no longer frozen, before its timers run and before it receives the messages that
+    /// were queued.
     fn resume(&self, state: &mut SystemState<Self::Application, Self::Environment>, node: usize);
 
-    /// Called at the beginning of each step.
+    /// Called at the beginning of each step, before any other action.
     fn begin_step(&self, _: &mut SystemState<Self::Application, Self::Environment>) {}
 
-    /// Runs the timers of a node, once in each step. Returns the messages that the node sends.
+    /// Runs the timers of a node, once in each step unless it is frozen. A model may override this to do
+    /// more, such as writing the node's data to disk. Returns the messages that the node sends.
     fn tick(
         &self,
         state: &mut SystemState<Self::Application, Self::Environment>,
@@ -87,15 +94,16 @@
         self.handle_event(state, node, None)
     }
 
-    /// Called after the timers of all nodes have run, before any message is delivered.
+    /// Called in each step after the timers of all nodes have run, before any message is delivered.
     fn after_ticks(&self, _: &mut SystemState<Self::Application, Self::Environment>) {}
 
-    /// Returns whether the messages of a node reach the others.
+    /// Returns whether messages from a node are delivered. A model may override this to silence a node
+    /// permanently.
     fn can_send(&self, state: &SystemState<Self::Application, Self::Environment>, node: usize) -> bool {
         state.can_send(node)
     }
 
-    /// Executes a step with this fault.
+    /// Executes one step from `state`, in which `fault` occurs.
     fn run_step(
         &self,
         state: &SystemState<Self::Application, Self::Environment>,
@@ -125,7 +133,7 @@
                 "too many messages in one step; the last one is {:?}",
                 envelope.message
             );
-            // A crash loses only the messages that the process has not sent yet.
+            // A crash of the sender before this delivery does not lose the message, which was sent before.
             if fault != Fault::Lose(place) {
                 in_transit.extend(self.deliver(&mut state, envelope));
             }
@@ -134,7 +142,8 @@
         StepOutcome { state, messages: place }
     }
 
-    /// Counts down the lasting fault. Returns the queued messages of a node that is no longer frozen.
+    /// Shortens the active lasting fault by one step, and ends it when its time is over. Returns the messages
+    /// that were queued if the node was frozen until now.
     fn end_lasting_fault(
         &self,
         state: &mut SystemState<Self::Application, Self::Environment>,
@@ -155,7 +164,7 @@
         queued.into_iter().map(envelope).collect()
     }
 
-    /// Applies the fault of the step if its place is `at`.
+    /// Applies `fault` if it occurs before the message with the index `at`. `next` is that message.
     fn inject_fault(
         &self,
         state: &mut SystemState<Self::Application, Self::Environment>,
@@ -177,7 +186,8 @@
         }
     }
 
-    /// Delivers a message unless a lasting fault prevents it. Returns the messages that the receiver sends.
+    /// Delivers a message, loses it to the active fault, or queues it for a frozen node. Returns the messages
+    /// that the receiver sends.
     fn deliver(
         &self,
         state: &mut SystemState<Self::Application, Self::Environment>,
@@ -194,7 +204,8 @@
         self.handle_event(state, to, Some((from, message)))
     }
 
-    /// Appends all faults that may occur in the next step, including [`Fault::Nothing`].
+    /// Appends all faults that may occur in the next step after `state`, including [`Fault::Nothing`];
+    /// nothing if the history ends here.
     fn list_faults(
         &self,
         state: &SystemState<Self::Application, Self::Environment>,
@@ -223,7 +234,7 @@
     }
 }
 
-/// Appends the faults that may occur before the message at this place.
+/// Appends the faults that may occur before the message with the index `place`.
 fn list_faults_at<A: Application, M, R: Copy>(
     place: usize,
     state: &SystemState<A, M>,
--- a/lease/rig/src/system_state.rs
+++ b/lease/rig/src/system_state.rs
@@ -1,65 +1,67 @@
-//! State of a model: processes, faults, and messages that are kept for later.
+//! State of a model: its processes, the active fault, and the messages that are kept for later steps.
 
 use crate::fault::LastingFault;
 use flaxhead_lease::{Application, Effect, Machine, MemberStatus, Message, Name, Presence};
 use std::collections::BTreeMap;
 
-/// Message in transit.
+/// Message in transit between two nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Envelope<A: Application> {
     /// Index of the sending node.
     pub from: usize,
     /// Index of the receiving node.
     pub to: usize,
-    /// Message that one process sent to another.
+    /// Message of the lease protocol.
     pub message: Message<A>,
 }
 
-/// Message that is queued for a frozen node.
+/// Message to the frozen node, which is delivered when the node resumes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct QueuedMessage<A: Application> {
     /// Index of the sending node.
     pub from: usize,
-    /// Message that one process sent to another.
+    /// Message of the lease protocol.
     pub message: Message<A>,
 }
 
-/// Lasting fault in progress.
+/// Lasting fault in progress at one node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ActiveFault {
     /// Index of the faulty node in [`SystemState::nodes`].
     pub node: usize,
-    /// Effect of the fault on the process and its messages.
+    /// Which messages the fault affects, and whether it pauses the process.
     pub kind: LastingFault,
-    /// Remaining duration in steps.
+    /// Remaining duration of the fault, in steps.
     pub steps_left: u8,
 }
 
-/// State of a model between two steps. `M` is the type of the model data outside the processes.
+/// State of a model between two steps. `M` is the type of the model's own data about the surroundings of the
+/// processes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct SystemState<A: Application, M> {
-    /// Number of executed steps.
+    /// Number of steps executed so far.
     pub step: u8,
-    /// Processes by node index; the voters come first.
+    /// Lease machines by node index; those of the voters come first.
     pub nodes: Vec<Machine<A>>,
-    /// Lasting fault in progress, if any.
+    /// Lasting fault in progress; `None`: none is.
     pub active_fault: Option<ActiveFault>,
-    /// Messages that are queued for the frozen node.
+    /// Messages to the frozen node, in the order of their arrival.
     pub queued: Vec<QueuedMessage<A>>,
-    /// Copy of a message that may be delivered again.
+    /// Copy of a message that [`crate::Fault::Duplicate`] kept, to be delivered again.
     pub duplicate: Option<Envelope<A>>,
-    /// Number of faults so far.
+    /// Number of faults injected so far.
     pub faults: u8,
-    /// Number of process starts so far, from which models derive incarnations.
+    /// Number of processes started so far, from which models derive incarnations.
     pub process_starts: u64,
-    /// First violated invariant; `None`: none was violated.
+    /// Name of the first invariant that was violated; `None`: none was.
     pub violation: Option<&'static str>,
-    /// Model data outside the processes, such as calls in flight or the contents of disks.
+    /// Model's own data about the surroundings of the processes, such as calls in flight or the contents of
+    /// disks.
     pub environment: M,
 }
 
 impl<A: Application, M> SystemState<A, M> {
-    /// Creates a state without processes.
+    /// Creates the state before the first step, without nodes, faults and messages.
     pub fn new(environment: M) -> SystemState<A, M> {
         SystemState {
             step: 0,
@@ -74,33 +76,35 @@
         }
     }
 
+    /// Returns whether the active fault is at `node` and one of `kinds`.
     fn has_fault(&self, node: usize, kinds: &[LastingFault]) -> bool {
         self.active_fault.is_some_and(|fault| fault.node == node && kinds.contains(&fault.kind))
     }
 
-    /// Returns whether messages to a node are delivered.
+    /// Returns whether messages to the node are delivered, or queued while it is frozen.
     pub fn can_receive(&self, node: usize) -> bool {
         !self.has_fault(node, &[LastingFault::Partitioned, LastingFault::InboundBlocked])
     }
 
-    /// Returns whether the messages of a node are delivered.
+    /// Returns whether messages from the node are delivered.
     pub fn can_send(&self, node: usize) -> bool {
         !self.has_fault(node, &[LastingFault::Partitioned, LastingFault::OutboundBlocked])
     }
 
-    /// Returns whether the process of a node is frozen: it is paused, keeps its memory, and messages to it
+    /// Returns whether the process of the node is frozen: it is paused, keeps its memory, and messages to it
     /// are queued.
     pub fn is_frozen(&self, node: usize) -> bool {
         self.has_fault(node, &[LastingFault::Frozen])
     }
 
-    /// Returns whether the membership of node `of` currently receives nothing from `node`, because one of
-    /// them is faulty.
+    /// Returns whether node `of` currently hears nothing from `node` in the membership, because the active
+    /// fault is at one of the two.
     pub fn is_unheard(&self, of: usize, node: usize) -> bool {
         self.active_fault.is_some_and(|fault| fault.node == node || fault.node == of)
     }
 
-    /// Returns the member list of node `of`, with the presence that `presence` gives for each other node.
+    /// Returns the members other than node `of`, as its lease machine sees them. `presence` gives the
+    /// presence of each by node index.
     pub fn member_statuses(
         &self,
         of: usize,
@@ -119,7 +123,8 @@
         (0..self.nodes.len()).filter(|node| *node != of).map(member).collect()
     }
 
-    /// Extracts the messages from a node's effects.
+    /// Returns the messages among `effects`, which the node `from` has produced. Messages to unknown names
+    /// are dropped.
     pub fn sent_messages(&self, from: usize, effects: Vec<Effect<A>>) -> Vec<Envelope<A>> {
         let node_of = |name: &Name| (0..self.nodes.len()).find(|node| self.nodes[*node].me().name == *name);
         let envelope = |effect| match effect {
