--- a/lease/rig/src/fault.rs
+++ b/lease/rig/src/fault.rs
@@ -47,14 +47,14 @@
     Begin {
         /// Index of the node whose process becomes faulty.
         node: usize,
-        /// Which messages the fault affects, and whether it pauses the process.
+        /// Kind of the fault: the messages that it affects, and whether it pauses the process.
         kind: LastingFault,
         /// Index of the message before whose delivery the fault begins.
         place: usize,
     },
     /// Crashes the processes of all nodes, which restart at once.
     RestartAll {
-        /// What the processes find on disk, as defined by the model.
+        /// Disk contents that the processes find, as defined by the model.
         restart_state: R,
         /// Index of the message before whose delivery the fault occurs.
         place: usize,
--- a/lease/rig/src/system_model.rs
+++ b/lease/rig/src/system_model.rs
@@ -25,7 +25,7 @@
     /// Kinds of lasting faults that may occur; empty: none.
     pub lasting_kinds: &'a [LastingFault],
     /// Duration of a lasting fault, in steps. It must exceed a lease and the quarantine of a restarted voter,
-    /// so that the fault has its full effect.
+    /// so that leases expire and voters recover during the fault.
     pub lasting_steps: u8,
     /// Disk contents that the processes may find when all of them restart; empty: they do not restart
     /// together.
--- a/lease/rig/src/system_state.rs
+++ b/lease/rig/src/system_state.rs
@@ -29,7 +29,7 @@
 pub struct ActiveFault {
     /// Index of the faulty node in [`SystemState::nodes`].
     pub node: usize,
-    /// Which messages the fault affects, and whether it pauses the process.
+    /// Kind of the fault: the messages that it affects, and whether it pauses the process.
     pub kind: LastingFault,
     /// Remaining duration of the fault, in steps.
     pub steps_left: u8,
--- a/lease/src/machine/schedule.rs
+++ b/lease/src/machine/schedule.rs
@@ -6,7 +6,7 @@
 use flaxhead_membership::Micros;
 
 impl<A: Application> Machine<A> {
-    /// Time at which the driver must call [`Machine::tick`] next, unless another event makes it earlier.
+    /// Time at which the driver must call [`Machine::tick`] next. Each call of the machine may change it.
     pub fn next_wake(&self) -> Micros {
         let voter = self.voter.as_ref().map_or(Micros::MAX, Voter::next_wake);
         let is_candidate = self.voter.is_some() && self.leader.is_none();
--- a/lease/src/machine/state.rs
+++ b/lease/src/machine/state.rs
@@ -22,8 +22,8 @@
 
 /// Data that the driver passes to the machine in each call.
 pub struct Context<'a, F> {
-    /// Current time in microseconds, by the machine's monotonic clock. The clock may start at any time before
-    /// the process.
+    /// Current time in microseconds, by the monotonic clock that also gave the start time in
+    /// [`Machine::new`].
     pub now: Micros,
     /// Membership, and the data from outside that the application uses.
     pub facts: &'a Facts<F>,
@@ -150,12 +150,12 @@
         &self.config
     }
 
-    /// This process's value of the application.
+    /// Value of the application in this process.
     pub fn application(&self) -> &A {
         &self.application
     }
 
-    /// This process's value of the application, into which the driver may put data of the process.
+    /// Value of the application in this process, into which the driver may put data of the process.
     pub fn application_mut(&mut self) -> &mut A {
         &mut self.application
     }
@@ -203,7 +203,7 @@
         }
     }
 
-    /// Leader that this process learned of within the last lease duration; `None`: it knows none.
+    /// Leader that this process last learned of, if within the last lease duration; `None`: it knows none.
     pub(super) fn current_leader(&self, now: Micros) -> Option<Name> {
         let is_fresh =
             |leader: &&KnownLeader| now.saturating_sub(leader.heard_at) <= self.config.lease_duration;
--- a/lease/src/message.rs
+++ b/lease/src/message.rs
@@ -207,7 +207,7 @@
     },
     /// Response to `Renew`: the leader grants a lease to the process.
     Granted(Box<LeaseGrant<T>>),
-    /// Query of a process that waits for admission to any other process.
+    /// Query to any other process, from a process that waits for admission.
     RecoveryQuery(RecoveryQuery),
     /// Reply to `RecoveryQuery`, with what the sender knows of the leader, the voters and the state.
     RecoveryReply(Box<RecoveryReply<T>>),
--- a/lease/src/types.rs
+++ b/lease/src/types.rs
@@ -7,7 +7,7 @@
 use std::fmt::Debug;
 use std::hash::Hash;
 
-/// Value that a message may contain, because it can be encoded, compared and copied.
+/// Value that can be sent in a message: it can be encoded, decoded, compared and copied.
 pub trait Payload: Clone + Debug + Eq + Hash + Serialize + DeserializeOwned {}
 
 impl<T: Clone + Debug + Eq + Hash + Serialize + DeserializeOwned> Payload for T {}
