--- a/coordination/src/participant.rs
+++ b/coordination/src/participant.rs
@@ -1,4 +1,5 @@
-//! Interface between a coordinator and the part of the process that its application concerns.
+//! Callbacks by which a coordinator exchanges data with the rest of its process, and the clock of its lease
+//! machine.
 
 use flaxhead_lease::{Application, Ballot, Machine, Micros};
 use std::time::Duration;
--- a/coordination/src/store.rs
+++ b/coordination/src/store.rs
@@ -52,7 +52,7 @@
     last_write_failed: bool,
 }
 
-/// Store, opened by [`StateStore::open`], and the reason if the stored state was rejected.
+/// Result of [`StateStore::open`], which returns a store even if it rejects the stored state.
 #[derive(Debug)]
 pub struct OpenedStore<A: Application> {
     /// Store for the state of this process. It is usable even if no earlier state was loaded.
@@ -126,7 +126,7 @@
         let part = Part {
             name: self.name.to_owned(),
             version: FORMAT_VERSION,
-            ballot: state.highest_ballot.as_ref().map_or(0, |fence| fence.round),
+            ballot: state.highest_ballot.as_ref().map_or(0, |ballot| ballot.round),
             incarnation: machine.me().incarnation,
             age_ms: 0,
             bytes,
--- a/lease/rig/src/system_state.rs
+++ b/lease/rig/src/system_state.rs
@@ -31,7 +31,7 @@
     pub node: usize,
     /// Kind of the fault: the messages that it affects, and whether it pauses the process.
     pub kind: LastingFault,
-    /// Remaining duration of the fault, in steps.
+    /// Number of steps until the fault ends. The start of each step decrements it, and 0 ends the fault.
     pub steps_left: u8,
 }
 
--- a/lease/src/admission/reason.rs
+++ b/lease/src/admission/reason.rs
@@ -29,8 +29,8 @@
     /// The process serves without admission and without the state, because a majority of voters has lost it
     /// and no process that has it is known.
     StateLost,
-    /// The process serves without admission and without the state, because it has not received the complete
-    /// state of any process within [`crate::Config::autonomy_timeout`].
+    /// The process serves without admission and without the state, because no other process has sent it the
+    /// complete replicated state within [`crate::Config::autonomy_timeout`].
     NoReply,
 }
 
--- a/lease/src/application.rs
+++ b/lease/src/application.rs
@@ -36,7 +36,8 @@
     pub grant: T::Grant,
 }
 
-/// Logic and data that the proxies run in agreement, such as the drains of hosts or the quotas of tenants.
+/// Function that the client proxies perform in coordination, by a replicated state or by grants from their
+/// leader, such as the drains of hosts or the quotas of tenants.
 ///
 /// An implementation defines the replicated state, the reports of processes, the leader's grants, and the
 /// commands of operators. Every process has one value of the implementing type. The leader additionally has
--- a/lease/src/leader/roster.rs
+++ b/lease/src/leader/roster.rs
@@ -103,8 +103,9 @@
     /// Returns whether `process` has ended, according to the membership's record `member` of its name.
     fn has_ended(&self, now: Micros, config: &Config, process: &Process, member: &MemberStatus) -> bool {
         if member.incarnation != process.incarnation {
-            // `member` is another process with the same name and address, where only one of them can listen.
-            // The membership may not know yet which is the later one, but the ended one no longer reports.
+            // `member` is another process of the same name. With the same address, only one of the two can be
+            // running, since both listen there. The membership's record may still be that of the earlier one,
+            // so `process` counts as ended only if its reports to this leader are also overdue.
             return member.address == process.address
                 && member.presence == Presence::Alive
                 && self.is_report_overdue(now, config, process);
--- a/lease/src/machine/state.rs
+++ b/lease/src/machine/state.rs
@@ -181,7 +181,7 @@
         self.leader.as_ref().map(|leader| &leader.state).filter(|state| state.is_leading(now))
     }
 
-    /// Stage of this process's admission.
+    /// Status that decides whether this process may serve: it waits, was admitted, or is autonomous.
     pub fn admission_status(&self) -> AdmissionStatus {
         self.replica.admission_status()
     }
@@ -286,7 +286,7 @@
     }
 }
 
-/// Random duration below `bound` in microseconds; a `bound` above 32 bits is reduced to 32 bits.
+/// Random duration below `bound`, in microseconds. A `bound` above [`u32::MAX`] counts as [`u32::MAX`].
 pub(super) fn random_below<F>(context: &mut Context<'_, F>, bound: Micros) -> Micros {
     (u64::from(context.random.next_u32()) * bound.min(u64::from(u32::MAX))) >> u32::BITS
 }
