--- a/lease/rig/src/fault.rs
+++ b/lease/rig/src/fault.rs
@@ -1,20 +1,20 @@
-//! What goes wrong in a step.
+//! Faults that a model checker injects into the steps of a model.
 
-/// A fault that lasts for several steps.
+/// Fault of one node that lasts for several steps.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum LastingFault {
-    /// The process is stopped; all that is sent to it waits.
+    /// The process is paused and keeps its memory. Messages to it are queued until it resumes.
     Frozen,
-    /// The process neither can_receive nor is received from.
+    /// Messages from and to the process are lost.
     Partitioned,
-    /// The process can_receive nothing.
+    /// Messages to the process are lost, but its own are delivered.
     InboundBlocked,
-    /// Nobody can_receive what the process sends.
+    /// Messages from the process are lost, but it receives those of others.
     OutboundBlocked,
 }
 
 impl LastingFault {
-    /// All kinds.
+    /// All variants, for models that inject every lasting fault.
     pub const ALL: &[LastingFault] = &[
         LastingFault::Frozen,
         LastingFault::Partitioned,
@@ -23,38 +23,40 @@
     ];
 }
 
-/// What goes wrong in one step. Places count the messages of the step. `R`: what a restart of all processes finds.
+/// Fault that occurs in one step. A `place` is the index of a message among all messages of the step, in the
+/// order of their delivery. `R` describes what the processes find on disk when all of them restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Fault<R> {
-    /// Nothing goes wrong.
+    /// No fault occurs in the step.
     Nothing,
-    /// The message at this place is lost.
+    /// Loses the message with this index.
     Lose(usize),
-    /// The message at this place is delivered, and a copy is kept.
+    /// Delivers the message with this index, and keeps a copy of it for [`Fault::DeliverDuplicate`] in a
+    /// later step.
     Duplicate(usize),
-    /// The copy that was kept is delivered.
+    /// Delivers the message copy that [`Fault::Duplicate`] kept in an earlier step.
     DeliverDuplicate,
-    /// A process crashes and restarts.
+    /// Crashes the process of one node, which restarts at once.
     Crash {
-        /// The process.
+        /// Index of the node whose process crashes.
         node: usize,
-        /// Before the message at this place.
+        /// Index of the message before whose delivery the fault occurs.
         place: usize,
     },
-    /// A lasting fault begins.
+    /// Begins a lasting fault, which ends after [`crate::Bounds::lasting_steps`].
     Begin {
-        /// The process that it strikes.
+        /// Index of the node whose process becomes faulty.
         node: usize,
-        /// Its kind.
+        /// Kind of the fault: the messages that it affects, and whether it pauses the process.
         kind: LastingFault,
-        /// Before the message at this place.
+        /// Index of the message before whose delivery the fault begins.
         place: usize,
     },
-    /// All processes crash and restart.
+    /// Crashes the processes of all nodes, which restart at once.
     RestartAll {
-        /// What they find.
+        /// Disk contents that the processes find, as defined by the model.
         restart_state: R,
-        /// Before the message at this place.
+        /// Index of the message before whose delivery the fault occurs.
         place: usize,
     },
 }
--- a/lease/src/leader/context.rs
+++ b/lease/src/leader/context.rs
@@ -1,4 +1,4 @@
-//! What an application sees of the leader, and may do there.
+//! Interface through which an application reads the leader's records and changes the replicated state.
 
 use super::peer::PeerState;
 use super::state::LeaderState;
@@ -10,87 +10,94 @@
 use crate::voters::Voters;
 use flaxhead_membership::Micros;
 
-/// The leader, as its application finds it with everything that happens there.
+/// Access of an application to the leader, passed to those methods of [`crate::Application`] that run only
+/// there.
 pub struct LeaderContext<'a, T: ApplicationTypes> {
     pub(crate) leader: &'a mut LeaderState<T>,
     pub(crate) voters: &'a Voters,
-    /// The time.
+    /// Current time in microseconds, by the leader's clock.
     pub now: Micros,
-    /// The time spans of the protocol.
+    /// Time limits with which the leader is configured.
     pub config: &'a Config,
-    /// What is known from outside the protocol.
+    /// Membership as known to the leader, and the application's data from outside the protocol.
     pub facts: &'a Facts<T::Facts>,
-    /// The leader's process.
+    /// Name, incarnation and address of the leader.
     pub me: &'a Process,
 }
 
 impl<T: ApplicationTypes> LeaderContext<'_, T> {
-    /// The leader's ballot.
+    /// Ballot under which the leader was elected.
     pub fn ballot(&self) -> &Ballot {
         &self.leader.ballot
     }
 
-    /// The replicated state, its spans as they are now.
+    /// Replicated state of the application, with its durations advanced to the current time.
     pub fn state(&self) -> &T::State {
         &self.leader.state.state
     }
 
-    /// The replicated state, to be changed. A change is replicated once [`LeaderContext::publish`] is called.
+    /// Replicated state of the application, for modification. [`LeaderContext::publish`] must be called after
+    /// a change.
     pub fn state_mut(&mut self) -> &mut T::State {
         &mut self.leader.state.state
     }
 
-    /// This leader's count of its state's versions.
+    /// Sequence number of the current state, which increases with each [`LeaderContext::publish`].
     pub fn state_seq(&self) -> u64 {
         self.leader.state.version.seq
     }
 
-    /// Replicates the state, which has changed, under a new version.
+    /// Assigns the next sequence number to the changed state, so that the leader replicates it to all
+    /// processes.
     pub fn publish(&mut self) {
         self.leader.publish();
     }
 
-    /// All processes that may hold a lease, and what is known of each.
+    /// Processes on the roster, which may hold a lease, with the leader's records of each.
     pub fn processes(&self) -> impl Iterator<Item = (&Process, &PeerState<T>)> {
         self.leader.processes()
     }
 
-    /// What is known of a process; `None`: it is not on the roster.
+    /// Leader's records of a process; `None`: it is not on the roster.
     pub fn peer(&self, process: &Process) -> Option<&PeerState<T>> {
         self.leader.peers.get(process)
     }
 
-    /// Whether a process reported to this leader within the duration of a lease.
+    /// Returns whether the process reported to this leader within the last lease duration.
     pub fn heard_recently(&self, peer: &PeerState<T>) -> bool {
         peer.heard_recently(self.now, self.config)
     }
 
-    /// Whether a process has applied this leader's state of this count, or a later one.
+    /// Returns whether the process has applied this leader's state with the sequence number `seq` or later.
     pub fn has_applied(&self, peer: &PeerState<T>, seq: u64) -> bool {
         peer.has_applied(&self.leader.ballot, seq)
     }
 
-    /// Whether a majority of voters has applied the state of this count: whoever leads next knows it.
+    /// Returns whether a majority of voters has applied this leader's state with the sequence number `seq` or
+    /// later, so that any later leader knows its changes.
     pub fn is_committed(&self, seq: u64) -> bool {
         self.leader.is_committed(self.now, self.config, self.voters, seq)
     }
 
-    /// Since when it is not known for certain who takes part and what the state is; `None`: it is known.
+    /// Time at which the leader was elected without a majority of recovered voters, so that its roster and
+    /// state may lack committed changes; `None`: both count as complete.
     pub fn state_lost_since(&self) -> Option<Micros> {
         self.leader.state_lost_since
     }
 
-    /// Declares that the state is complete. Returns whether it was not known to be before.
+    /// Makes the leader treat its roster and state as complete, for example because operators have restored
+    /// the state and declared it complete. Returns whether they were treated as incomplete before.
     pub fn declare_recovered(&mut self) -> bool {
         self.leader.state_lost_since.take().is_some()
     }
 
-    /// Removes a process that does not run any more from the roster. The application is told as of any other that leaves.
+    /// Removes a process that has ended from the roster. [`crate::Application::process_left`] is then called
+    /// for it.
     pub fn remove_process(&mut self, process: &Process) {
         self.leader.remove_process(process);
     }
 
-    /// Records an event for the audit trail.
+    /// Records an event for the audit trail and the log; the driver receives it as [`crate::Effect::Event`].
     pub fn record_event(&mut self, event: T::Event) {
         self.leader.events.push(event);
     }
--- a/lease/src/leader/voter_record.rs
+++ b/lease/src/leader/voter_record.rs
@@ -1,11 +1,12 @@
-//! What the leader knows of a voter.
+//! Record of the leader about one voter.
 
 use flaxhead_membership::Micros;
 
-/// What a voter stores, by its last acceptance.
+/// Last acceptance of a proposal by a voter.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct VoterRecord {
+    /// Time at which the leader received the acceptance.
     pub(super) accepted_at: Micros,
-    /// The count of this leader's roster that it stores; 0: none of it.
+    /// Sequence number of this leader's roster that the voter stores; 0: it stores none of this leader.
     pub(super) roster_seq: u64,
 }
--- a/lease/src/machine/commands.rs
+++ b/lease/src/machine/commands.rs
@@ -1,18 +1,19 @@
-//! The leader's steps, and the commands of operators.
+//! Work of the leader after each event, and forwarding of operators' commands to the leader.
 
 use super::pending_command::PendingCommand;
 use super::state::{Context, Effect, Machine};
 use crate::application::Application;
 use crate::command_error::CommandError;
-use crate::leader::{Audience, CommittedResponse};
+use crate::leader::{CommittedResponse, ReceiverSet};
 use crate::message::Message;
 use flaxhead_membership::{Micros, Name};
 
-/// Maximum number of commands that wait at one process to be forwarded, or for their response.
+/// Maximum number of commands without a result that were submitted at one process.
 const MAX_PENDING_COMMANDS: usize = 64;
 
 impl<A: Application> Machine<A> {
-    /// An operator submits a command here; an [`Effect::CommandCompleted`] follows within `timeout`.
+    /// Submits an operator's command at this process. An [`Effect::CommandCompleted`] with `id` follows
+    /// within `timeout` microseconds.
     pub fn submit(
         &mut self,
         context: &mut Context<'_, A::Facts>,
@@ -30,29 +31,30 @@
         self.tick(context, effects);
     }
 
-    /// When a pending command is next sent or fails.
+    /// Time at which the next pending command is sent again or times out; `Micros::MAX`: none is pending.
     pub(super) fn next_command_wake(&self) -> Micros {
         let wakes = self.pending_commands.iter().map(|pending| pending.resend_at.min(pending.deadline));
         wakes.min().unwrap_or(Micros::MAX)
     }
 
-    /// As the leader: does what can be done, and sends out what has changed.
-    pub(super) fn lead(&mut self, context: &mut Context<'_, A::Facts>, effects: &mut Vec<Effect<A>>) {
+    /// Runs the application if this process is the leader, and sends a changed state to the other processes.
+    pub(super) fn run_leader(&mut self, context: &mut Context<'_, A::Facts>, effects: &mut Vec<Effect<A>>) {
         let now = context.now;
-        let Some((leader, environment)) = self.leader_with_environment(now, context.facts) else { return };
-        let has_changed = leader.step(&environment);
+        let Some((leader, input)) = self.leader_with_input(now, context.facts) else { return };
+        let has_changed = leader.step(&input);
         effects.extend(leader.state.take_events().into_iter().map(Effect::Event));
         let state = leader.state.state.clone();
-        if has_changed || state.version > self.member.state.version {
+        if has_changed || state.version > self.replica.state.version {
             self.apply(now, state);
-            self.disseminate(now, Audience::Everyone, effects);
-            // Its own confirmation is one of those that the state waits for.
+            self.disseminate(now, ReceiverSet::All, effects);
+            // The leader confirms the state to itself like any process, so that it counts in the majority.
             return self.renew(context, effects);
         }
-        self.disseminate(now, Audience::Unconfirmed, effects);
+        self.disseminate(now, ReceiverSet::Unconfirmed, effects);
         self.send_committed_responses(now, effects);
     }
 
+    /// Sends the responses to commands whose effects are now committed.
     fn send_committed_responses(&mut self, now: Micros, effects: &mut Vec<Effect<A>>) {
         let Some(leader) = self.leader.as_mut() else { return };
         let committed = leader.state.take_committed(now, &self.config, &self.voters);
@@ -65,7 +67,8 @@
         }
     }
 
-    /// A command that was submitted at another process comes to this one as the leader.
+    /// Executes a command that the process `from` forwarded to this leader. A rejection is sent at once, the
+    /// response after the commit.
     pub(super) fn handle_command(
         &mut self,
         context: &mut Context<'_, A::Facts>,
@@ -78,9 +81,11 @@
         if let Err(rejection) = executed {
             self.send(from, Message::CommandResponse { id, result: Err(rejection) }, effects);
         }
-        self.lead(context, effects);
+        self.run_leader(context, effects);
     }
 
+    /// Passes a command to the application; an error if this process is not the leader or the application
+    /// rejects it.
     fn execute_command(
         &mut self,
         context: &mut Context<'_, A::Facts>,
@@ -92,13 +97,13 @@
         if self.leading_ballot(now).is_none() {
             return Err(CommandError::NoLeader.into());
         }
-        match self.leader_with_environment(now, context.facts) {
-            Some((leader, environment)) => leader.execute(&environment, from.clone(), id, command),
+        match self.leader_with_input(now, context.facts) {
+            Some((leader, input)) => leader.execute(&input, from.clone(), id, command),
             None => Err(CommandError::NoLeader.into()),
         }
     }
 
-    /// Sends the commands that were submitted here to the leader, again and again until they are answered.
+    /// Sends the pending commands of this process to the leader, again at intervals until they complete.
     pub(super) fn forward_commands(
         &mut self,
         context: &mut Context<'_, A::Facts>,
@@ -130,6 +135,7 @@
         }
     }
 
+    /// Completes the pending commands past their deadline with `error`.
     fn fail_overdue_commands(&mut self, now: Micros, error: CommandError, effects: &mut Vec<Effect<A>>) {
         let is_overdue = |pending: &PendingCommand<A::Command>| now >= pending.deadline;
         let overdue = self.pending_commands.iter().filter(|pending| is_overdue(pending));
@@ -139,7 +145,7 @@
         self.pending_commands.retain(|pending| !is_overdue(pending));
     }
 
-    /// Executes a command that was submitted at the leader itself.
+    /// Executes a command that was submitted at this process, which is the leader.
     fn execute_own_command(
         &mut self,
         context: &mut Context<'_, A::Facts>,
@@ -152,12 +158,12 @@
             Err(rejection) if rejection != CommandError::NoLeader.into() => {
                 self.complete_command(id, Err(rejection), effects);
             }
-            Ok(()) | Err(_) => self.lead(context, effects),
+            Ok(()) | Err(_) => self.run_leader(context, effects),
         }
     }
 
-    /// Gives the operator the result of a command that was submitted here. Where there was no leader, the command stays
-    /// pending: another process may lead by now, and is asked next.
+    /// Reports the result of a command that was submitted at this process. If the process that received it
+    /// was not the leader, the command stays pending and is sent to the next known leader.
     pub(super) fn complete_command(
         &mut self,
         id: u64,
--- a/lease/src/message.rs
+++ b/lease/src/message.rs
@@ -1,6 +1,6 @@
-//! The messages between processes. How they are encoded is up to the driver.
+//! Messages between the machines of one application in different processes.
 //!
-//! The driver encodes by position: neither the order of variants nor that of fields may change.
+//! The driver encodes them by position, so the order of variants and fields must not change.
 
 use crate::admission::RecoveryStatus;
 use crate::ballot::{Ballot, Version, Versioned};
@@ -11,223 +11,232 @@
 use flaxhead_membership::{Micros, Name};
 use serde::{Deserialize, Serialize};
 
-/// Maximum encoded size of a roster: some thousand processes.
+/// Maximum encoded size of a roster, in bytes; enough for several thousand processes.
 const MAX_ROSTER_BYTES: usize = 1 << 17;
-/// Maximum encoded size of everything else in a message: numbers, a process, two ballots.
+/// Maximum encoded size of everything in a message but the roster and the application's data, in bytes:
+/// numbers, a process, two ballots.
 const MAX_HEADER_BYTES: usize = 1 << 9;
 
-/// A voter's promise to accept no lower ballot, with what it knows.
+/// Promise of a voter to accept no ballot lower than `ballot`, with the data that the voter stores.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(bound = "")]
 pub struct Promise<T: ApplicationTypes> {
-    /// The candidate's ballot.
+    /// Ballot of the candidate that requested the promise.
     pub ballot: Ballot,
-    /// The voter's incarnation.
+    /// Incarnation of the promising voter. A proposal to it must repeat this number.
     pub incarnation: u64,
-    /// How far the voter has recovered.
+    /// Progress of the voter's recovery after its restart.
     pub recovery: RecoveryState,
-    /// The roster that it stores.
+    /// Roster that the voter stores.
     pub roster: Roster,
-    /// The state that it has applied.
+    /// State that the voter has applied.
     pub state: Versioned<T::State>,
 }
 
-/// A voter's refusal to promise or to accept.
+/// Refusal of a voter to promise or to accept a ballot, because it has promised a higher one or has granted
+/// another leader a lease that is still valid.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Denial {
-    /// The ballot that is denied.
+    /// Ballot that the voter refuses.
     pub ballot: Ballot,
-    /// The highest ballot that the voter has promised.
+    /// Highest ballot that the voter has promised; `None`: none.
     pub promised: Option<Ballot>,
-    /// For how long another's lease still runs at this voter.
+    /// Remaining time of the lease that the voter has granted to another leader, in microseconds; 0: none is
+    /// valid.
     pub lease_left: Micros,
 }
 
-/// The request to a voter that has promised: grant the lease, or prolong it.
+/// Request to a voter that has promised, to grant the leader's lease to the sender or to extend it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Proposal {
-    /// The candidate's or leader's ballot.
+    /// Ballot of the sender, which is a candidate or the leader.
     pub ballot: Ballot,
-    /// The renewal round that it belongs to.
+    /// Number of the leader's renewal round. The election is the first.
     pub round: u64,
-    /// The incarnation of the voter that promised: another one knows nothing of that.
+    /// Incarnation of the voter when it promised. A voter that has restarted since has lost the promise and
+    /// ignores the proposal.
     pub incarnation: u64,
-    /// The leader knows for certain who may hold a lease.
+    /// True if the leader's roster contains every process that may hold a lease, and its state is complete. A
+    /// voter that accepts the proposal becomes [`RecoveryState::Recovered`].
     pub is_recovered: bool,
-    /// The processes that may hold a lease.
+    /// Roster for the voter to store, if it is newer than the stored one.
     pub roster: Roster,
 }
 
-/// A voter's acceptance of a [`Proposal`].
+/// Acceptance of a [`Proposal`] by a voter.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Acceptance {
-    /// The leader's ballot.
+    /// Ballot that the voter accepts.
     pub ballot: Ballot,
-    /// The round that is accepted.
+    /// Renewal round of the accepted proposal.
     pub round: u64,
-    /// The voter's incarnation.
+    /// Incarnation of the accepting voter.
     pub incarnation: u64,
-    /// The version of the roster that it stores.
+    /// Version of the roster that the voter stores; if it stores its state on disk, the version there.
     pub roster: Version,
 }
 
-/// What a voter tells another that has lost its memory.
+/// Data that a voter sends to another voter that has restarted and requested it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(bound = "")]
 pub struct VoterRecoveryResponse<T: ApplicationTypes> {
-    /// That of the request.
+    /// Nonce of the request to which this responds.
     pub nonce: u64,
-    /// How far this voter has recovered itself.
+    /// Progress of the responding voter's own recovery.
     pub recovery: RecoveryState,
-    /// The highest ballot that it has promised.
+    /// Highest ballot that the voter has promised; `None`: none.
     pub promised: Option<Ballot>,
-    /// For how long a lease that it has granted still runs.
+    /// Remaining time of the leader's lease that the voter has granted, in microseconds; 0: none is valid.
     pub lease_left: Micros,
-    /// The roster that it stores.
+    /// Roster that the voter stores.
     pub roster: Roster,
-    /// The state that it has applied.
+    /// State that the voter has applied.
     pub state: Versioned<T::State>,
 }
 
-/// A process's request for a lease of its own, or for more of it.
+/// Request of a process to the leader for a lease, or for the renewal of its lease.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(bound = "")]
 pub struct Renewal<T: ApplicationTypes> {
-    /// The process.
+    /// Requesting process.
     pub process: Process,
-    /// When it asks, by its own clock: the lease counts from there.
+    /// Time of the request, by the clock of the requesting process. The duration of the lease counts from it.
     pub sent_at: Micros,
-    /// Its state is complete.
+    /// True if the state of the requesting process contains every committed change.
     pub has_complete_state: bool,
-    /// The version of the state that it has applied: it has what a leader replicated if that is of the leader's ballot.
+    /// Version of the state that the requesting process has applied; if it stores its state on disk, the
+    /// version there if that is older.
     pub version: Version,
-    /// The highest ballot that it has heard of.
+    /// Highest ballot known to the requesting process; `None`: it knows none.
     pub highest_ballot: Option<Ballot>,
-    /// The application's report.
+    /// Data that the application returned from [`crate::Application::report`].
     pub report: T::Report,
 }
 
-/// A lease for one process.
+/// Lease that the leader grants to one process, in response to its [`Renewal`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(bound = "")]
 pub struct LeaseGrant<T: ApplicationTypes> {
-    /// The leader's ballot.
+    /// Ballot of the leader that grants the lease.
     pub ballot: Ballot,
-    /// The incarnation of the process that it is granted to.
+    /// Incarnation of the process that requested the lease. A later process of the same name ignores it.
     pub incarnation: u64,
-    /// When that process asked, by its own clock: the lease counts from there.
+    /// Time of the request, by the clock of the requesting process. The duration of the lease counts from it.
     pub requested_at: Micros,
-    /// The leader knows the complete state, itself or from a process that was admitted all along.
+    /// True if the leader's state contains every committed change.
     pub is_recovered: bool,
-    /// The application's grant.
+    /// Data that the application at the leader grants with the lease.
     pub grant: T::Grant,
 }
 
-/// The question of a process that waits for admission: what another one knows.
+/// Query of a process that waits for admission, about the leader, the voters and the state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RecoveryQuery {
-    /// The incarnation of the process that asks.
+    /// Incarnation of the querying process.
     pub incarnation: u64,
-    /// When it asks, by its own clock.
+    /// Time of the query, by the clock of the querying process.
     pub sent_at: Micros,
-    /// It wants the state as well.
+    /// True if the reply should include the state of the queried process.
     pub wants_state: bool,
 }
 
-/// The reply to a [`RecoveryQuery`].
+/// Reply to a [`RecoveryQuery`], with what the replying process knows.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(bound = "")]
 pub struct RecoveryReply<T: ApplicationTypes> {
-    /// The incarnation of the process that asked.
+    /// Incarnation of the querying process.
     pub incarnation: u64,
-    /// When it asked, by its own clock.
+    /// Time of the query, by the clock of the querying process.
     pub requested_at: Micros,
-    /// What the replying process knows.
+    /// Recovery, lease and leader, as known to the replying process.
     pub status: RecoveryStatus,
-    /// Its state, if that was asked for and is complete.
+    /// State of the replying process; `None`: it was not requested, or it is not known to be complete.
     pub state: Option<Versioned<T::State>>,
 }
 
-/// A message between two processes.
+/// Message between two processes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(bound = "")]
 pub enum Message<T: ApplicationTypes> {
-    /// A candidate asks a voter to promise to accept no lower ballot.
+    /// Request of a candidate or leader to a voter, to promise not to accept any lower ballot.
     Prepare {
-        /// The candidate's ballot.
+        /// Ballot of the sender.
         ballot: Ballot,
-        /// The voters that the candidate is configured with.
+        /// Hashes of the voter sets in the sender's configuration. A voter ignores the request if they do not
+        /// overlap with its own.
         voter_sets: VoterSetHashes,
     },
-    /// The answer to `Prepare`.
+    /// Response to `Prepare`: the voter promises.
     Promised(Box<Promise<T>>),
-    /// The answer to `Prepare` or `Propose` of a voter that declines.
+    /// Response to `Prepare` or `Propose`: the voter refuses.
     Denied(Denial),
-    /// A candidate or leader asks a voter that has promised for the lease.
+    /// Request of a candidate or leader to a voter that has promised, to grant the leader's lease.
     Propose(Proposal),
-    /// The answer to `Propose`: the lease is granted, and the roster stored.
+    /// Response to `Propose`: the voter grants the leader's lease and stores the roster.
     Accepted(Acceptance),
-    /// A restarted voter asks another what it has forgotten.
+    /// Request of a restarted voter for the promise, roster and state of another voter.
     VoterRecoveryRequest {
-        /// Comes back with the response.
+        /// Number that the response repeats, so that it can be matched to its request.
         nonce: u64,
-        /// The voters that the sender is configured with.
+        /// Hashes of the voter sets in the sender's configuration. A voter ignores the request if they do not
+        /// overlap with its own.
         voter_sets: VoterSetHashes,
     },
-    /// The answer to `VoterRecoveryRequest`.
+    /// Response to `VoterRecoveryRequest`, with the promise, roster and state of the sender.
     VoterRecoveryResponse(Box<VoterRecoveryResponse<T>>),
-    /// The leader replicates the state.
+    /// Replication of the leader's state to another process, which confirms it with its next `Renew`.
     StateUpdate {
-        /// The state.
+        /// Current state of the leader, with its version.
         state: Versioned<T::State>,
     },
-    /// A process asks the leader for a lease, and reports.
+    /// Request of a process to the leader for a lease, with its report.
     Renew(Box<Renewal<T>>),
-    /// A leader that lacks the complete state asks a process for its own.
+    /// Request of a leader whose state may be incomplete, for the state of another process.
     StateRequest {
-        /// The leader's ballot.
+        /// Ballot of the requesting leader.
         ballot: Ballot,
     },
-    /// The answer to `StateRequest`.
+    /// Response to `StateRequest`, with the state of the sender for the leader to merge.
     StateResponse {
-        /// That of the request.
+        /// Ballot of the leader that requested the state.
         ballot: Ballot,
-        /// The state that the process has applied.
+        /// State that the sender has applied.
         state: Versioned<T::State>,
-        /// The process was admitted all along, so its state is complete.
+        /// True if `state` contains every committed change, because the sender remained admitted.
         is_complete: bool,
     },
-    /// The answer to `Renew`: the process holds a lease.
+    /// Response to `Renew`: the leader grants a lease to the process.
     Granted(Box<LeaseGrant<T>>),
-    /// A process that waits for admission asks what another knows.
+    /// Query to any other process, from a process that waits for admission.
     RecoveryQuery(RecoveryQuery),
-    /// The answer to `RecoveryQuery`.
+    /// Reply to `RecoveryQuery`, with what the sender knows of the leader, the voters and the state.
     RecoveryReply(Box<RecoveryReply<T>>),
-    /// The answer to `Renew`, `StateUpdate` or `Command` of a process that is not the leader, or has a later one.
+    /// Response to `Renew`: the sender is not the leader. Response to `StateUpdate`: the sender knows a
+    /// higher ballot or a newer state.
     NotLeader {
-        /// The leader, as far as the sender knows.
+        /// Leader known to the sender; `None`: it knows none.
         leader: Option<Name>,
-        /// The highest ballot that the sender has heard of.
+        /// Highest ballot known to the sender; `None`: it knows none.
         highest_ballot: Option<Ballot>,
     },
-    /// An operator's command, forwarded to the leader.
+    /// Command of an operator, forwarded to the leader by the process to which it was submitted.
     Command {
-        /// Comes back with the response.
+        /// Id of the command at the sender, which the response repeats.
         id: u64,
-        /// The command.
+        /// Command that the application at the leader executes.
         command: T::Command,
     },
-    /// The answer to `Command`.
+    /// Response to `Command`, sent once its effect is committed, or at once if it is rejected.
     CommandResponse {
-        /// That of the command.
+        /// Id that the submitting process gave the command.
         id: u64,
-        /// What it led to.
+        /// Response of the application, or reason for the rejection.
         result: Result<T::Response, T::Rejection>,
     },
 }
 
 impl<T: ApplicationTypes> Message<T> {
-    /// Maximum encoded size of any message.
+    /// Maximum encoded size of any message of this application, in bytes.
     pub const MAX_BYTES: usize = MAX_HEADER_BYTES
         + MAX_ROSTER_BYTES
         + T::MAX_STATE_BYTES
@@ -235,7 +244,7 @@
         + T::MAX_GRANT_BYTES
         + T::MAX_COMMAND_BYTES;
 
-    /// Maximum encoded size of this message. Sender and receiver both drop a longer one: it is none of this application's.
+    /// Maximum encoded size of a message of this variant, in bytes. Sender and receiver drop longer ones.
     pub fn max_len(&self) -> usize {
         MAX_HEADER_BYTES + self.max_payload_len()
     }
--- a/lease/src/persistent_state.rs
+++ b/lease/src/persistent_state.rs
@@ -1,4 +1,4 @@
-//! What a process stores on disk over a restart.
+//! State of a machine that survives a restart on disk.
 
 use crate::ballot::{Ballot, Version, Versioned};
 use crate::roster::Roster;
@@ -6,27 +6,32 @@
 use crate::voters::VoterSetHashes;
 use serde::{Deserialize, Serialize};
 
-/// What a restarted process needs of the one before it. Loaded by [`crate::Machine::with_persistence`], it counts as possibly
-/// outdated: a voter recovers by it but does not leave its quarantine any sooner, and a process keeps away from what the
-/// state excludes but does not serve by it.
+/// State that a process stores on disk, to be loaded after its restart by
+/// [`crate::Machine::with_persistence`].
+///
+/// The loaded state may be outdated. The new process applies it, so that the application knows its decisions
+/// at once, but still waits for admission before it serves. A voter recovers its promise and roster from it,
+/// but its quarantine is as long as without it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(bound = "")]
 pub struct PersistentState<T: ApplicationTypes> {
-    /// The process is a voter, and [`crate::RecoveryState::Recovered`].
+    /// True if the process is a voter and [`crate::RecoveryState::Recovered`].
     pub is_recovered: bool,
-    /// The voters that it was configured with. With other voters it does not count as recovered.
+    /// Hashes of the voter sets configured when the state was stored. If the configuration has changed since,
+    /// the voter recovers from other voters instead.
     pub voter_sets: VoterSetHashes,
-    /// The highest ballot that it has promised as a voter. A lower bound, for it may have promised more since.
+    /// Highest ballot that the process had promised as a voter when it stored the state; `None`: none.
     pub promised: Option<Ballot>,
-    /// The highest ballot that it has heard of. A lower bound.
+    /// Highest ballot that the process knew when it stored the state; `None`: none.
     pub highest_ballot: Option<Ballot>,
-    /// The roster that it stores as a voter.
+    /// Roster that the process stores as a voter.
     pub roster: Roster,
-    /// The state that it has applied.
+    /// State that the process has applied.
     pub state: Versioned<T::State>,
 }
 
-/// Identifies a [`PersistentState`] of one process: two with the same mark are equal but for the time spans within.
+/// Version of a [`PersistentState`], by which a change is detected. Two states of one process with the same
+/// version differ only in the durations that they contain.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct PersistentStateVersion {
     pub(crate) is_recovered: bool,
@@ -37,7 +42,7 @@
 }
 
 impl<T: ApplicationTypes> PersistentState<T> {
-    /// Its mark.
+    /// Version of this state, with the versions of the roster and of the application's state.
     pub fn version(&self) -> PersistentStateVersion {
         PersistentStateVersion {
             is_recovered: self.is_recovered,
