--- a/coordination/src/codec.rs
+++ b/coordination/src/codec.rs
@@ -1,21 +1,21 @@
-//! Messages as bytes, none longer than its application allows.
+//! Encoding and decoding of lease messages, with the size limits of the application.
 
 use flaxhead_lease::{Application, Message};
 
-/// Why a message is dropped.
+/// Reason for dropping a message instead of sending or receiving it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CodecError {
-    /// It is longer than its application allows.
+    /// Encoded size above the limit that the application sets for this kind of message.
     #[error(
-        "it is longer than its application allows: see whether names and texts in the settings are that long"
+        "the message exceeds its application's size limit; shorten overlong names and texts in the settings"
     )]
     TooLong,
-    /// It cannot be decoded.
-    #[error("it cannot be decoded: see whether all proxies run versions that go together")]
+    /// Bytes that are not exactly one encoded message.
+    #[error("the message cannot be decoded; check that all proxies run compatible versions")]
     Malformed,
 }
 
-/// Encodes a message.
+/// Encodes a message. Fails if it exceeds [`Message::max_len`].
 pub(crate) fn encode<A: Application>(message: &Message<A>) -> Result<Vec<u8>, CodecError> {
     let bytes = postcard::to_allocvec(message).map_err(|_| CodecError::Malformed)?;
     if bytes.len() > message.max_len() {
@@ -24,7 +24,7 @@
     Ok(bytes)
 }
 
-/// Decodes a message.
+/// Decodes a message. Fails if it exceeds [`Message::max_len`] or bytes are left over.
 pub(crate) fn decode<A: Application>(bytes: &[u8]) -> Result<Message<A>, CodecError> {
     if bytes.len() > Message::<A>::MAX_BYTES {
         return Err(CodecError::TooLong);
--- a/coordination/src/lib.rs
+++ b/coordination/src/lib.rs
@@ -1,9 +1,9 @@
-//! The driver of a [`flaxhead_lease::Machine`].
+//! Driver of the lease machines ([`flaxhead_lease::Machine`]) of a process.
 //!
-//! It owns the timers, encodes messages within the application's size limits, gathers what the process knows of members,
-//! and leaves every decision to the machine. It runs on the sockets of [`flaxhead_peers`], on a [`Channel`] of its own, on
-//! the thread that it is started on. Where a process takes part in several applications, each has a coordinator of its
-//! own, and they share nothing but the sockets.
+//! A [`Coordinator`] drives one machine, and so one application. It runs the timers, sends and receives the
+//! messages within the size limits of the application, supplies the membership data, and stores the state on
+//! disk. All decisions are the machine's. It uses the sockets of [`flaxhead_peers`], on its own [`Channel`],
+//! and runs on the thread that starts it. The coordinators of a process share only the sockets.
 
 mod codec;
 mod coordinator;
--- a/lease/src/admission/reason.rs
+++ b/lease/src/admission/reason.rs
@@ -1,35 +1,41 @@
-//! Why a process waits, or may serve.
+//! Reasons for which a started process waits for admission or may serve.
 
 use flaxhead_membership::Name;
 use std::fmt;
 
-/// What a process that started waits for, or why it may serve.
+/// Reason for which a started process waits for admission or may serve. A name in a variant is that of
+/// another process.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum AdmissionReason {
-    /// Waits: no process has replied yet.
+    /// The process waits, because no other process has replied to its queries yet.
     AwaitingReply,
-    /// Waits: voters that restarted recently are quarantined while leases may run that they have forgotten.
+    /// The process waits, because most voters were restarted recently and may not vote yet.
     AwaitingQuarantine,
-    /// Waits: a leader can admit it.
+    /// The process waits for a leader to admit it; one exists or can be elected.
     AwaitingAdmission,
-    /// Waits: this process has the complete state and has not sent it yet.
+    /// The process waits for the complete state of the named process, which has not sent it yet.
     AwaitingState(Name),
-    /// Waits: the state is lost, and operators are given time to declare it.
+    /// The process waits, because the state is lost and operators have time to restore it and declare it
+    /// complete.
     AwaitingOperators,
-    /// Serves: a leader has admitted it.
+    /// The process serves, because a leader has admitted it.
     Admitted,
-    /// Serves: a majority of voters has lost the state, and this process has sent it.
+    /// The process serves without admission, because a majority of voters has lost the state, but the named
+    /// process has sent its complete state.
     StateRecoveredFrom(Name),
-    /// Serves: no majority of voters votes, and this process has sent its state.
+    /// The process serves without admission, because no majority of voters is known to vote, but the named
+    /// process has sent its complete state.
     NoQuorumStateFrom(Name),
-    /// Serves: a majority of voters has lost the state, and no process is left that has it.
+    /// The process serves without admission and without the state, because a majority of voters has lost it
+    /// and no process that has it is known.
     StateLost,
-    /// Serves: no process with the complete state has replied within [`crate::Config::autonomy_timeout`].
+    /// The process serves without admission and without the state, because no other process has sent it the
+    /// complete replicated state within [`crate::Config::autonomy_timeout`].
     NoReply,
 }
 
 impl AdmissionReason {
-    /// Whether a process may serve for this reason.
+    /// Returns whether a process may serve for this reason.
     pub(crate) fn may_serve(&self) -> bool {
         match self {
             AdmissionReason::AwaitingReply
@@ -46,7 +52,7 @@
     }
 }
 
-/// The sentences are values of the side port's JSON (`reason`), and stay as they are.
+/// The texts are values of the key `reason` in the JSON of the status pages and must not change.
 impl fmt::Display for AdmissionReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
--- a/lease/src/facts.rs
+++ b/lease/src/facts.rs
@@ -1,45 +1,48 @@
-//! What a process knows from outside the protocol: its members from the membership, and the application's own input.
+//! Data from outside the protocol: the membership of the proxies, and the application's own data.
 
 use flaxhead_membership::{Micros, Name};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Whether a member's process runs, according to the membership.
+/// Presence of a member's process, as judged by the membership ([`flaxhead_membership`]).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Presence {
-    /// It runs.
+    /// Running, without suspicion by any member.
     Alive,
-    /// It runs, but some member suspects it, or it finds itself cut off.
+    /// Presumably running, but suspected to have failed by some member, or cut off from most members by its
+    /// own account.
     Suspected,
-    /// Nothing is heard of it: it may be dead, frozen or partitioned.
+    /// Not heard by any member: the process may have ended, be paused, or be partitioned.
     Unreachable,
-    /// Its machine reports that nothing listens at its address: the process has ended.
+    /// Ended: the host at its address runs and refuses connections.
     Exited,
-    /// It announced that it leaves; it still answers the requests that it has accepted.
+    /// Leaving by its own announcement. The process may still be completing the calls that it has accepted.
     Left,
 }
 
-/// A member, according to the membership.
+/// Other proxy process, as known to the membership.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct MemberStatus {
-    /// Which process with its name.
+    /// Incarnation, which differs between processes of the same name.
     pub incarnation: u64,
-    /// Where it listens.
+    /// Address on which the process listens.
     pub address: SocketAddr,
-    /// Whether it runs.
+    /// Presence of the process.
     pub presence: Presence,
-    /// When its presence last changed.
+    /// Time of the last change of the presence, by the clock of the local lease machine.
     pub since: Micros,
 }
 
-/// All that a process knows from outside the protocol. `F`: the application's own input.
+/// Data from outside the protocol that the machine uses in each call. `F` is the type of the application's
+/// part.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Facts<F> {
-    /// The other members, by name.
+    /// Members other than the local process, by name.
     pub members: BTreeMap<Name, MemberStatus>,
-    /// Whether this process may take part in agreements, according to the membership: it is not cut off, displaced or
-    /// leaving.
+    /// True if this process may become the leader or renew its leadership. False if the membership finds it
+    /// cut off from most members, displaced by another process of its name, or leaving.
     pub participates: bool,
-    /// What the application decides by.
+    /// Data that the application uses for its decisions besides the membership, such as host capacities. The
+    /// driver refreshes it before calls of the machine.
     pub application: F,
 }
--- a/lease/src/leader/lease.rs
+++ b/lease/src/leader/lease.rs
@@ -1,4 +1,4 @@
-//! The leader's lease, and what the voters store for it.
+//! Lease of the leader, and records of what each voter has accepted.
 
 use super::state::LeaderState;
 use super::voter_record::VoterRecord;
@@ -9,23 +9,26 @@
 use flaxhead_membership::{Micros, Name};
 use std::collections::BTreeSet;
 
-/// Renewal intervals after which a voter that accepts nothing is asked for its promise anew.
+/// Number of renewal intervals without an acceptance after which the leader asks a voter for a new promise.
 const VOTER_SILENCE_INTERVALS: Micros = 2;
 
 impl<T: ApplicationTypes> LeaderState<T> {
-    /// Whether its lease runs.
+    /// Returns whether the leader's own lease is valid at `now`.
     pub(crate) fn is_leading(&self, now: Micros) -> bool {
-        now < self.lease_until
+        now < self.lease_expiry
     }
 
-    /// Begins another round of renewal.
-    pub(crate) fn begin_round(&mut self, now: Micros) {
+    /// Begins another renewal round of the leader's lease. The lease is extended, counted from `now`, once a
+    /// majority of voters has accepted the round.
+    pub(crate) fn begin_renewal_round(&mut self, now: Micros) {
         self.round += 1;
-        self.round_started = now;
+        self.renewal_round_started = now;
         self.acceptances = BTreeSet::new();
     }
 
-    /// A voter has accepted a proposal.
+    /// Records the acceptance of a proposal by the voter `from`. Extends the leader's lease once a majority
+    /// of voters has accepted the current renewal round. Ignores a voter that has restarted since its
+    /// promise.
     pub(crate) fn record_acceptance(
         &mut self,
         now: Micros,
@@ -44,23 +47,26 @@
         }
         self.acceptances.insert(from.clone());
         if voters.has_majority(|name| self.acceptances.contains(name)) {
-            self.lease_until = self.lease_until.max(self.round_started + config.lease_duration);
+            self.lease_expiry = self.lease_expiry.max(self.renewal_round_started + config.lease_duration);
         }
     }
 
-    /// A voter that was not among those of the candidacy has promised as well.
+    /// Records the promise of a voter that promised after this leader's election.
     pub(crate) fn record_promise(&mut self, from: &Name, promise: &Promise<T>) {
         self.voter_incarnations.insert(from.clone(), promise.incarnation);
     }
 
-    /// Whether a voter has accepted anything recently.
+    /// Returns whether a voter has accepted a proposal within the last [`VOTER_SILENCE_INTERVALS`] renewal
+    /// intervals.
     pub(crate) fn voter_accepted_recently(&self, now: Micros, config: &Config, voter: &Name) -> bool {
         let most = VOTER_SILENCE_INTERVALS * config.renewal_interval();
         self.voter_records.get(voter).is_some_and(|record| now.saturating_sub(record.accepted_at) <= most)
     }
 
-    /// Whether a majority of voters stores the roster of this count. Only fresh acceptances count: a voter that was killed
-    /// and forgot must not be among them, and such a one is quarantined for longer than a lease.
+    /// Returns whether a majority of voters stores this leader's roster with the sequence number `roster_seq`
+    /// or later. Only acceptances within the last lease duration count: a voter that restarted after an older
+    /// one may have lost the roster, while the quarantine, in which it accepts nothing, is longer than a
+    /// lease.
     pub(super) fn is_roster_committed(
         &self,
         now: Micros,
--- a/lease/src/machine/mod.rs
+++ b/lease/src/machine/mod.rs
@@ -1,4 +1,5 @@
-//! One process: its parts, and what passes between them and the other processes.
+//! State machine of one process for one application: its roles, and the messages that it exchanges with the
+//! machines of other processes.
 
 mod admission;
 mod commands;
--- a/lease/src/machine/persistence.rs
+++ b/lease/src/machine/persistence.rs
@@ -1,9 +1,9 @@
-//! A disk that outlives the process.
+//! Persistence of a machine's state over a restart of the process.
 //!
-//! What other processes rely on once this one has sent it (that it has applied a state, that it stores a roster) is not
-//! sent before it is on the disk. So a process that is killed and restarts with its state is like one that was stopped
-//! in between, but for the lease: whether it has granted one is not on the disk, and a voter is quarantined as if it had
-//! forgotten.
+//! A process reports an applied state or a stored roster to others only once it is on disk, because they rely
+//! on it. A process that restarts with its stored state therefore behaves like a paused one, except for
+//! leases: the leader's leases that a voter has granted are not stored, so a restarted voter is quarantined
+//! in any case.
 
 use super::persistence_state::{Persistence, WaitingAcceptance};
 use super::state::{Context, Effect, Machine};
@@ -17,8 +17,8 @@
 use flaxhead_membership::{Micros, Name};
 
 impl<A: Application> Machine<A> {
-    /// Has the process use a disk, on which this was `found` of the process before it, `age` ago. Called at its start,
-    /// before anything else happens.
+    /// Enables persistence, and loads the state `found` that the previous process stored `age` microseconds
+    /// ago; `None`: none was found. Must be called before any other method that changes the machine.
     #[must_use]
     pub fn with_persistence(
         mut self,
@@ -40,7 +40,7 @@
         state.state.advance(age);
         self.apply(now, state);
         if let Some(ballot) = &highest_ballot {
-            self.accept_fence(ballot);
+            self.accept_ballot(ballot);
         }
         if let Some(voter) = &mut self.voter {
             voter.was_recovered = was_recovered;
@@ -49,42 +49,44 @@
         }
     }
 
-    /// What a restart would need now.
+    /// Returns the state to be stored on disk, which the process needs after a restart.
     pub fn persistent_state(&self, now: Micros) -> PersistentState<A> {
         PersistentState {
             is_recovered: self.is_recovered_voter(),
             voter_sets: self.voters.hashes(),
             promised: self.voter.as_ref().and_then(|voter| voter.promised.clone()),
-            highest_ballot: self.member.highest_ballot.clone(),
+            highest_ballot: self.replica.highest_ballot.clone(),
             roster: self.voter.as_ref().map_or_else(Roster::default, |voter| voter.roster.clone()),
-            state: self.member.current_state(now),
+            state: self.replica.current_state(now),
         }
     }
 
-    /// The mark of [`Machine::persistent_state`], without making one; `None`: the process uses no disk.
+    /// Returns the version of [`Machine::persistent_state`] without building that state; `None`: persistence
+    /// is disabled.
     pub fn persistent_state_version(&self) -> Option<PersistentStateVersion> {
         self.persistence.as_ref()?;
         Some(PersistentStateVersion {
             is_recovered: self.is_recovered_voter(),
             promised: self.voter.as_ref().and_then(|voter| voter.promised.clone()),
-            highest_ballot: self.member.highest_ballot.clone(),
+            highest_ballot: self.replica.highest_ballot.clone(),
             roster: self.own_roster_version(),
-            state: self.member.state.version.clone(),
+            state: self.replica.state.version.clone(),
         })
     }
 
-    /// The state of this mark is on the disk: what waited for that is sent.
+    /// Records that the state of `version` is on disk. Sends the responses that waited for it: an acceptance
+    /// to the leader, and a renewal that reports the newer applied state.
     pub fn state_persisted(
         &mut self,
         context: &mut Context<'_, A::Facts>,
-        mark: PersistentStateVersion,
+        version: PersistentStateVersion,
         effects: &mut Vec<Effect<A>>,
     ) {
         let Some(persistence) = &mut self.persistence else { return };
-        let is_newer = mark.state > persistence.persisted.state;
-        persistence.persisted = mark;
+        let is_newer = version.state > persistence.persisted.state;
+        persistence.persisted = version;
         if let Some(WaitingAcceptance { to, ballot, round }) = persistence.waiting.take() {
-            let roster = self.persisted_part_of(self.own_roster_version());
+            let roster = self.persisted_roster_version(self.own_roster_version());
             let incarnation = self.me.incarnation;
             let acceptance = Acceptance { ballot, round, incarnation, roster };
             self.send(&to, Message::Accepted(acceptance), effects);
@@ -95,6 +97,8 @@
         self.handle_loopback(context, effects);
     }
 
+    /// Returns whether this process is a voter whose roster and state are recovered, or were so when it
+    /// loaded them.
     fn is_recovered_voter(&self) -> bool {
         self.voter
             .as_ref()
@@ -105,25 +109,29 @@
         self.voter.as_ref().map_or_else(Version::default, |voter| voter.roster.version.clone())
     }
 
-    /// The version of the state that it may confirm: what the disk has of it.
+    /// Version of the state that this process may report to the leader as applied: the applied one, unless
+    /// the disk holds only an older one.
     pub(super) fn persisted_state_version(&self) -> Version {
-        let applied = &self.member.state.version;
+        let applied = &self.replica.state.version;
         let persistence = self.persistence.as_ref();
         persistence.map_or(applied, |disk| applied.min(&disk.persisted.state)).clone()
     }
 
-    /// The part of a roster that it may say it stores: what the disk has of it.
-    fn persisted_part_of(&self, roster: Version) -> Version {
+    /// Version of the roster that this voter may report to the leader as stored: `roster`, unless the disk
+    /// holds only an older one.
+    fn persisted_roster_version(&self, roster: Version) -> Version {
         match &self.persistence {
             Some(persistence) => roster.min(persistence.persisted.roster.clone()),
             None => roster,
         }
     }
 
-    /// Limits an acceptance to the roster that is on the disk.
-    pub(super) fn limit_to_persisted(&mut self, to: &Name, answer: Message<A>) -> Message<A> {
-        let Message::Accepted(mut acceptance) = answer else { return answer };
-        let persisted = self.persisted_part_of(acceptance.roster.clone());
+    /// Limits the roster version in an acceptance for the leader `to` to the one that is on disk. If the
+    /// voter has a newer roster, the acceptance is sent again once that roster is on disk. Other messages are
+    /// returned unchanged.
+    pub(super) fn limit_to_persisted(&mut self, to: &Name, response: Message<A>) -> Message<A> {
+        let Message::Accepted(mut acceptance) = response else { return response };
+        let persisted = self.persisted_roster_version(acceptance.roster.clone());
         if let Some(persistence) = self.persistence.as_mut().filter(|_| persisted < acceptance.roster) {
             let (ballot, round) = (acceptance.ballot.clone(), acceptance.round);
             persistence.waiting = Some(WaitingAcceptance { to: to.clone(), ballot, round });
--- a/lease/src/machine/persistence_state.rs
+++ b/lease/src/machine/persistence_state.rs
@@ -1,17 +1,18 @@
-//! What a process knows of its disk.
+//! Record of what the disk holds of a machine's state.
 
 use crate::ballot::Ballot;
 use crate::persistent_state::PersistentStateVersion;
 use flaxhead_membership::Name;
 
-/// What is on the disk, and what waits for it.
+/// Version of the state that is on disk, and the acceptance that waits for a newer one.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Persistence {
     pub(super) persisted: PersistentStateVersion,
     pub(super) waiting: Option<WaitingAcceptance>,
 }
 
-/// An acceptance that named an older roster, as the newer one was not on the disk: it is sent again once that is.
+/// Acceptance that a voter has sent with the version of an older roster, and sends again once the newer
+/// roster is on disk.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct WaitingAcceptance {
     pub(super) to: Name,
--- a/lease/src/recovery_state.rs
+++ b/lease/src/recovery_state.rs
@@ -1,33 +1,36 @@
-//! What a voter knows after its restart.
+//! Recovery of a voter after its restart.
 
 use serde::{Deserialize, Serialize};
 
-/// How far a voter has recovered what it knew before its restart, in ascending order. It may vote from
-/// [`RecoveryState::StateLost`] on.
+/// Progress of a voter's recovery after its restart. The order of the variants is that of the progress; the
+/// voter may vote from [`RecoveryState::StateLost`] on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum RecoveryState {
-    /// It started recently: a lease that it granted before may still run, so it is silent.
+    /// In quarantine after the start, without voting, because leader's leases that the voter granted before
+    /// its restart may still be valid.
     #[serde(rename = "silent")]
     Quarantined,
-    /// No such lease runs any more; it asks the other voters what it has forgotten.
+    /// Past the quarantine, but not voting yet: the voter requests its lost promise, roster and state from
+    /// other voters.
     #[serde(rename = "recalling")]
     Recovering,
-    /// Too many voters have forgotten at once: nobody knows for certain.
+    /// Voting, but without the data from before the restart, because too many voters have lost theirs at
+    /// once.
     #[serde(rename = "cold")]
     StateLost,
-    /// It knows what a majority of voters knew.
+    /// Voting, with every roster and state that a majority of voters stored.
     #[serde(rename = "sure")]
     Recovered,
 }
 
 impl RecoveryState {
-    /// Whether a voter in this state may vote.
+    /// Returns whether a voter in this state may promise and accept ballots.
     pub(crate) fn may_vote(self) -> bool {
         self >= RecoveryState::StateLost
     }
 
-    /// Whether such a voter is out of its quarantine and does not know what there was before.
-    pub(crate) fn has_forgotten(self) -> bool {
+    /// Returns whether the voter is past its quarantine, but does not know the data from before its restart.
+    pub(crate) fn has_lost_data(self) -> bool {
         matches!(self, RecoveryState::Recovering | RecoveryState::StateLost)
     }
 }
--- a/lease/src/replica.rs
+++ b/lease/src/replica.rs
@@ -1,4 +1,4 @@
-//! The part of every process: the state that it has applied, and its lease.
+//! State that the local process has applied, and the lease that the leader has granted to it.
 
 use crate::admission::{AdmissionReason, AdmissionWait};
 use crate::ballot::{Ballot, Versioned};
@@ -6,19 +6,19 @@
 use crate::types::{ApplicationTypes, ReplicatedState};
 use flaxhead_membership::Micros;
 
-/// Whether a process was admitted.
+/// Stage of a process's admission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum AdmissionStatus {
-    /// It started and does not know the state yet.
+    /// Waiting for admission since the start; the process must not serve yet.
     Pending,
-    /// It is on the roster.
+    /// Admitted: a leader has put the process on the roster and granted it a lease.
     Admitted,
-    /// It serves without having been admitted, by the state that it has: [`AdmissionReason`] says why.
+    /// Serving without admission, because no leader can be expected; [`AdmissionReason`] says why.
     Autonomous,
 }
 
 impl AdmissionStatus {
-    /// The word that the side port has for it.
+    /// Name of the stage on the status pages, which must not change.
     pub(crate) fn as_str(self) -> &'static str {
         match self {
             AdmissionStatus::Pending => "waits",
@@ -28,28 +28,29 @@
     }
 }
 
-/// How a ballot that was heard of compares with the highest one before it.
+/// Result of comparing a received ballot with the highest one that the process knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum FenceCheck {
-    /// It is lower: nothing under it counts any more.
+pub(crate) enum BallotCheck {
+    /// Lower than the highest known ballot: messages under it are ignored.
     Stale,
-    /// It is the highest.
+    /// Equal to the highest known ballot.
     Current,
-    /// It is higher, and is the highest from now on.
+    /// Higher than the highest known ballot, and recorded in its place.
     Raised,
 }
 
-/// One process as a participant.
+/// State that the local process has applied, and the lease that the leader has granted to it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LocalReplica<T: ApplicationTypes> {
-    /// What it has learned while it waits for admission.
-    pub(crate) wait: AdmissionWait,
-    /// It serves without having been admitted.
+    /// Queries, replies and conclusions of the process while it waits for admission.
+    pub(crate) admission_wait: AdmissionWait,
+    /// True if the process may serve without admission. Stays true once it is set.
     pub(crate) is_autonomous: bool,
-    /// Its state is complete: a leader that knew it admitted this process, or a process with the complete state sent it.
+    /// True if `state` contains every committed change: it came from a leader with the complete state, or
+    /// from another process that has it.
     pub(crate) has_complete_state: bool,
     pub(crate) state: Versioned<T::State>,
-    /// The time at which the spans in the state are exact.
+    /// Time at which the durations in `state` were exact, by the local clock.
     state_as_of: Micros,
     pub(crate) highest_ballot: Option<Ballot>,
     pub(crate) is_admitted: bool,
@@ -59,7 +60,7 @@
 impl<T: ApplicationTypes> LocalReplica<T> {
     pub(crate) fn new(now: Micros) -> Self {
         LocalReplica {
-            wait: AdmissionWait::new(now),
+            admission_wait: AdmissionWait::new(now),
             is_autonomous: false,
             has_complete_state: false,
             state: Versioned::default(),
@@ -70,46 +71,48 @@
         }
     }
 
-    /// The state that it has applied, its spans as they were when it came.
+    /// State that the process has applied. The durations in it are those at the time of receipt;
+    /// [`LocalReplica::current_state`] advances them.
     pub fn state(&self) -> &Versioned<T::State> {
         &self.state
     }
 
-    /// The state that it has applied, its spans as they are now.
+    /// State that the process has applied, with its durations advanced to `now`.
     pub fn current_state(&self, now: Micros) -> Versioned<T::State> {
         let mut state = self.state.clone();
         state.state.advance(now.saturating_sub(self.state_as_of));
         state
     }
 
-    /// The highest ballot that it has heard of: it accepts nothing under a lower one.
+    /// Highest ballot that the process knows; `None`: none. The process ignores messages under lower ballots.
     pub fn highest_ballot(&self) -> Option<&Ballot> {
         self.highest_ballot.as_ref()
     }
 
-    /// Whether a leader that knows the state has admitted it.
+    /// Returns whether a leader has granted the process a lease since it started.
     pub fn is_admitted(&self) -> bool {
         self.is_admitted
     }
 
-    /// When its lease ends, by its own clock; a moment in the past where it holds none.
+    /// End of the lease that the leader granted to the process, by the local clock; in the past if none is
+    /// valid.
     pub fn lease_expiry(&self) -> Micros {
         self.lease_expiry
     }
 
-    /// Takes note of a ballot.
-    pub(crate) fn observe_fence(&mut self, fence: &Ballot) -> FenceCheck {
-        if self.highest_ballot.as_ref().is_some_and(|own| own > fence) {
-            return FenceCheck::Stale;
+    /// Compares a ballot with the highest one that the process knows, and records it if it is higher.
+    pub(crate) fn observe_ballot(&mut self, ballot: &Ballot) -> BallotCheck {
+        if self.highest_ballot.as_ref().is_some_and(|own| own > ballot) {
+            return BallotCheck::Stale;
         }
-        if self.highest_ballot.as_ref() == Some(fence) {
-            return FenceCheck::Current;
+        if self.highest_ballot.as_ref() == Some(ballot) {
+            return BallotCheck::Current;
         }
-        self.highest_ballot = Some(fence.clone());
-        FenceCheck::Raised
+        self.highest_ballot = Some(ballot.clone());
+        BallotCheck::Raised
     }
 
-    /// Applies a state of the leader whose fence counts. Returns whether it was no older than the one before.
+    /// Replaces the state by `state`. Returns false, without a change, if the current state is newer.
     pub(crate) fn apply(&mut self, now: Micros, state: Versioned<T::State>) -> bool {
         if state.version < self.state.version {
             return false;
@@ -119,20 +122,28 @@
         true
     }
 
-    /// Takes a lease that it asked for at `requested_at`. Before it was admitted it takes one only of a leader that
-    /// `is_recovered`. Returns whether it was taken.
-    pub(crate) fn take_lease(&mut self, requested_at: Micros, is_recovered: bool, config: &Config) -> bool {
-        if !(self.is_admitted || is_recovered || self.is_autonomous) {
+    /// Records a lease that the leader granted to this process at its request of `requested_at`.
+    /// `leader_knows_state` says whether the leader's state is complete.
+    ///
+    /// Returns false, without recording the lease, if the process still waits for admission and the leader's
+    /// state is not complete. The process would otherwise begin to serve with an incomplete state.
+    pub(crate) fn take_lease(
+        &mut self,
+        requested_at: Micros,
+        leader_knows_state: bool,
+        config: &Config,
+    ) -> bool {
+        if !(self.is_admitted || leader_knows_state || self.is_autonomous) {
             return false;
         }
         self.is_admitted = true;
-        self.has_complete_state |= is_recovered;
-        self.wait.reason = AdmissionReason::Admitted;
+        self.has_complete_state |= leader_knows_state;
+        self.admission_wait.reason = AdmissionReason::Admitted;
         self.lease_expiry = self.lease_expiry.max(requested_at + config.lease_duration);
         true
     }
 
-    /// Merges the complete state of another process into its own.
+    /// Merges the complete state of another process into the state of this one.
     pub(crate) fn merge(&mut self, now: Micros, other: Versioned<T::State>) {
         let mut own = self.current_state(now);
         if other.version > own.version {
@@ -145,7 +156,7 @@
         self.state_as_of = now;
     }
 
-    /// Whether it was admitted.
+    /// Stage of the admission, derived from the recorded lease and conclusions.
     pub(crate) fn admission_status(&self) -> AdmissionStatus {
         match (self.is_admitted, self.is_autonomous) {
             (true, _) => AdmissionStatus::Admitted,
--- a/lease/src/status.rs
+++ b/lease/src/status.rs
@@ -1,35 +1,37 @@
-//! The lease as operators see it.
+//! Status of a lease machine for operators.
 
 use crate::recovery_state::RecoveryState;
 use serde::{Deserialize, Serialize};
 
-/// The lease from the point of view of one process. The names of its keys in JSON are those of the side port.
+/// Status of the lease machine of one process, as shown on the status pages. The JSON keys must not change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaseStatus {
-    /// The process's name.
+    /// Name of the process that reports this status.
     pub me: String,
-    /// The leader, as far as the process knows; `None`: it knows of none.
+    /// Name of the leader; `None`: no leader is known.
     #[serde(rename = "holder")]
     pub leader: Option<String>,
-    /// The highest ballot that it has heard of.
+    /// Highest ballot that the process knows, as `round.name`; `None`: it knows none.
     #[serde(rename = "fence")]
     pub highest_ballot: Option<String>,
-    /// Whether the process itself is the leader.
+    /// True if the process holds the leader's lease.
     #[serde(rename = "holds")]
     pub is_leader: bool,
-    /// As the leader: the state is lost, and nothing new is decided.
+    /// True if the process is the leader and its state may lack committed changes. It then makes no new
+    /// decisions.
     #[serde(rename = "forgotten")]
     pub is_state_lost: bool,
-    /// Whether the process was admitted: `waits`, `admitted` or `alone`.
+    /// Admission of the process: `waits` (does not serve yet), `admitted` (by a leader) or `alone` (serves
+    /// without admission).
     #[serde(rename = "serving")]
     pub admission: String,
-    /// What it waits for, or why it may serve.
+    /// Text of the [`crate::AdmissionReason`] for which the process waits or serves.
     pub reason: String,
-    /// For how long its lease still runs, in milliseconds.
+    /// Remaining time of the lease that the leader granted to the process, in milliseconds; 0: none is valid.
     #[serde(rename = "permitted_ms")]
     pub lease_remaining_ms: u64,
-    /// The version of the state that it has applied.
+    /// Version of the state that the process has applied, or `none`.
     pub version: String,
-    /// As a voter, how far it has recovered; `None`: it is no voter.
+    /// Progress of the process's recovery as a voter; `None`: it is not a voter.
     pub voter: Option<RecoveryState>,
 }
--- a/quota/tests/model/main.rs
+++ b/quota/tests/model/main.rs
@@ -28,7 +28,7 @@
     }
 
     fn next_state(&self, state: &FleetState, fault: Fault) -> Option<FleetState> {
-        Some(self.run_step(state, fault).world)
+        Some(self.run_step(state, fault).state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
--- a/quota/tests/model/system.rs
+++ b/quota/tests/model/system.rs
@@ -158,7 +158,7 @@
             initial: state.clone(),
         };
         for _ in 0..40 {
-            state = fleet.run_step(&state, Fault::Nothing).world;
+            state = fleet.run_step(&state, Fault::Nothing).state;
         }
         // Processes that start together without any state each assume a slot until a leader answers. If there
         // is only one slot, this violates an invariant before the check begins.
--- a/zones/src/plan.rs
+++ b/zones/src/plan.rs
@@ -1,121 +1,123 @@
-//! The plan, as all proxies have it: what is settled.
+//! The plan, which is replicated to all processes. It is encoded by position: the order of fields is fixed.
 
-use crate::fill::{Level, PARTS};
-use crate::map::{good, Map, ZONES_MOST};
-use crate::word::Sight;
+use crate::allocation::{AdmissionLevel, TOTAL_WEIGHT};
+use crate::report::ZoneHealth;
+use crate::topology::{is_valid_name, Topology, MAX_ZONE_COUNT};
 use flaxhead_lease::{Micros, ReplicatedState, Version};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// The traffic of one zone.
+/// Distribution of one zone's traffic over all zones, which are identified by their names.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Row {
-    /// Where it is asked for.
-    pub from: String,
-    /// How much of it is let through.
-    pub level: Level,
-    /// Where that goes, in parts of [`PARTS`]; they add up to it. Zones that get nothing are left out.
-    pub shares: Vec<(String, u32)>,
+pub struct OriginSplit {
+    /// Name of the zone that the traffic comes from.
+    pub origin: String,
+    /// Part of the traffic that is admitted.
+    pub admission: AdmissionLevel,
+    /// Weight of each zone in the admitted traffic, [`TOTAL_WEIGHT`] in all. Zones with weight 0 are left
+    /// out.
+    pub weights: Vec<(String, u32)>,
 }
 
-/// A pair that is not well, or was not lately. Its time is a span beside the plan: it means the same at every clock.
+/// Health of one zone as seen from another. Times are spans, so that they mean the same by every clock.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Pair {
-    /// Who looks.
-    pub from: String,
-    /// At whom.
-    pub to: String,
-    /// How it is found: 0 well, 1 strained, 2 lost.
-    pub sight: u8,
-    /// By how many.
+pub struct PairHealth {
+    /// Name of the zone whose processes observe.
+    pub observer: String,
+    /// Name of the observed zone.
+    pub target: String,
+    /// Health: 0 healthy, 1 degraded, 2 unavailable.
+    pub health: u8,
+    /// Number of processes that agree on it.
     pub witnesses: u32,
-    /// How often it got lost lately.
-    pub falls: u32,
-    /// For how long it has been so.
+    /// Number of recent changes to unavailable, which lengthen the recovery delay.
+    pub recent_outages: u32,
+    /// Time since the health last changed.
     pub age: Micros,
 }
 
-/// What a zone can do, as it was reckoned with.
+/// Capacity of a zone that the plan is based on.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Room {
-    /// Which.
+pub struct ZoneCapacity {
+    /// Name of the zone.
     pub zone: String,
-    /// Calls a second.
-    pub calls: u32,
-    /// How much of what its hosts should do it was found to do, in thousandths.
-    pub learned: u32,
+    /// Capacity in calls per second.
+    pub calls_per_second: u32,
+    /// Ratio of the capacity that the zone was found to have to the nominal capacity of its hosts.
+    pub achieved_per_mille: u32,
 }
 
-/// An operator's word that stands.
+/// A command of an operator that is in effect.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Standing {
-    /// Who gave it.
+pub struct ActiveCommand {
+    /// Name of the operator.
     pub by: String,
-    /// How long ago.
+    /// Time since the command.
     pub age: Micros,
 }
 
-/// All of it.
+/// Distribution of the traffic of all zones, with the state that a new leader needs to continue.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Plan {
-    /// Its number; it only grows.
-    pub number: Version,
-    /// The traffic of each zone. One that reaches nothing has none.
-    pub rows: Vec<Row>,
-    /// Pairs that are of interest.
-    pub pairs: Vec<Pair>,
-    /// By zone.
-    pub rooms: Vec<Room>,
-    /// Nothing moves but out of a zone that is lost.
-    pub held: Option<Standing>,
-    /// Zones that operators have emptied.
-    pub emptied: Vec<(String, Standing)>,
+    /// Version: the ballot of the leader and the number of the plan under it. It only grows.
+    pub version: Version,
+    /// The split of each zone's traffic. Zones from which no zone can be reached have none.
+    pub splits: Vec<OriginSplit>,
+    /// Pairs of zones that are not healthy or had a recent outage.
+    pub pairs: Vec<PairHealth>,
+    /// Capacity of each zone at the time of the plan.
+    pub capacities: Vec<ZoneCapacity>,
+    /// The hold in effect: the plan changes only away from unavailable zones. `None`: no hold.
+    pub hold: Option<ActiveCommand>,
+    /// Names of the evacuated zones, each with its command.
+    pub evacuated: Vec<(String, ActiveCommand)>,
 }
 
-/// Why a plan is not gone by. It is refused whole.
+/// A reason why a process does not follow a plan. Invalid plans are rejected as a whole.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum PlanError {
-    /// The settings differ.
+    /// A zone that the settings do not have.
+    #[error("the plan names zone {0:?}, which the settings here lack; give all proxies the same zones")]
+    UnknownZone(String),
+    /// Two splits of one origin, or two weights of one target in a split.
     #[error(
-        "the plan names the zone {0:?}, which the settings here do not have; give all proxies the same zones"
+        "the plan has two weights of zone {target} for traffic from {origin}, or two splits of that traffic"
     )]
-    UnknownZone(String),
-    /// Which of the two?
-    #[error("the plan has two shares of {from} for {to}, or two rows of it")]
-    Twice {
-        /// Whose.
-        from: String,
-        /// Of which zone.
-        to: String,
+    DuplicateSplit {
+        /// Name of the zone that the traffic comes from.
+        origin: String,
+        /// Name of the zone that the traffic goes to; the name of the origin if the whole split is a
+        /// duplicate.
+        target: String,
     },
-    /// It does not add up.
-    #[error("the plan's shares of {from} add up to {sum} of {PARTS}")]
-    Sum {
-        /// Whose.
-        from: String,
-        /// What they add up to.
+    /// Weights that do not add up to [`TOTAL_WEIGHT`].
+    #[error("the plan's weights for traffic from {origin} add up to {sum}, not {TOTAL_WEIGHT}")]
+    InvalidWeightSum {
+        /// Name of the zone that the traffic comes from.
+        origin: String,
+        /// Sum of the weights.
         sum: u64,
     },
-    /// A level that cannot be.
-    #[error("the plan lets {part} of {PARTS} of a class of {from} through")]
-    Level {
-        /// Whose.
-        from: String,
-        /// What it says.
-        part: u16,
+    /// An admission level above the maximum.
+    #[error("the plan admits {ratio} of {TOTAL_WEIGHT} of a priority class from {origin}")]
+    InvalidAdmission {
+        /// Name of the zone that the traffic comes from.
+        origin: String,
+        /// Admitted ratio of the class, in units of 1 / [`TOTAL_WEIGHT`].
+        ratio: u16,
     },
-    /// It contradicts itself.
-    #[error("the plan sends traffic of {from} to {to}, which it says is lost to it")]
-    ToLost {
-        /// Whose.
-        from: String,
-        /// Where.
-        to: String,
+    /// Traffic to a zone that the plan itself has as unavailable.
+    #[error("the plan sends traffic from {origin} to {target}, which it marks as unavailable from there")]
+    RoutedToUnavailable {
+        /// Name of the zone that the traffic comes from.
+        origin: String,
+        /// Name of the zone that the traffic goes to.
+        target: String,
     },
 }
 
 fn printable(name: &str) -> String {
-    if good(name) {
+    if is_valid_name(name) {
         name.to_owned()
     } else {
         "?".to_owned()
@@ -123,76 +125,87 @@
 }
 
 impl Plan {
-    /// Whether it can be gone by.
-    pub fn check(&self, map: &Map) -> Result<(), PlanError> {
-        let known = |zone: &str| map.index(zone).ok_or_else(|| PlanError::UnknownZone(printable(zone)));
+    /// Checks that a process with this topology can follow the plan.
+    pub fn check(&self, topology: &Topology) -> Result<(), PlanError> {
+        let index_of =
+            |zone: &str| topology.index(zone).ok_or_else(|| PlanError::UnknownZone(printable(zone)));
         let mut origins = BTreeSet::new();
-        let mut lost = BTreeSet::new();
+        let mut unavailable = BTreeSet::new();
         for pair in &self.pairs {
-            let (from, to) = (known(&pair.from)?, known(&pair.to)?);
-            if pair.sight >= Sight::Lost as u8 {
-                lost.insert((from, to));
+            let (observer, target) = (index_of(&pair.observer)?, index_of(&pair.target)?);
+            if pair.health >= ZoneHealth::Unavailable as u8 {
+                unavailable.insert((observer, target));
             }
         }
-        for zone in self.emptied.iter().map(|(zone, _)| zone).chain(self.rooms.iter().map(|room| &room.zone))
+        for zone in self
+            .evacuated
+            .iter()
+            .map(|(zone, _)| zone)
+            .chain(self.capacities.iter().map(|capacity| &capacity.zone))
         {
-            known(zone)?;
+            index_of(zone)?;
         }
-        for Row { from, level, shares } in &self.rows {
-            let place = known(from)?;
-            if !origins.insert(place) {
-                return Err(PlanError::Twice { from: from.clone(), to: from.clone() });
+        for OriginSplit { origin, admission, weights } in &self.splits {
+            let origin_index = index_of(origin)?;
+            if !origins.insert(origin_index) {
+                return Err(PlanError::DuplicateSplit { origin: origin.clone(), target: origin.clone() });
             }
-            if u32::from(level.part) > PARTS {
-                return Err(PlanError::Level { from: from.clone(), part: level.part });
+            if u32::from(admission.partial_ratio) > TOTAL_WEIGHT {
+                return Err(PlanError::InvalidAdmission {
+                    origin: origin.clone(),
+                    ratio: admission.partial_ratio,
+                });
             }
-            let mut seen = [false; ZONES_MOST];
-            for (to, _) in shares {
-                let to_place = known(to)?;
-                if std::mem::replace(&mut seen[to_place], true) {
-                    return Err(PlanError::Twice { from: from.clone(), to: to.clone() });
+            let mut seen = [false; MAX_ZONE_COUNT];
+            for (target, _) in weights {
+                let target_index = index_of(target)?;
+                if std::mem::replace(&mut seen[target_index], true) {
+                    return Err(PlanError::DuplicateSplit { origin: origin.clone(), target: target.clone() });
                 }
-                if lost.contains(&(place, to_place)) {
-                    return Err(PlanError::ToLost { from: from.clone(), to: to.clone() });
+                if unavailable.contains(&(origin_index, target_index)) {
+                    return Err(PlanError::RoutedToUnavailable {
+                        origin: origin.clone(),
+                        target: target.clone(),
+                    });
                 }
             }
-            let sum = shares.iter().map(|(_, parts)| u64::from(*parts)).sum();
-            if sum != u64::from(PARTS) {
-                return Err(PlanError::Sum { from: from.clone(), sum });
+            let sum = weights.iter().map(|(_, weight)| u64::from(*weight)).sum();
+            if sum != u64::from(TOTAL_WEIGHT) {
+                return Err(PlanError::InvalidWeightSum { origin: origin.clone(), sum });
             }
         }
         Ok(())
     }
 
-    /// The row of a zone.
-    pub fn row(&self, from: &str) -> Option<&Row> {
-        self.rows.iter().find(|row| row.from == from)
+    /// The split of a zone's traffic.
+    pub fn split(&self, origin: &str) -> Option<&OriginSplit> {
+        self.splits.iter().find(|split| split.origin == origin)
     }
 
-    /// Whether operators have emptied a zone.
-    pub fn emptied(&self, zone: &str) -> bool {
-        self.emptied.iter().any(|(emptied, _)| emptied == zone)
+    /// Whether operators have evacuated a zone.
+    pub fn is_evacuated(&self, zone: &str) -> bool {
+        self.evacuated.iter().any(|(evacuated, _)| evacuated == zone)
     }
 }
 
 impl ReplicatedState for Plan {
-    fn advance(&mut self, by: Micros) {
-        let orders = self.emptied.iter_mut().map(|(_, standing)| standing).chain(&mut self.held);
+    fn advance(&mut self, elapsed: Micros) {
+        let commands = self.evacuated.iter_mut().map(|(_, command)| command).chain(&mut self.hold);
         let ages =
-            orders.map(|standing| &mut standing.age).chain(self.pairs.iter_mut().map(|pair| &mut pair.age));
-        ages.for_each(|age| *age = age.saturating_add(by));
+            commands.map(|command| &mut command.age).chain(self.pairs.iter_mut().map(|pair| &mut pair.age));
+        ages.for_each(|age| *age = age.saturating_add(elapsed));
     }
 
-    /// The later plan, with the orders that stand in either: what an operator emptied stays so.
+    /// Keeps the later of the two plans, with the evacuations of both, so that no operator's command is lost.
     fn merge(&mut self, other: &Plan) -> bool {
         let before = self.clone();
         let mut earlier = other.clone();
-        if other.number > self.number {
+        if other.version > self.version {
             std::mem::swap(self, &mut earlier);
         }
-        for (zone, standing) in earlier.emptied {
-            if !self.emptied(&zone) && self.emptied.len() < ZONES_MOST {
-                self.emptied.push((zone, standing));
+        for (zone, command) in earlier.evacuated {
+            if !self.is_evacuated(&zone) && self.evacuated.len() < MAX_ZONE_COUNT {
+                self.evacuated.push((zone, command));
             }
         }
         *self != before
