--- a/policy/src/balance/balancer.rs
+++ b/policy/src/balance/balancer.rs
@@ -1,6 +1,6 @@
-//! What a balancer knows, and the figures that follow from it.
+//! State of a balancer and values derived from it.
 
-pub(super) use super::{constants::*, server::Server, windows::*};
+pub(super) use super::{constants::*, server::Server, subset::*};
 pub(super) use crate::{api::*, state::*};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
@@ -9,107 +9,104 @@
 
 pub(super) type Actions = Vec<Action>;
 
-/// Decides for one client proxy.
+/// Load balancer of one client proxy: takes events and returns actions, without I/O or a clock.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Balancer {
-    /// Told anew where the rest is restored.
+    /// Not serialized: supplied again on restore.
     #[serde(skip)]
     pub(super) settings: Settings,
-    pub(super) random: Pcg32,
+    pub(super) rng: Pcg32,
     pub(super) servers: Vec<Server>,
-    pub(super) thin: Option<Thin>,
-    /// By zone: connections that failed in a row, and until when it is passed over.
-    pub(super) cut_off: BTreeMap<ZoneId, (u32, Micros)>,
-    pub(super) ways: BTreeMap<ZoneId, Way>,
-    /// Answer times of each model beside those of all, without the way there.
-    pub(super) models: BTreeMap<ModelId, Model>,
+    pub(super) sparse: Option<SparseTraffic>,
+    /// For each zone: consecutive connection failures, and the end of its backoff.
+    pub(super) zone_backoffs: BTreeMap<ZoneId, (u32, Micros)>,
+    pub(super) zones: BTreeMap<ZoneId, ZoneLatency>,
+    /// For each server model: latency relative to all models, without the zone's network latency.
+    pub(super) models: BTreeMap<ModelId, ModelLatency>,
     pub(super) calls: BTreeMap<CallId, Call>,
     pub(super) queue: VecDeque<CallId>,
-    pub(super) wakes: BTreeSet<(Micros, CallId)>,
-    pub(super) paces: Vec<Pace>,
-    pub(super) tenants: Vec<f64>,
-    pub(super) retries: f64,
-    pub(super) listed: usize,
-    pub(super) aside: usize,
-    pub(super) sends: u64,
-    pub(super) served: u64,
+    pub(super) call_timers: BTreeSet<(Micros, CallId)>,
+    pub(super) latencies: Vec<ClassLatency>,
+    pub(super) tenant_shares: Vec<f64>,
+    pub(super) retry_tokens: f64,
+    pub(super) listed_count: usize,
+    pub(super) ejected_count: usize,
+    pub(super) send_count: u64,
+    pub(super) served_count: u64,
     pub(super) timer_at: Micros,
-    pub(super) ask_at: Micros,
-    /// When discovery was last asked.
-    pub(super) asked_at: Micros,
-    pub(super) ask_failures: u32,
-    /// When cold servers last earned turns.
-    pub(super) earned_at: Micros,
-    /// From when on none of the list is cold, by the rules; it follows from the servers.
+    pub(super) subscribe_at: Micros,
+    pub(super) last_subscribe_at: Micros,
+    pub(super) subscribe_failures: u32,
+    pub(super) credits_updated_at: Micros,
+    /// Time from which no listed server is warming up.
     #[serde(skip)]
-    pub(super) warm_from: Micros,
+    pub(super) all_warm_at: Micros,
 }
 
 impl Balancer {
-    /// A balancer that draws all its random numbers from `seed`.
+    /// Creates a balancer that draws all its random numbers from `seed`.
     pub fn new(seed: u64, settings: Settings) -> Self {
-        let pace = |c: &Class| Pace {
+        let class_latency = |c: &Class| ClassLatency {
             mean: c.objective as f64 / 4.0,
-            base: c.objective as f64 / 4.0,
-            ..Pace::default()
+            base_us: c.objective as f64 / 4.0,
+            ..ClassLatency::default()
         };
         Balancer {
-            random: Pcg32::seed_from_u64(seed),
-            paces: settings.classes.iter().map(pace).collect(),
-            tenants: vec![0.0; settings.tenants.len()],
-            thin: Thin::new(settings.balancer_count),
+            rng: Pcg32::seed_from_u64(seed),
+            latencies: settings.classes.iter().map(class_latency).collect(),
+            tenant_shares: vec![0.0; settings.tenants.len()],
+            sparse: SparseTraffic::new(settings.balancer_count),
             settings,
             servers: Vec::new(),
-            cut_off: BTreeMap::new(),
-            ways: BTreeMap::new(),
+            zone_backoffs: BTreeMap::new(),
+            zones: BTreeMap::new(),
             models: BTreeMap::new(),
             calls: BTreeMap::new(),
             queue: VecDeque::new(),
-            wakes: BTreeSet::new(),
-            retries: RETRY_SAVED,
-            listed: 0,
-            aside: 0,
-            sends: 0,
-            served: 0,
+            call_timers: BTreeSet::new(),
+            retry_tokens: MAX_RETRY_TOKENS,
+            listed_count: 0,
+            ejected_count: 0,
+            send_count: 0,
+            served_count: 0,
             timer_at: Micros::MAX,
-            ask_at: Micros::MAX,
-            asked_at: 0,
-            ask_failures: 0,
-            earned_at: 0,
-            warm_from: 0,
+            subscribe_at: Micros::MAX,
+            last_subscribe_at: 0,
+            subscribe_failures: 0,
+            credits_updated_at: 0,
+            all_warm_at: 0,
         }
     }
 
-    pub(super) fn usual(&self, class_id: usize, objective: Micros) -> f64 {
-        self.paces.get(class_id).map_or(objective as f64 / 4.0, |p| p.mean)
+    pub(super) fn mean_latency(&self, class_id: usize, objective: Micros) -> f64 {
+        self.latencies.get(class_id).map_or(objective as f64 / 4.0, |class| class.mean)
     }
 
-    /// Trouble seen at most of the fleet is not the servers' own: never are most set aside.
-    pub(super) fn count(&mut self) {
-        self.listed = self.servers.iter().filter(|s| s.listed).count();
-        self.aside = self.servers.iter().filter(|s| s.aside()).count();
+    pub(super) fn update_counts(&mut self) {
+        self.listed_count = self.servers.iter().filter(|s| s.listed).count();
+        self.ejected_count = self.servers.iter().filter(|s| s.is_ejected()).count();
         let warm = |s: &Server| s.started_at.saturating_add(self.settings.safety.slow_start_window);
-        self.warm_from = self.servers.iter().filter(|s| s.started_at > 0).map(warm).max().unwrap_or(0);
+        self.all_warm_at = self.servers.iter().filter(|s| s.started_at > 0).map(warm).max().unwrap_or(0);
     }
 
-    /// How many servers this balancer's calls are spread over.
-    pub(super) fn window(&self) -> usize {
-        window(self.thin.as_ref(), self.servers.len())
+    /// Number of servers over which this balancer spreads its calls.
+    pub(super) fn subset_size(&self) -> usize {
+        subset_size(self.sparse.as_ref(), self.servers.len())
     }
 
-    pub(super) fn first_backoff(&self) -> Micros {
-        ((self.longest_aim() * BACKOFF_AIM) as Micros).max(1_000)
+    pub(super) fn initial_backoff(&self) -> Micros {
+        ((self.max_objective() * BACKOFF_RATIO) as Micros).max(1_000)
     }
 
-    pub(super) fn longest_aim(&self) -> f64 {
+    pub(super) fn max_objective(&self) -> f64 {
         self.settings.classes.iter().map(|c| c.objective).max().unwrap_or(0).max(1) as f64
     }
 
-    pub(super) fn longest_usual(&self) -> f64 {
-        self.paces.iter().map(|p| p.mean).fold(1.0, f64::max)
+    pub(super) fn max_mean_latency(&self) -> f64 {
+        self.latencies.iter().map(|class| class.mean).fold(1.0, f64::max)
     }
 
-    pub(super) fn below(&mut self, bound: u64) -> u64 {
-        (u64::from(self.random.next_u32()) * bound.min(u64::from(u32::MAX))) >> 32
+    pub(super) fn random_below(&mut self, bound: u64) -> u64 {
+        (u64::from(self.rng.next_u32()) * bound.min(u64::from(u32::MAX))) >> 32
     }
 }
--- a/policy/src/balance/budget.rs
+++ b/policy/src/balance/budget.rs
@@ -1,56 +1,57 @@
-//! How much a server may have in flight, and how that grows and is cut.
+//! In-flight budget of a server: growth by served trials, reduction under overload.
 
 use super::constants::*;
 use crate::api::Micros;
 use serde::{Deserialize, Serialize};
 
-/// Per-server in-flight budget: steps x concurrency, grown one served trial at a time under a shared backoff.
+/// In-flight budget: `steps` times `concurrency` calls, grown one served trial at a time.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub(super) struct Budget {
     pub(super) steps: u32,
     pub(super) concurrency: f64,
-    /// The budget that cuts leave at the least.
+    /// Budget below which only a severe reduction goes, in calls.
     pub(super) floor: f64,
-    pub(super) trial_out: bool,
+    pub(super) trial_in_flight: bool,
     pub(super) doublings: u32,
-    pub(super) backoff_end: Micros,
+    pub(super) backoff_until: Micros,
 }
 
 impl Budget {
     pub(super) fn new(balancer_count: u32) -> Self {
-        let of_all = |concurrency: f64| concurrency / f64::from(balancer_count.max(1));
-        let (concurrency, floor) = (of_all(START_CONCURRENCY), of_all(FLOOR_CONCURRENCY));
+        let per_balancer = |concurrency: f64| concurrency / f64::from(balancer_count.max(1));
+        let (concurrency, floor) = (per_balancer(INITIAL_CALLS), per_balancer(FLOOR_CALLS));
         Budget { steps: 1, concurrency, floor, ..Budget::default() }
     }
 
-    pub(super) fn trial_ready(&self, now: Micros) -> bool {
-        !self.trial_out && now >= self.backoff_end
+    pub(super) fn is_trial_due(&self, now: Micros) -> bool {
+        !self.trial_in_flight && now >= self.backoff_until
     }
 
-    pub(super) fn trial_served(&mut self) {
+    pub(super) fn record_served_trial(&mut self) {
         self.doublings = 0;
-        if self.steps < STEP_CLAMP {
+        if self.steps < MAX_STEP_COUNT {
             self.steps += 1;
         } else {
-            // At the clamp the concurrency figure itself was learned too low: it takes the step instead.
-            self.concurrency *= 1.0 + 1.0 / f64::from(STEP_CLAMP);
+            // At the maximum of steps the learned concurrency is too low and grows instead.
+            self.concurrency *= 1.0 + 1.0 / f64::from(MAX_STEP_COUNT);
         }
     }
 
-    pub(super) fn back_off(&mut self, now: Micros, first: Micros) {
-        self.backoff_end = now + (first << self.doublings);
-        self.doublings = (self.doublings + 1).min(BACKOFF_DOUBLINGS);
+    pub(super) fn start_backoff(&mut self, now: Micros, initial: Micros) {
+        self.backoff_until = now + (initial << self.doublings);
+        self.doublings = (self.doublings + 1).min(MAX_BACKOFF_DOUBLINGS);
     }
 
-    /// A cut ends at the floor, and comes up to it after a deep one. Deep are a refusal as full, and answers
-    /// near their aim or past it: the server then does far less than the floor supposes.
-    pub(super) fn cut(&mut self, to: f64, deep: bool) {
-        let least = if deep { self.floor * DEEP_FLOOR } else { self.floor } / f64::from(self.steps.max(1));
-        self.concurrency = (self.concurrency * to.max(CUT_MOST)).max(least);
+    /// Multiplies the concurrency by `remaining`, but not below the floor. A severe reduction, after a
+    /// rejection or a latency near the objective, has a lower floor.
+    pub(super) fn reduce(&mut self, remaining: f64, severe: bool) {
+        let min =
+            if severe { self.floor * SEVERE_FLOOR_RATIO } else { self.floor } / f64::from(self.steps.max(1));
+        self.concurrency = (self.concurrency * remaining.max(MIN_REMAINING_RATIO)).max(min);
     }
 }
 
-/// Do so many answers, or so long a time, since a budget changed tell what the change did?
-pub(super) fn enough(answers: u32, since: Micros, usual: f64) -> bool {
-    f64::from(answers) * SMOOTHING >= 1.0 || since as f64 >= 2.0 * usual
+/// Whether enough answers or enough time followed a change of budget to judge its effect.
+pub(super) fn is_conclusive(answers: u32, elapsed: Micros, mean: f64) -> bool {
+    f64::from(answers) * EMA_RATIO >= 1.0 || elapsed as f64 >= 2.0 * mean
 }
--- a/policy/src/balance/pick.rs
+++ b/policy/src/balance/pick.rs
@@ -1,173 +1,169 @@
-//! Where a call goes: a chain of steps, each of which narrows the servers that the one before it left.
+//! Server selection in five steps, each of which narrows the candidates of the step before.
 //!
-//! 1. *May go*: listed, up, rested, warm or at its turn, its zone not passed over, and open to this call.
-//! 2. *Cold turn*: a cold server whose turn has come is sent to before all others.
-//! 3. *Window*: as many, from this balancer's place on the ring on, as its traffic meets often.
-//! 4. *In time*: the way there and back fits into the call's time; for a thin balancer the answer too, and
-//!    its own zone comes first where the answer is expected early. For others it does where it has room and
-//!    answers far from its limit.
-//! 5. *Room*: two random ones of all, if the better has room; else two of those with room; else a trial.
+//! 1. Eligible: listed, usable, not in a zone that backs off, and allowed for this call.
+//! 2. Slow start: a warming server that has earned a call is preferred to all others.
+//! 3. Subset: the first servers on the ring from this balancer's position on, as many as its traffic needs.
+//! 4. In time: servers that can answer in time, and those of the local zone while they answer well.
+//! 5. Room: the better of two random servers within budget, otherwise a trial.
 //!
-//! Steps 3 and 4 never leave nothing where the step before left something: a preference yields, a rule does
-//! not.
+//! Steps 3 and 4 are preferences: they never leave the call without a candidate.
 
 use super::balancer::*;
 
-/// What the steps of one pick share.
-struct Pick<'a> {
+/// Inputs shared by the steps of one selection.
+struct PickContext<'a> {
     now: Micros,
     call: &'a Call,
-    /// Usual answer time of the call's class.
-    usual: f64,
-    /// Zones that are passed over.
-    cut: Vec<ZoneId>,
+    mean: f64,
+    zones_in_backoff: Vec<ZoneId>,
 }
 
-/// Keeps those that are good, unless none is.
-fn prefer(places: &mut Vec<usize>, good: impl Fn(usize) -> bool) {
-    if places.iter().any(|&place| good(place)) {
-        places.retain(|&place| good(place));
+/// Keeps the preferred candidates, or all if there are none.
+fn prefer(candidates: &mut Vec<usize>, is_preferred: impl Fn(usize) -> bool) {
+    if candidates.iter().any(|&index| is_preferred(index)) {
+        candidates.retain(|&index| is_preferred(index));
     }
 }
 
 impl Balancer {
-    /// Send, queue or refuse?
+    /// Decides whether a call is sent, queued or rejected.
     pub(super) fn route(&mut self, now: Micros, id: CallId) -> Route {
         let call = &self.calls[&id];
-        let usual = self.usual(call.class_id, call.class.objective);
-        let cut = self.cut_off.iter().filter(|(_, cut)| now < cut.1).map(|(&zone, _)| zone).collect();
-        let pick = Pick { now, call, usual, cut };
-        if let Some(server) = self.cold_turn(&pick) {
-            return Route::Send { server, trial: Trial::No };
+        let mean = self.mean_latency(call.class_id, call.class.objective);
+        let zones_in_backoff =
+            self.zone_backoffs.iter().filter(|(_, backoff)| now < backoff.1).map(|(&zone, _)| zone).collect();
+        let pick = PickContext { now, call, mean, zones_in_backoff };
+        if let Some(server) = self.pick_warming_up(&pick) {
+            return Route::Send { server, kind: SendKind::Regular };
         }
-        let mut up = self.windowed(&pick);
-        self.in_time(&pick, &mut up);
+        let mut candidates = self.subset(&pick);
+        self.prefer_in_time(&pick, &mut candidates);
         let safety = self.settings.safety;
-        if let Some(server) = self.two_choices(now, usual, &up) {
-            if !self.servers[server].full(now, &safety) {
-                return Route::Send { server, trial: Trial::No };
+        if let Some(server) = self.two_choices(now, mean, &candidates) {
+            if !self.servers[server].is_full(now, &safety) {
+                return Route::Send { server, kind: SendKind::Regular };
             }
         }
-        let longest = self.longest_usual();
-        let of = |keep: &dyn Fn(&Server) -> bool| -> Vec<usize> {
-            up.iter().copied().filter(|&place| keep(&self.servers[place])).collect()
+        let max_mean = self.max_mean_latency();
+        let only = |keep: &dyn Fn(&Server) -> bool| -> Vec<usize> {
+            candidates.iter().copied().filter(|&index| keep(&self.servers[index])).collect()
         };
-        let (room, trials) =
-            (of(&|s| !s.full(now, &safety)), of(&|s| s.may_take_trial(now, longest, &safety)));
-        match (self.two_choices(now, usual, &room), self.two_choices(now, usual, &trials)) {
-            (Some(server), _) => Route::Send { server, trial: Trial::No },
-            (None, Some(server)) => Route::Send { server, trial: Trial::Server },
-            (None, None) => self.queue_or_refuse(now),
+        let (with_room, trials) =
+            (only(&|s| !s.is_full(now, &safety)), only(&|s| s.may_take_trial(now, max_mean, &safety)));
+        match (self.two_choices(now, mean, &with_room), self.two_choices(now, mean, &trials)) {
+            (Some(server), _) => Route::Send { server, kind: SendKind::Regular },
+            (None, Some(server)) => Route::Send { server, kind: SendKind::Trial },
+            (None, None) => self.queue_or_reject(now),
         }
     }
 
-    /// With no server up there is nothing to wait for until the first comes back.
-    fn queue_or_refuse(&self, now: Micros) -> Route {
+    /// Rejects only if all listed servers are ejected: otherwise an answer may free a server.
+    fn queue_or_reject(&self, now: Micros) -> Route {
         let all = self.servers.iter().filter(|s| s.listed);
-        let down = all.clone().all(|s| s.budget.steps == 0);
-        let first = all.map(|s| s.budget.backoff_end).min().filter(|_| down);
-        first.map_or(Route::Queue, |at| Route::Reject {
-            retry_after: at.saturating_sub(now).max(self.first_backoff()),
+        let all_down = all.clone().all(|s| s.budget.steps == 0);
+        let first_retry_at = all.map(|s| s.budget.backoff_until).min().filter(|_| all_down);
+        first_retry_at.map_or(Route::Queue, |at| Route::Reject {
+            retry_after: at.saturating_sub(now).max(self.initial_backoff()),
         })
     }
 
     /// Step 1, for one server.
-    fn may_go(&self, pick: &Pick<'_>, server: &Server) -> bool {
-        server.usable(pick.now, self.served, &self.settings.safety)
-            && !pick.cut.contains(&server.zone)
-            && pick.call.may_go(pick.now, server, self.settings.clock_tick)
+    fn is_eligible(&self, pick: &PickContext<'_>, server: &Server) -> bool {
+        server.is_usable(pick.now, self.served_count, &self.settings.safety)
+            && !pick.zones_in_backoff.contains(&server.zone)
+            && pick.call.may_go_to(pick.now, server, self.settings.clock_tick)
     }
 
-    /// The servers that the call may go to, from this balancer's place on: windows begin at even distances on
-    /// the ring of servers, so that each server is in as many as any other.
-    fn ring<'a>(&'a self, pick: &'a Pick<'a>) -> impl Iterator<Item = usize> + 'a {
+    /// Eligible servers in ring order. Balancers start at even distances for even subsets.
+    fn ring<'a>(&'a self, pick: &'a PickContext<'a>) -> impl Iterator<Item = usize> + 'a {
         let len = self.servers.len();
         let balancer_count = self.settings.balancer_count.max(1) as usize;
         let start = (self.settings.balancer_index as usize * len / balancer_count) % len.max(1);
-        (start..len).chain(0..start).filter(|&place| self.may_go(pick, &self.servers[place]))
+        (start..len).chain(0..start).filter(|&index| self.is_eligible(pick, &self.servers[index]))
     }
 
-    /// Step 2. A cold server has its part when its turn comes: left to chance among all, it would get far
-    /// less.
-    fn cold_turn(&self, pick: &Pick<'_>) -> Option<usize> {
+    /// Step 2. Left to random choice, a warming server would get far less than its share.
+    fn pick_warming_up(&self, pick: &PickContext<'_>) -> Option<usize> {
         let now = pick.now;
-        if now >= self.warm_from || !pick.call.attempts.is_empty() {
+        if now >= self.all_warm_at || !pick.call.attempts.is_empty() {
             return None;
         }
-        let due = |s: &Server| s.warmth(now, &self.settings.safety) < 1.0 && s.in_flight == 0;
-        let turns = |place: &usize| self.servers[*place].turns;
+        let is_due = |s: &Server| s.warmup_ratio(now, &self.settings.safety) < 1.0 && s.in_flight == 0;
+        let send_credits = |index: &usize| self.servers[*index].send_credits;
         self.ring(pick)
-            .filter(|&place| due(&self.servers[place]))
-            .max_by(|a, b| turns(a).total_cmp(&turns(b)))
+            .filter(|&index| is_due(&self.servers[index]))
+            .max_by(|a, b| send_credits(a).total_cmp(&send_credits(b)))
     }
 
-    /// Step 3. A further attempt goes to servers that the call has not been at, as long as there are any.
-    fn windowed(&self, pick: &Pick<'_>) -> Vec<usize> {
-        let untried = |place: usize| pick.call.untried(self.servers[place].id);
-        let fresh = self.ring(pick).any(untried);
-        self.ring(pick).filter(|&place| !fresh || untried(place)).take(self.window()).collect()
+    /// Step 3. A retry goes to a server that the call has not tried, if there is one.
+    fn subset(&self, pick: &PickContext<'_>) -> Vec<usize> {
+        let is_untried = |index: usize| pick.call.is_untried(self.servers[index].id);
+        let any_untried = self.ring(pick).any(is_untried);
+        self.ring(pick).filter(|&index| !any_untried || is_untried(index)).take(self.subset_size()).collect()
     }
 
-    /// Step 4. A call with little time left is not sent where the way alone takes it, as long as others
-    /// have room; and the less loaded of two jammed is jammed: where servers are seldom met, both choices
-    /// come from those whose answer is expected within the aim, while any of them has room.
-    fn in_time(&self, pick: &Pick<'_>, up: &mut Vec<usize>) {
-        let &Pick { now, call, usual, .. } = pick;
-        let room = |s: &Server| !s.full(now, &self.settings.safety);
-        let soon = |way: f64| now as f64 + way * STRAIN_WAY <= call.deadline as f64;
-        let furthest = self.ways.values().filter_map(|way| way.least).fold(0.0, f64::max);
-        let near = |place: usize| soon(self.least_way(self.servers[place].zone));
-        if !soon(furthest) && !up.iter().all(|&place| near(place)) {
-            prefer(up, |place| near(place) && room(&self.servers[place]));
+    /// Step 4. Avoids zones too far away for the time left. For a sparse balancer, which rarely meets a
+    /// server, the expected latency must also be within the objective.
+    fn prefer_in_time(&self, pick: &PickContext<'_>, candidates: &mut Vec<usize>) {
+        let &PickContext { now, call, mean, .. } = pick;
+        let has_room = |s: &Server| !s.is_full(now, &self.settings.safety);
+        let reaches_in_time = |zone_us: f64| now as f64 + zone_us * LIMIT_ZONE_RATIO <= call.deadline as f64;
+        let max_zone_latency = self.zones.values().filter_map(|zone| zone.min_us).fold(0.0, f64::max);
+        let is_near = |index: usize| reaches_in_time(self.min_zone_us(self.servers[index].zone));
+        if !reaches_in_time(max_zone_latency) && !candidates.iter().all(|&index| is_near(index)) {
+            prefer(candidates, |index| is_near(index) && has_room(&self.servers[index]));
         }
-        if self.thin.is_some() {
+        if self.sparse.is_some() {
             let objective = call.class.objective as f64;
-            let good = |s: &Server| self.expected(now, s, usual) <= objective && room(s);
-            prefer(up, |place| good(&self.servers[place]));
-            // Leaving the zone has a price, being late a higher one.
-            let early = |s: &Server| s.in_flight == 0 && self.expected(now, s, usual) <= objective * HOME_AIM;
-            let home = |s: &Server| Some(s.zone) == self.settings.local_zone && early(s);
-            prefer(up, |place| home(&self.servers[place]));
+            let is_preferred = |s: &Server| self.expected_us(now, s, mean) <= objective && has_room(s);
+            prefer(candidates, |index| is_preferred(&self.servers[index]));
+            // A late answer costs more than leaving the zone.
+            let answers_early = |s: &Server| {
+                s.in_flight == 0 && self.expected_us(now, s, mean) <= objective * SPARSE_LOCAL_RATIO
+            };
+            let is_local = |s: &Server| Some(s.zone) == self.settings.local_zone && answers_early(s);
+            prefer(candidates, |index| is_local(&self.servers[index]));
         } else {
-            let home =
-                |s: &Server| Some(s.zone) == self.settings.local_zone && s.strain <= HOME_STRAIN && room(s);
-            prefer(up, |place| home(&self.servers[place]));
+            let is_local = |s: &Server| {
+                Some(s.zone) == self.settings.local_zone && s.latency_ratio <= LOCAL_RATIO && has_room(s)
+            };
+            prefer(candidates, |index| is_local(&self.servers[index]));
         }
     }
 
-    /// The least time that an answer from a zone has lately taken.
-    fn least_way(&self, zone: ZoneId) -> f64 {
-        self.ways.get(&zone).and_then(|way| way.least).unwrap_or(0.0)
+    fn min_zone_us(&self, zone: ZoneId) -> f64 {
+        self.zones.get(&zone).and_then(|zone| zone.min_us).unwrap_or(0.0)
     }
 
-    /// The time that an answer to a call of usual time `usual` is likely to take from a server.
-    fn expected(&self, now: Micros, server: &Server, usual: f64) -> f64 {
-        let model = self.models.get(&server.model).map_or(0.0, |model| model.log);
-        self.least_way(server.zone) + usual * (model + server.beside(now)).exp()
+    /// Expected latency of a call at a server, in microseconds.
+    fn expected_us(&self, now: Micros, server: &Server, mean: f64) -> f64 {
+        let model = self.models.get(&server.model).map_or(0.0, |model| model.log_ratio);
+        self.min_zone_us(server.zone) + mean * (model + server.deviation(now)).exp()
     }
 
-    /// What tells two servers with as many calls in flight apart; less is better. A thin balancer has none in
-    /// flight at most servers, and goes by what it has lately sent there and by what it may expect.
-    fn tie(&self, now: Micros, usual: f64, server: &Server) -> f64 {
-        match self.thin {
+    /// Cost that decides between servers with equally many calls in flight; lower is better. A sparse
+    /// balancer has none in flight at most servers and uses recent load and expected latency.
+    fn cost(&self, now: Micros, mean: f64, server: &Server) -> f64 {
+        match self.sparse {
             Some(_) => {
-                let (sends, per) = (self.sends as f64, self.window() as f64);
-                (server.recent_load(sends, per) + usual / server.weight) * self.expected(now, server, usual)
+                let (send_count, subset_size) = (self.send_count as f64, self.subset_size() as f64);
+                (server.recent_load(send_count, subset_size) + mean / server.weight)
+                    * self.expected_us(now, server, mean)
             }
-            None => server.recent_slowness(now, self.ways.get(&server.zone), self.longest_aim()),
+            None => server.recent_ratio(now, self.zones.get(&server.zone), self.max_objective()),
         }
     }
 
-    /// Step 5. The less loaded of two random ones by own calls in flight; what is known beside breaks ties.
-    fn two_choices(&mut self, now: Micros, usual: f64, among: &[usize]) -> Option<usize> {
-        let len = among.len() as u64;
-        let first = self.below(len);
-        let a = *among.get(first as usize)?;
-        let b = among[((first + 1 + self.below(len - 1)) % len) as usize];
+    /// Step 5. Power of two choices by calls in flight.
+    fn two_choices(&mut self, now: Micros, mean: f64, candidates: &[usize]) -> Option<usize> {
+        let len = candidates.len() as u64;
+        let first = self.random_below(len);
+        let a = *candidates.get(first as usize)?;
+        let b = candidates[((first + 1 + self.random_below(len - 1)) % len) as usize];
         let (one, other) = (&self.servers[a], &self.servers[b]);
-        let better = other.in_flight < one.in_flight
+        let other_is_better = other.in_flight < one.in_flight
             || other.in_flight == one.in_flight
-                && self.tie(now, usual, other) < self.tie(now, usual, one) * ALIKE;
-        Some(if better { b } else { a })
+                && self.cost(now, mean, other) < self.cost(now, mean, one) * TIE_RATIO;
+        Some(if other_is_better { b } else { a })
     }
 }
--- a/policy/src/balance/queue.rs
+++ b/policy/src/balance/queue.rs
@@ -1,102 +1,105 @@
-//! Which calls wait, in what order, and how long.
+//! Queue of calls: admission, order and time limits.
 
-use super::{balancer::*, times::shown_for};
+use super::{balancer::*, latency::evidence_lifetime};
 
 impl Balancer {
-    /// Lets a new call join the queue, unless it would wait too long there.
+    /// Queues a new call, or rejects it if it would wait too long.
     pub(super) fn admit(&mut self, now: Micros, id: CallId, tenant: Option<TenantId>, actions: &mut Actions) {
-        let over_share = tenant.is_some_and(|t| self.over_share(t));
-        let waited = self.queue.front().map_or(0, |head| now.saturating_sub(self.calls[head].arrived));
-        // Not even a usual answer would come before its client gives up: it would only add to the work.
-        // A guess or old news is not held against it.
+        let over_share = tenant.is_some_and(|tenant| self.over_share(tenant));
+        let head_wait = self.queue.front().map_or(0, |head| now.saturating_sub(self.calls[head].arrived_at));
+        // A call without time for a mean answer would only add load. The mean counts only if it is recent.
         let call = &self.calls[&id];
-        let shown = shown_for(self.longest_aim());
-        let lately = |p: &&Pace| p.seen > 8 && now.saturating_sub(p.at) as f64 <= shown;
-        let usual = self.paces.get(call.class_id).filter(lately).map_or(0.0, |p| p.mean);
-        if ((call.deadline - now) as f64) < usual.min(call.class.objective as f64) {
-            self.give_up(id, self.first_backoff(), actions);
-        } else if waited > self.wait_limit(id, over_share) {
-            self.give_up(id, waited, actions);
+        let max_age = evidence_lifetime(self.max_objective());
+        let is_recent =
+            |c: &&ClassLatency| c.samples > 8 && now.saturating_sub(c.updated_at) as f64 <= max_age;
+        let mean = self.latencies.get(call.class_id).filter(is_recent).map_or(0.0, |class| class.mean);
+        if ((call.deadline - now) as f64) < mean.min(call.class.objective as f64) {
+            self.reject_or_fail(id, self.initial_backoff(), actions);
+        } else if head_wait > self.max_queue_wait(id, over_share) {
+            self.reject_or_fail(id, head_wait, actions);
         } else {
             self.enqueue(now, id, false);
         }
     }
 
-    /// How long may the queue's head have waited for this call to join? Without a bound all would be served
-    /// late. Classes whose worth for their work outweighs the goal's part of the worst class wait longest.
-    fn wait_limit(&self, id: CallId, over_share: bool) -> Micros {
+    /// Longest wait of the queue's head with which a call may join; protected classes wait longest.
+    fn max_queue_wait(&self, id: CallId, over_share: bool) -> Micros {
         let call = &self.calls[&id];
-        let usual = self.usual(call.class_id, call.class.objective);
-        let objective = call.aim_at().saturating_sub(call.arrived) as f64;
+        let mean = self.mean_latency(call.class_id, call.class.objective);
+        let useful_for = call.useful_until().saturating_sub(call.arrived_at) as f64;
         let limit = match over_share {
-            true => objective * WAIT_AIM / 2.0,
-            false if self.protected(call) => (objective * WAIT_AIM).max(objective - SPARE_TIMES * usual),
-            false => objective * WAIT_AIM,
+            true => useful_for * QUEUE_WAIT_RATIO / 2.0,
+            false if self.is_protected(call) => {
+                (useful_for * QUEUE_WAIT_RATIO).max(useful_for - SPARE_LATENCY_RATIO * mean)
+            }
+            false => useful_for * QUEUE_WAIT_RATIO,
         };
-        limit.min(objective - usual).max(0.0) as Micros
+        limit.min(useful_for - mean).max(0.0) as Micros
     }
 
-    fn protected(&self, call: &Call) -> bool {
-        let all = self.paces.iter().zip(&self.settings.classes);
-        let (priority_weight, work) =
-            all.fold((0.0, 0.0), |(w, t), (p, c)| (w + p.asked * c.priority_weight, t + p.asked * p.base));
-        let base = self.paces.get(call.class_id).map_or(f64::MAX, |p| p.base);
-        let density = call.class.priority_weight / base * work / priority_weight.max(f64::MIN_POSITIVE);
+    fn is_protected(&self, call: &Call) -> bool {
+        let classes = self.latencies.iter().zip(&self.settings.classes);
+        let (total_weight, total_work) = classes.fold((0.0, 0.0), |(weight, work), (c, spec)| {
+            (weight + c.request_count * spec.priority_weight, work + c.request_count * c.base_us)
+        });
+        let base_us = self.latencies.get(call.class_id).map_or(f64::MAX, |class| class.base_us);
+        let value = call.class.priority_weight / base_us * total_work / total_weight.max(f64::MIN_POSITIVE);
         let score_weights = &self.settings.score_weights;
-        score_weights.overall * density > score_weights.overall + score_weights.worst_class
+        score_weights.overall * value > score_weights.overall + score_weights.worst_class
     }
 
-    /// Counts a tenant's call and tells whether it asks for more than its share of this balancer's calls.
+    /// Counts a tenant's call; returns whether the tenant exceeds its share of this balancer's calls.
     fn over_share(&mut self, tenant: TenantId) -> bool {
         let Some(share) = self.settings.tenants.get(tenant.0).map(|t| t.share) else { return true };
-        for (index, asked) in self.tenants.iter_mut().enumerate() {
-            *asked += (if index == tenant.0 { 1.0 } else { 0.0 } - *asked) * SMOOTHING / 10.0;
+        for (index, recent) in self.tenant_shares.iter_mut().enumerate() {
+            *recent += (if index == tenant.0 { 1.0 } else { 0.0 } - *recent) * EMA_RATIO / 10.0;
         }
-        let all: f64 = self.tenants.iter().sum();
-        self.tenants[tenant.0] > all * share * 1.1
+        let total_share: f64 = self.tenant_shares.iter().sum();
+        self.tenant_shares[tenant.0] > total_share * share * 1.1
     }
 
-    /// Puts a call into the queue; one that goes again is older than those waiting and goes to the front.
+    /// Queues a call; a retried one goes to the front because it is older than those waiting.
     pub(super) fn enqueue(&mut self, now: Micros, id: CallId, retried: bool) {
         let Some(call) = self.calls.get_mut(&id) else { return };
         call.queued = true;
-        // Its way out: when a usual answer could not come in time, and always before the client gives up.
-        let (class_id, objective, last) =
+        // Ends the wait when a mean answer would be late, and always before the client's deadline.
+        let (class_id, objective, last_moment) =
             (call.class_id, call.class.objective, call.deadline.saturating_sub(self.settings.clock_tick));
-        let wake = call.aim_at().saturating_sub(self.usual(class_id, objective) as Micros).max(now + 1);
-        self.set_wake(id, wake.min(last.max(now)).max(1));
+        let due_at =
+            call.useful_until().saturating_sub(self.mean_latency(class_id, objective) as Micros).max(now + 1);
+        self.set_call_timer(id, due_at.min(last_moment.max(now)).max(1));
         self.queue.insert(if retried { 0 } else { self.queue.len() }, id);
     }
 
     pub(super) fn drain_queue(&mut self, now: Micros, actions: &mut Actions) {
-        let returning = if self.aside > 0 && !self.queue.is_empty() { self.servers.len() } else { 0 };
-        for place in 0..returning {
-            if self.servers[place].returning(now, self.served, &self.settings.safety) {
-                // Only a call that never went: a bound one may go to some servers alone.
-                let mut queued = self.queue.iter().take(LOOK_PAST);
+        let scanned = if self.ejected_count > 0 && !self.queue.is_empty() { self.servers.len() } else { 0 };
+        for server_index in 0..scanned {
+            if self.servers[server_index].may_recover(now, self.served_count, &self.settings.safety) {
+                // A call that was sent before may be bound to some servers.
+                let mut queued = self.queue.iter().take(MAX_SCAN_COUNT);
                 if let Some(index) = queued.position(|id| self.calls[id].attempts.is_empty()) {
                     let id = self.queue[index];
-                    self.take(index);
-                    self.send(now, id, place, Trial::Server, actions);
+                    self.dequeue(index);
+                    self.send(now, id, server_index, SendKind::Trial, actions);
                 }
             }
         }
         let mut index = 0;
         while let Some(&id) = self.queue.get(index) {
             match self.route(now, id) {
-                Route::Send { server, trial } => {
-                    self.take(index);
-                    self.send(now, id, server, trial, actions);
+                Route::Send { server, kind } => {
+                    self.dequeue(index);
+                    self.send(now, id, server, kind, actions);
                 }
-                Route::Reject { retry_after } => self.give_up(id, retry_after, actions),
-                // Arrival order: the first that stays keeps the rest, unless bound to some servers.
-                Route::Queue if self.calls[&id].binding().is_some() && index < LOOK_PAST => index += 1,
+                Route::Reject { retry_after } => self.reject_or_fail(id, retry_after, actions),
+                // The queue is first in, first out, but a call bound to some servers does not block the rest.
+                Route::Queue if self.calls[&id].first_run().is_some() && index < MAX_SCAN_COUNT => index += 1,
                 Route::Queue => break,
             }
         }
     }
 
-    fn take(&mut self, index: usize) {
+    fn dequeue(&mut self, index: usize) {
         if let Some(call) = self.queue.remove(index).and_then(|id| self.calls.get_mut(&id)) {
             call.queued = false;
         }
--- a/policy/src/balance/restore.rs
+++ b/policy/src/balance/restore.rs
@@ -1,87 +1,93 @@
-//! A balancer that was written down, taken up again. What was written may be damaged: nothing is taken up that a
-//! running balancer cannot hold.
+//! Restores a balancer from a serialized state, which may be damaged: states that no running balancer can
+//! have are rejected.
 
 use super::{balancer::*, budget::Budget};
-use crate::bounds::{MOMENT_MOST, SPAN_MOST};
+use crate::bounds::{MAX_DURATION_US, MAX_TIMESTAMP_US};
 use std::collections::BTreeSet;
 
-/// Most of whatever is counted one by one.
-const COUNT_MOST: u32 = 1 << 30;
+/// Upper bound of counters that grow by one.
+const MAX_COUNT: u32 = 1 << 30;
 
-/// Why what was written down is not taken up. No running balancer writes such a thing: it is damaged, or of another
-/// site's settings, and only a record that begins later can be used.
+/// Reason for which a serialized state is rejected: it is damaged, or belongs to other settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RestoreError {
-    /// The settings beside it cannot be those of a proxy.
-    #[error("the settings name times that are too long")]
+    /// A duration in the settings exceeds its bound.
+    #[error("a duration in the settings is out of range")]
     InvalidSettings,
-    /// It has other classes or tenants than the settings.
-    #[error("the state is of other settings")]
+    /// The number of classes or tenants differs from the settings.
+    #[error("the classes or tenants in the state differ from the settings")]
     SettingsMismatch,
-    /// Budgets, backoffs or answer times that no balancer reaches.
-    #[error("the state names figures that are too large")]
+    /// A budget, backoff or latency exceeds its bound.
+    #[error("a budget, backoff or latency in the state is out of range")]
     ValueOutOfRange,
-    /// Counters that no balancer reaches.
-    #[error("the state counts too much")]
+    /// A counter exceeds its bound.
+    #[error("a counter in the state is out of range")]
     CounterOutOfRange,
-    /// The servers do not stand in the order of their numbers.
-    #[error("the servers are out of order")]
+    /// The servers are not in ascending order of their ids.
+    #[error("the servers in the state are not sorted by id")]
     UnsortedServers,
-    /// A call is queued or woken that does not wait, or the other way about.
-    #[error("the calls and those that wait are not the same")]
+    /// The queue or the timers do not match the calls.
+    #[error("the queue or the timers in the state do not match its calls")]
     InconsistentCalls,
-    /// Servers listed or set aside are not as many as it says.
-    #[error("the servers are counted wrong")]
+    /// The counts of listed or ejected servers do not match the servers.
+    #[error("the server counts in the state do not match its servers")]
     InconsistentServers,
 }
 
 impl Balancer {
-    /// Goes on as the balancer that was written down, with its settings, which are not part of it.
+    /// Completes a deserialized balancer with its settings, which are not serialized.
     ///
     /// # Errors
     ///
-    /// Where a running balancer with these settings cannot have written it.
+    /// If a running balancer with these settings cannot have had this state.
     pub fn restore(mut self, settings: Settings) -> Result<Balancer, RestoreError> {
         if !settings.is_in_range() {
             return Err(RestoreError::InvalidSettings);
         }
-        let (listed, aside) = (self.listed, self.aside);
+        let (listed_count, ejected_count) = (self.listed_count, self.ejected_count);
         self.settings = settings;
-        if self.paces.len() != self.settings.classes.len()
-            || self.tenants.len() != self.settings.tenants.len()
+        if self.latencies.len() != self.settings.classes.len()
+            || self.tenant_shares.len() != self.settings.tenants.len()
         {
             return Err(RestoreError::SettingsMismatch);
         }
         let mut budgets = self.servers.iter().map(|s| &s.budget);
         let budget = |b: &Budget| {
-            b.steps <= STEP_CLAMP && b.doublings <= BACKOFF_DOUBLINGS && b.backoff_end <= MOMENT_MOST
+            b.steps <= MAX_STEP_COUNT
+                && b.doublings <= MAX_BACKOFF_DOUBLINGS
+                && b.backoff_until <= MAX_TIMESTAMP_US
         };
         let server =
-            |s: &Server| s.in_flight.max(s.answers_since) <= COUNT_MOST && s.not_before <= MOMENT_MOST;
-        let pace = |p: &Pace| p.mean <= SPAN_MOST as f64 && p.base <= SPAN_MOST as f64;
-        let counts = self.ask_failures <= COUNT_MOST;
-        if !budgets.all(budget) || !self.servers.iter().all(server) || !self.paces.iter().all(pace) {
+            |s: &Server| s.in_flight.max(s.answers_since) <= MAX_COUNT && s.not_before <= MAX_TIMESTAMP_US;
+        let class_latency = |class: &ClassLatency| {
+            class.mean <= MAX_DURATION_US as f64 && class.base_us <= MAX_DURATION_US as f64
+        };
+        let failures_in_range = self.subscribe_failures <= MAX_COUNT;
+        if !budgets.all(budget)
+            || !self.servers.iter().all(server)
+            || !self.latencies.iter().all(class_latency)
+        {
             return Err(RestoreError::ValueOutOfRange);
         }
-        if !counts || self.sends.max(self.served) > MOMENT_MOST {
+        if !failures_in_range || self.send_count.max(self.served_count) > MAX_TIMESTAMP_US {
             return Err(RestoreError::CounterOutOfRange);
         }
         if !self.servers.is_sorted_by(|a, b| a.id < b.id) {
             return Err(RestoreError::UnsortedServers);
         }
         let queued: BTreeSet<CallId> = self.queue.iter().copied().collect();
-        let waiting = |(id, call): (&CallId, &Call)| {
-            let wakes = call.wake == 0 || self.wakes.contains(&(call.wake, *id));
-            wakes && call.queued == queued.contains(id) && !(call.queued && call.ended)
+        let is_consistent = |(id, call): (&CallId, &Call)| {
+            let has_timer = call.timer_at == 0 || self.call_timers.contains(&(call.timer_at, *id));
+            has_timer && call.queued == queued.contains(id) && !(call.queued && call.ended)
         };
-        let wakes = self.calls.values().filter(|call| call.wake != 0).count();
-        let known = queued.iter().all(|id| self.calls.contains_key(id));
-        let once = queued.len() == self.queue.len() && wakes == self.wakes.len();
-        if !once || !known || !self.calls.iter().all(waiting) {
+        let timer_count = self.calls.values().filter(|call| call.timer_at != 0).count();
+        let all_known = queued.iter().all(|id| self.calls.contains_key(id));
+        let counts_match = queued.len() == self.queue.len() && timer_count == self.call_timers.len();
+        if !counts_match || !all_known || !self.calls.iter().all(is_consistent) {
             return Err(RestoreError::InconsistentCalls);
         }
-        self.count();
-        if (listed, aside) != (self.listed, self.aside) {
+        self.update_counts();
+        if (listed_count, ejected_count) != (self.listed_count, self.ejected_count) {
             return Err(RestoreError::InconsistentServers);
         }
         Ok(self)
--- a/policy/src/balance/retry.rs
+++ b/policy/src/balance/retry.rs
@@ -1,50 +1,53 @@
-//! When a call goes once more: after an attempt that did not serve, or beside one that may have stalled.
+//! Retries after unserved attempts, and hedged requests.
 
 use super::balancer::*;
 
 impl Balancer {
-    /// After an attempt that did not serve: again, or the end.
+    /// Queues the call again after an unserved attempt, or ends it.
     pub(super) fn retry(&mut self, now: Micros, id: CallId, outcome: Outcome, actions: &mut Actions) {
         let call = &self.calls[&id];
-        let in_time = now as f64 + self.usual(call.class_id, call.class.objective) < call.aim_at() as f64;
-        let some = self.servers.iter().any(|s| s.listed && call.may_go(now, s, self.settings.clock_tick));
-        let more = (call.attempts.len() as u32) < self.settings.limits.max_attempts;
-        if in_time && some && more && (self.retries >= 1.0 || outcome == Outcome::NoConnection) {
-            self.retries = (self.retries - 1.0).max(0.0);
+        let in_time =
+            now as f64 + self.mean_latency(call.class_id, call.class.objective) < call.useful_until() as f64;
+        let reachable =
+            self.servers.iter().any(|s| s.listed && call.may_go_to(now, s, self.settings.clock_tick));
+        let allowed = (call.attempts.len() as u32) < self.settings.limits.max_attempts;
+        if in_time && reachable && allowed && (self.retry_tokens >= 1.0 || outcome == Outcome::NoConnection) {
+            self.retry_tokens = (self.retry_tokens - 1.0).max(0.0);
             self.enqueue(now, id, true);
         } else {
-            self.give_up(id, self.first_backoff(), actions);
+            self.reject_or_fail(id, self.initial_backoff(), actions);
         }
     }
 
-    pub(super) fn wake_calls(&mut self, now: Micros, actions: &mut Actions) {
-        while let Some(&(_, id)) = self.wakes.first().filter(|wake| wake.0 <= now) {
-            self.set_wake(id, 0);
+    pub(super) fn run_call_timers(&mut self, now: Micros, actions: &mut Actions) {
+        while let Some(&(_, id)) = self.call_timers.first().filter(|timer| timer.0 <= now) {
+            self.set_call_timer(id, 0);
             if self.calls[&id].queued {
-                self.give_up(id, now.saturating_sub(self.calls[&id].arrived), actions);
+                self.reject_or_fail(id, now.saturating_sub(self.calls[&id].arrived_at), actions);
             } else {
-                self.second_copy(now, id, actions);
+                self.hedge(now, id, actions);
             }
         }
     }
 
-    /// A second copy for a call that is late on a server that may have stalled, while others have room.
-    fn second_copy(&mut self, now: Micros, id: CallId, actions: &mut Actions) {
+    /// Sends a hedged request for a late call, if retry tokens are left and no call waits.
+    fn hedge(&mut self, now: Micros, id: CallId, actions: &mut Actions) {
         let call = &self.calls[&id];
         let clock_tick = self.settings.clock_tick;
-        let more = (call.attempts.len() as u32) < self.settings.limits.max_attempts && call.out() == 1;
-        let some = |s: &Server| {
-            s.usable(now, self.served, &self.settings.safety)
-                && call.may_go(now, s, clock_tick)
-                && call.untried(s.id)
+        let may_hedge =
+            (call.attempts.len() as u32) < self.settings.limits.max_attempts && call.in_flight_count() == 1;
+        let is_candidate = |s: &Server| {
+            s.is_usable(now, self.served_count, &self.settings.safety)
+                && call.may_go_to(now, s, clock_tick)
+                && call.is_untried(s.id)
         };
-        let spare = self.retries >= 1.0 && self.queue.is_empty();
-        if !more || !spare || !self.servers.iter().any(some) {
+        let can_hedge = self.retry_tokens >= 1.0 && self.queue.is_empty();
+        if !may_hedge || !can_hedge || !self.servers.iter().any(is_candidate) {
             return;
         }
-        if let Route::Send { server, trial: Trial::No } = self.route(now, id) {
-            self.retries -= 1.0;
-            self.send(now, id, server, Trial::No, actions);
+        if let Route::Send { server, kind: SendKind::Regular } = self.route(now, id) {
+            self.retry_tokens -= 1.0;
+            self.send(now, id, server, SendKind::Regular, actions);
         }
     }
 }
--- a/policy/src/balance/server.rs
+++ b/policy/src/balance/server.rs
@@ -1,11 +1,10 @@
-//! A server as this balancer sees it, and when it may be sent to.
+//! State of a server as seen by this balancer, and when it may be sent calls.
 
-use super::{budget::Budget, constants::*, times::*};
+use super::{budget::Budget, constants::*, latency::*};
 use crate::api::*;
-use crate::state::Way;
+use crate::state::ZoneLatency;
 use serde::{Deserialize, Serialize};
 
-/// A server as this balancer sees it.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub(super) struct Server {
     pub(super) id: ServerId,
@@ -17,29 +16,28 @@
     pub(super) in_flight: u32,
     pub(super) budget: Budget,
     pub(super) weight: f64,
-    /// Time that this balancer's calls lately spent there: it breaks the pick's ties.
-    pub(super) busy: f64,
-    pub(super) busy_at: u64,
-    /// Answer times over what its classes and the way there allow; 1 is the limit.
-    pub(super) strain: f64,
-    /// What it lately took beside its model, as a logarithm; it fades.
-    pub(super) beside: f64,
-    /// The same without regard to the way there: it breaks the pick's ties.
-    pub(super) slowness: f64,
+    /// Decaying sum of the time that this balancer's calls spent at the server.
+    pub(super) busy_us: f64,
+    pub(super) busy_at_send: u64,
+    /// Moving average of latency over its limit; above 1 the server is overloaded.
+    pub(super) latency_ratio: f64,
+    /// Decaying natural logarithm of its latency relative to its model.
+    pub(super) deviation: f64,
+    /// As `latency_ratio`, but with a limit that does not allow for the zone's network latency.
+    pub(super) raw_ratio: f64,
     pub(super) answers_since: u32,
-    /// Its last report, as strain.
-    pub(super) crowding: f64,
-    /// When its budget last changed, when an attempt there last ended, and when it last served.
-    pub(super) changed: Micros,
-    pub(super) heard: Micros,
-    pub(super) answered: Micros,
-    /// Recent share of failures.
-    pub(super) failing: f64,
-    /// It is sent nothing before this time and that many answers of this balancer: it has refused or failed.
+    /// Last load report, on the scale of `latency_ratio`.
+    pub(super) reported_ratio: f64,
+    /// Last change of the budget.
+    pub(super) changed_at: Micros,
+    pub(super) last_end_at: Micros,
+    pub(super) last_served_at: Micros,
+    pub(super) failure_ratio: f64,
+    /// Earliest time, and earliest count of served calls, of the next call after a rejection or failure.
     pub(super) not_before: Micros,
-    pub(super) rest: u64,
-    /// While cold: calls that have fallen due to it.
-    pub(super) turns: f64,
+    pub(super) resume_at_count: u64,
+    /// Calls that a warming server has earned; one is spent for each call sent.
+    pub(super) send_credits: f64,
 }
 
 impl Server {
@@ -57,35 +55,35 @@
         }
     }
 
-    /// With few calls there are none in flight at most servers: recent past and listed size tell them apart.
-    pub(super) fn recent_load(&self, sends: f64, per: f64) -> f64 {
-        self.busy * (-(sends - self.busy_at as f64) / (per * BUSY_ROUNDS)).exp() / self.weight
+    /// Recent busy time relative to the weight; tells servers apart when none has calls in flight.
+    pub(super) fn recent_load(&self, sends: f64, subset_size: f64) -> f64 {
+        self.busy_us * (-(sends - self.busy_at_send as f64) / (subset_size * BUSY_MEMORY_SENDS)).exp()
+            / self.weight
     }
 
-    pub(super) fn kept_busy(&mut self, time: f64, sends: u64, per: f64) {
-        self.busy = self.recent_load(sends as f64, per) * self.weight + time;
-        self.busy_at = sends;
+    pub(super) fn record_busy_time(&mut self, time: f64, sends: u64, subset_size: f64) {
+        self.busy_us = self.recent_load(sends as f64, subset_size) * self.weight + time;
+        self.busy_at_send = sends;
     }
 
-    /// What its answers lately showed; after a while without one only what its zone's show at the least, and
-    /// that fades. Where nothing is in flight it alone decides: a server that is not tried shows nothing new.
-    pub(super) fn recent_slowness(&self, now: Micros, way: Option<&Way>, longest_aim: f64) -> f64 {
-        let way = way.map_or(0.0, |way| way.slowness * (1.0 - drift(now, way.at)));
-        let old = now.saturating_sub(self.heard) as f64 >= shown_for(longest_aim);
-        if old {
-            self.slowness.min(way)
+    /// Recent `raw_ratio`; without answers at most the zone's lowest, so that the server is tried again.
+    pub(super) fn recent_ratio(&self, now: Micros, zone: Option<&ZoneLatency>, max_objective: f64) -> f64 {
+        let zone_ratio = zone.map_or(0.0, |zone| zone.min_ratio * (1.0 - drift_ratio(now, zone.updated_at)));
+        let is_stale = now.saturating_sub(self.last_end_at) as f64 >= evidence_lifetime(max_objective);
+        if is_stale {
+            self.raw_ratio.min(zone_ratio)
         } else {
-            self.slowness
+            self.raw_ratio
         }
     }
 
-    /// What it takes beside its model, as far as that still holds.
-    pub(super) fn beside(&self, now: Micros) -> f64 {
-        self.beside * (-(now.saturating_sub(self.heard) as f64) / BESIDE_MEMORY).exp()
+    /// Current deviation from the model's latency, as a natural logarithm.
+    pub(super) fn deviation(&self, now: Micros) -> f64 {
+        self.deviation * (-(now.saturating_sub(self.last_end_at) as f64) / DEVIATION_MEMORY_US).exp()
     }
 
-    /// Share of its capacity that a server has at the least, by the rules' cold share and time.
-    pub(super) fn warmth(&self, now: Micros, safety: &SafetyLimits) -> f64 {
+    /// Fraction of its capacity that a warming server has at least, by the slow start settings.
+    pub(super) fn warmup_ratio(&self, now: Micros, safety: &SafetyLimits) -> f64 {
         let age = now.saturating_sub(self.started_at);
         if self.started_at == 0 || age >= safety.slow_start_window {
             return 1.0;
@@ -94,22 +92,23 @@
             + (1.0 - safety.slow_start_ratio) * age as f64 / safety.slow_start_window as f64
     }
 
-    pub(super) fn full(&self, now: Micros, safety: &SafetyLimits) -> bool {
-        let budget = f64::from(self.budget.steps) * self.budget.concurrency * self.warmth(now, safety);
+    pub(super) fn is_full(&self, now: Micros, safety: &SafetyLimits) -> bool {
+        let budget = f64::from(self.budget.steps) * self.budget.concurrency * self.warmup_ratio(now, safety);
         self.in_flight >= (budget + 0.5).max(1.0) as u32
     }
 
-    pub(super) fn open(&self, now: Micros, served: u64, safety: &SafetyLimits) -> bool {
-        let paced = self.turns >= 1.0 || self.warmth(now, safety) >= 1.0;
-        let rested = served >= self.rest || now.saturating_sub(self.heard) as f64 >= 3.0 * RATE_MEMORY;
-        self.listed && now >= self.not_before && paced && rested
+    pub(super) fn is_open(&self, now: Micros, served_count: u64, safety: &SafetyLimits) -> bool {
+        let is_paced = self.send_credits >= 1.0 || self.warmup_ratio(now, safety) >= 1.0;
+        let has_rested = served_count >= self.resume_at_count
+            || now.saturating_sub(self.last_end_at) as f64 >= 3.0 * RATE_MEMORY_US;
+        self.listed && now >= self.not_before && is_paced && has_rested
     }
 
-    pub(super) fn usable(&self, now: Micros, served: u64, safety: &SafetyLimits) -> bool {
-        self.budget.steps > 0 && self.open(now, served, safety)
+    pub(super) fn is_usable(&self, now: Micros, served_count: u64, safety: &SafetyLimits) -> bool {
+        self.budget.steps > 0 && self.is_open(now, served_count, safety)
     }
 
-    pub(super) fn aside(&self) -> bool {
+    pub(super) fn is_ejected(&self) -> bool {
         self.listed && self.budget.steps == 0
     }
 }
--- a/policy/src/balance/trials.rs
+++ b/policy/src/balance/trials.rs
@@ -1,23 +1,23 @@
-//! Which servers may be tried past their budgets, or after they were set aside.
+//! Trials: calls sent past a server's budget, or to a server that was ejected.
 
-use super::{budget::enough, server::Server};
+use super::{budget::is_conclusive, server::Server};
 use crate::api::{Micros, SafetyLimits};
 
 impl Server {
-    pub(super) fn settled(&self, now: Micros, usual: f64) -> bool {
+    pub(super) fn has_settled(&self, now: Micros, mean: f64) -> bool {
         let answers = self.answers_since;
-        answers >= self.in_flight.max(1) && enough(answers, now.saturating_sub(self.changed), usual)
+        answers >= self.in_flight.max(1) && is_conclusive(answers, now.saturating_sub(self.changed_at), mean)
     }
 
-    pub(super) fn returning(&self, now: Micros, served: u64, safety: &SafetyLimits) -> bool {
-        self.budget.steps == 0 && self.budget.trial_ready(now) && self.open(now, served, safety)
+    pub(super) fn may_recover(&self, now: Micros, served_count: u64, safety: &SafetyLimits) -> bool {
+        self.budget.steps == 0 && self.budget.is_trial_due(now) && self.is_open(now, served_count, safety)
     }
 
-    /// Whether a call past its budget may go there, to find out whether it bears more.
-    pub(super) fn may_take_trial(&self, now: Micros, longest: f64, safety: &SafetyLimits) -> bool {
-        self.budget.trial_ready(now)
-            && self.strain <= 1.0
-            && (self.changed == 0 || self.settled(now, longest))
-            && self.warmth(now, safety) >= 1.0
+    /// Whether a call may be sent past the budget, as a trial that can raise it.
+    pub(super) fn may_take_trial(&self, now: Micros, max_mean: f64, safety: &SafetyLimits) -> bool {
+        self.budget.is_trial_due(now)
+            && self.latency_ratio <= 1.0
+            && (self.changed_at == 0 || self.has_settled(now, max_mean))
+            && self.warmup_ratio(now, safety) >= 1.0
     }
 }
--- a/policy/src/lib.rs
+++ b/policy/src/lib.rs
@@ -29,8 +29,8 @@
 mod api;
 mod balance;
 mod bounds;
+mod outcome_label;
 mod state;
-mod words;
 
 pub use access::{Access, InvalidNetwork, Networks, PeerAccess};
 pub use api::*;
--- a/policy/src/state.rs
+++ b/policy/src/state.rs
@@ -1,16 +1,15 @@
-//! What the decision module keeps of calls and attempts: types and look-ups, every decision is in `balance/`.
+//! State of calls and attempts, and latency estimates. The decisions are in `balance/`.
 
 use crate::api::*;
 use serde::{Deserialize, Serialize};
 
-/// Whether a call may raise its server's budget.
+/// Whether an attempt is within its server's budget, or a trial that can raise it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) enum Trial {
-    No,
-    Server,
+pub(crate) enum SendKind {
+    Regular,
+    Trial,
 }
 
-/// An attempt, as it was sent and as it ended.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub(crate) struct Attempt {
     pub(crate) server: ServerId,
@@ -18,70 +17,70 @@
     pub(crate) zone: ZoneId,
     pub(crate) cell: CellId,
     pub(crate) class_id: usize,
-    pub(crate) sent: Micros,
-    pub(crate) trial: Trial,
-    /// `None`: it is out.
+    pub(crate) sent_at: Micros,
+    pub(crate) kind: SendKind,
+    /// `None` while the attempt is in flight.
     pub(crate) outcome: Option<Outcome>,
 }
 
-/// A call from its arrival until it has ended and no attempt is out.
+/// A call, kept until it has ended and no attempt is in flight.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub(crate) struct Call {
     pub(crate) class: Class,
     pub(crate) class_id: usize,
-    pub(crate) arrived: Micros,
+    pub(crate) arrived_at: Micros,
     pub(crate) deadline: Micros,
     pub(crate) attempts: Vec<Attempt>,
     pub(crate) queued: bool,
     pub(crate) ended: bool,
-    /// When the call is looked at next; 0: not by time.
-    pub(crate) wake: Micros,
+    /// Time of the call's timer in microseconds; 0 if there is none.
+    pub(crate) timer_at: Micros,
 }
 
 impl Call {
-    pub(crate) fn out(&self) -> usize {
+    pub(crate) fn in_flight_count(&self) -> usize {
         self.attempts.iter().filter(|a| a.outcome.is_none()).count()
     }
 
-    /// The first attempt that may have run: the one that binds a guarded call.
-    pub(crate) fn binding(&self) -> Option<&Attempt> {
+    /// First attempt that may have run, which binds later ones to its deduplication scope and window.
+    pub(crate) fn first_run(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|a| !a.outcome.is_some_and(Outcome::never_ran))
     }
 
-    pub(crate) fn untried(&self, server: ServerId) -> bool {
+    pub(crate) fn is_untried(&self, server: ServerId) -> bool {
         self.attempts.iter().all(|a| a.server != server)
     }
 }
 
-/// The way to a zone and back: the least time that an answer from there has lately taken.
+/// Lowest recent latency of answers from a zone: an estimate of its network latency.
 #[derive(Debug, Default, Serialize, Deserialize)]
-pub(crate) struct Way {
-    pub(crate) least: Option<f64>,
-    /// The least share of its class's limit that an answer from there has lately taken.
-    pub(crate) slowness: f64,
-    pub(crate) at: Micros,
+pub(crate) struct ZoneLatency {
+    pub(crate) min_us: Option<f64>,
+    /// Lowest recent ratio of latency to its limit.
+    pub(crate) min_ratio: f64,
+    pub(crate) updated_at: Micros,
 }
 
-/// Answer times of a model of server beside those of all, as a logarithm: few are many times the rest.
+/// Latency of a server model relative to all models.
 #[derive(Debug, Default, Serialize, Deserialize)]
-pub(crate) struct Model {
-    pub(crate) log: f64,
-    pub(crate) seen: u32,
+pub(crate) struct ModelLatency {
+    pub(crate) log_ratio: f64,
+    pub(crate) samples: u32,
 }
 
-/// Answer times of a class: the present mean and the least it has been, which stands for an unloaded server.
+/// Latency of a class: its mean, and its lowest mean as an estimate for an unloaded server.
 #[derive(Debug, Default, Serialize, Deserialize)]
-pub(crate) struct Pace {
+pub(crate) struct ClassLatency {
     pub(crate) mean: f64,
-    pub(crate) base: f64,
-    pub(crate) seen: u32,
-    pub(crate) at: Micros,
-    pub(crate) asked: f64,
+    pub(crate) base_us: f64,
+    pub(crate) samples: u32,
+    pub(crate) updated_at: Micros,
+    pub(crate) request_count: f64,
 }
 
-/// Where a call goes.
+/// Destination of a call.
 pub(crate) enum Route {
-    Send { server: usize, trial: Trial },
+    Send { server: usize, kind: SendKind },
     Queue,
     Reject { retry_after: Micros },
 }
--- a/policy/tests/rules.rs
+++ b/policy/tests/rules.rs
@@ -442,8 +442,7 @@
     }
     let failures = log.iter().filter(|a| matches!(a, Action::Fail { .. })).count();
     assert!(failures > 20, "too few timed out to tell: {failures}");
-    let aside =
-        log.iter().filter(|a| matches!(a, Action::Log { text } if text.contains("set aside"))).count();
+    let aside = log.iter().filter(|a| matches!(a, Action::Log { text } if text.contains("ejected"))).count();
     assert_eq!(aside, 0, "slow, not gone");
 }
 
@@ -542,7 +541,7 @@
     for call in calls {
         proxy.end(call, 0, Outcome::Reset, 5 * MS);
     }
-    let aside = |a: &Action| matches!(a, Action::Log { text } if text.contains("set aside"));
+    let aside = |a: &Action| matches!(a, Action::Log { text } if text.contains("ejected"));
     assert!(!proxy.actions.iter().any(aside), "the new process has failed nothing");
 }
 
