--- a/policy/src/access.rs
+++ b/policy/src/access.rs
@@ -1,13 +1,13 @@
-//! Who may reach the transfer path: lists of networks, and which peers may speak for others.
+//! Access control by client address: allowed and denied networks, and trusted proxies.
 
 use ipnet::{IpNet, Ipv4Net};
 use std::net::IpAddr;
 
-/// A list of networks, as comma-separated CIDR ranges; a lone address is a range of one.
+/// List of networks, parsed from comma-separated CIDR ranges; a single address is a range of one.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Networks(Vec<IpNet>);
 
-/// A part of a list that names no network.
+/// Part of a list that is neither an address nor a CIDR range.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0:?} is neither an address nor a CIDR range")]
 pub struct InvalidNetwork(String);
@@ -22,51 +22,51 @@
         let network = |part: &str| {
             let part = part.trim();
             let net = part.parse().or_else(|_| part.parse::<IpAddr>().map(IpNet::from));
-            net.map(canonical).map_err(|_| InvalidNetwork(part.to_owned()))
+            net.map(to_ipv4_range).map_err(|_| InvalidNetwork(part.to_owned()))
         };
         text.split(',').map(network).collect::<Result<_, _>>().map(Networks)
     }
 }
 
-/// A range of IPv4-mapped IPv6 addresses is the IPv4 range.
-fn canonical(net: IpNet) -> IpNet {
-    let IpNet::V6(v6) = net else { return net };
-    let mapped = v6.addr().to_ipv4_mapped().zip(v6.prefix_len().checked_sub(96));
+/// Converts a range of IPv4-mapped IPv6 addresses to the IPv4 range.
+fn to_ipv4_range(net: IpNet) -> IpNet {
+    let IpNet::V6(ipv6) = net else { return net };
+    let mapped = ipv6.addr().to_ipv4_mapped().zip(ipv6.prefix_len().checked_sub(96));
     mapped.and_then(|(address, length)| Ipv4Net::new(address, length).ok()).map_or(net, IpNet::V4)
 }
 
 impl Networks {
-    /// Whether an address is in one of them; an IPv4-mapped one is in what its IPv4 address is in.
+    /// Whether a network contains the address; an IPv4-mapped one is compared as its IPv4 address.
     pub fn contains(&self, address: IpAddr) -> bool {
         let address = address.to_canonical();
         self.0.iter().any(|net| net.contains(&address))
     }
 }
 
-/// What the operators allow.
+/// Access lists of the operators' file.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Access {
-    /// Who may come; empty: everyone.
+    /// Allowed networks; all if empty.
     pub allow: Networks,
-    /// Who may not, even so.
+    /// Denied networks; they take precedence over `allow`.
     pub deny: Networks,
-    /// Fronts whose connections begin with a PROXY header, which says whom they speak for.
+    /// Trusted proxies, whose connections begin with a PROXY header that names the client.
     pub proxy_from: Networks,
 }
 
-/// What is done with a peer that has connected.
+/// Decision on a connected peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerAccess {
-    /// It is served.
+    /// Serve the connection.
     Allow,
-    /// It is closed.
+    /// Close the connection.
     Deny,
-    /// It is a front: whom it speaks for is judged.
+    /// Read the PROXY header and check the client that it names.
     TrustedProxy,
 }
 
 impl Access {
-    /// What is done with a peer, before anything is read from it.
+    /// Decides on a peer before anything is read from it.
     pub fn check_peer(&self, address: IpAddr) -> PeerAccess {
         match (self.proxy_from.contains(address), self.admits(address)) {
             (true, _) => PeerAccess::TrustedProxy,
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Whether a client's true address may come: deny wins over allow.
+    /// Whether a client with this address is admitted; deny wins over allow.
     pub fn admits(&self, address: IpAddr) -> bool {
         !self.deny.contains(address) && (self.allow.0.is_empty() || self.allow.contains(address))
     }
--- a/policy/src/api.rs
+++ b/policy/src/api.rs
@@ -1,82 +1,82 @@
-//! The interface of the decision module: settings, events, actions. Times are whole microseconds.
+//! Interface of the balancer: settings, events and actions. Times are in whole microseconds.
 
 use serde::{Deserialize, Serialize};
 
-/// A moment or a span, in microseconds.
+/// Timestamp or duration in microseconds.
 pub type Micros = u64;
 
-/// A call (one try of a client), as the proxy numbers it; no number returns.
+/// Id of a call, which is one request of a client; assigned by the proxy and never reused.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CallId(pub u64);
 
-/// A server (a process's place); it keeps its number when the process restarts.
+/// Id of a server; unchanged when its process restarts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ServerId(pub u32);
 
-/// Place of a class in [`Settings::classes`].
+/// Index of a class in [`Settings::classes`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ClassId(pub usize);
 
-/// Place of a tenant in [`Settings::tenants`].
+/// Index of a tenant in [`Settings::tenants`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TenantId(pub usize);
 
-/// A model of server: those of one are about as fast.
+/// Id of a server model; servers of one model are about equally fast.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ModelId(pub u32);
 
-/// A zone, numbered by the proxy.
+/// Id of a zone, assigned by the proxy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ZoneId(pub u32);
 
-/// A cell of servers that drop each other's repeats.
+/// Id of a cell: a group of servers that deduplicate calls among themselves.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CellId(pub u32);
 
-/// Which servers drop repeats of a guarded call.
+/// Servers among which repeats of a call with an idempotency key are deduplicated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DedupScope {
-    /// All of them.
+    /// All servers.
     All,
-    /// Those of one zone.
+    /// Servers of the same zone.
     Zone,
-    /// Those of one cell.
+    /// Servers of the same cell.
     Cell,
 }
 
-/// Whether a call of a class may run again.
+/// Whether calls of a class may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Idempotency {
-    /// Harmless.
+    /// Repeats are safe on all servers.
     Idempotent,
-    /// Harmless on the servers of `scope`, within `window` of the first attempt that may have run.
+    /// Repeats are safe on the servers of `scope`, within `window` of the first attempt that may have run.
     Keyed {
-        /// Who drops repeats.
+        /// Servers that deduplicate the call.
         scope: DedupScope,
-        /// For how long.
+        /// Duration for which they do.
         window: Micros,
     },
-    /// Never.
+    /// Repeats are unsafe unless no earlier attempt has run.
     NonIdempotent,
 }
 
-/// What is asked of a class of calls.
+/// Requirements of a class of calls.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Class {
-    /// An answer within this time earns the full worth.
+    /// Latency objective: an answer within this time earns the full priority weight.
     pub objective: Micros,
-    /// How long a client waits in all.
+    /// Longest time that a client waits for an answer.
     pub deadline: Micros,
-    /// Worth of an answer in time.
+    /// Value of an answer within the objective, relative to other classes.
     pub priority_weight: f64,
-    /// Share of the worth for an answer between aim and deadline.
+    /// Fraction of the priority weight that an answer between objective and deadline earns, 0 to 1.
     pub late_ratio: f64,
-    /// Whether it may run again.
+    /// Whether its calls may run more than once.
     pub idempotency: Idempotency,
 }
 
 impl Default for Class {
-    /// Never repeated, without a time or a worth.
+    /// Non-idempotent, with no objective and no priority weight.
     fn default() -> Self {
         Class {
             objective: 0,
@@ -88,77 +88,77 @@
     }
 }
 
-/// A tenant's part of the service.
+/// Quota of a tenant.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Tenant {
-    /// Share of the service, 0 to 1.
+    /// Fraction of the calls to which the tenant is entitled, 0 to 1.
     pub share: f64,
 }
 
-/// What the site allows.
+/// Features that the site allows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Limits {
-    /// Attempts may be called off.
+    /// Attempts in flight may be cancelled.
     pub cancel: bool,
-    /// Servers may be probed.
+    /// Servers may be sent health checks.
     pub probes: bool,
-    /// A call may have two attempts out at once.
+    /// A call may have a hedged request: two attempts in flight.
     pub hedging: bool,
-    /// Most attempts for a call.
+    /// Maximum number of attempts of a call.
     pub max_attempts: u32,
-    /// Longest advice that a client heeds; 0: it is given none.
+    /// Longest Retry-After that is sent to a client; 0 for none.
     pub max_retry_after: Micros,
 }
 
-/// Figures of the rules that must hold.
+/// Limits that protect the servers and bound the age of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SafetyLimits {
-    /// A server starts at this share of its capacity or more.
+    /// Fraction of its capacity that a server has at least when it starts, 0 to 1.
     pub slow_start_ratio: f64,
-    /// And is warm after this at the latest.
+    /// Time after which a started server has its full capacity.
     pub slow_start_window: Micros,
-    /// Longest that a proxy may go without asking for the list.
+    /// Longest time between two polls of the endpoint list.
     pub max_poll_interval: Micros,
-    /// A cold server falls over that is sent more than this many times what it can do.
+    /// Multiple of its present capacity above which a warming server is overloaded.
     pub overload_multiple: f64,
 }
 
-/// Weights of the parts of the goal.
+/// Weights of the parts of a site's score.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ScoreWeights {
-    /// All calls together.
+    /// Weight of all calls together.
     pub overall: f64,
-    /// The worst-served class.
+    /// Weight of the class that is served worst.
     pub worst_class: f64,
 }
 
-/// What a balancer is told at start, for good.
+/// Settings of a balancer, fixed at its creation.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Settings {
-    /// How many balancers send to these servers, this one included.
+    /// Number of balancers that send to the same servers, including this one.
     pub balancer_count: u32,
-    /// This balancer's number among them, from 0.
+    /// Index of this balancer among them, from 0.
     pub balancer_index: u32,
-    /// Smallest step of the proxy's clock.
+    /// Resolution of the proxy's clock.
     pub clock_tick: Micros,
-    /// Whether news of the server list must be asked for.
+    /// Whether the balancer has to subscribe to the endpoint list; otherwise updates are pushed.
     pub subscribe: bool,
     /// Classes of calls.
     pub classes: Vec<Class>,
-    /// Tenants, if there are any.
+    /// Tenants; empty if calls are not assigned to tenants.
     pub tenants: Vec<Tenant>,
-    /// What the site allows.
+    /// Features that the site allows.
     pub limits: Limits,
-    /// Figures of the rules.
+    /// Limits that protect the servers.
     pub safety: SafetyLimits,
-    /// Weights of the goal.
+    /// Weights of the site's score.
     pub score_weights: ScoreWeights,
-    /// This balancer's own zone, where calls that leave theirs have a price.
+    /// Zone of this balancer, if calls to other zones have a cost; otherwise `None`.
     pub local_zone: Option<ZoneId>,
 }
 
 impl Default for Settings {
-    /// One balancer, a pushed list, one class of calls that are wanted in half a second and never repeated.
+    /// One balancer with a pushed endpoint list and one non-idempotent class with an objective of 500 ms.
     fn default() -> Self {
         let idempotency = Idempotency::NonIdempotent;
         Settings {
@@ -193,205 +193,205 @@
     }
 }
 
-/// What the list says of a server.
+/// State of a server in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum State {
-    /// It takes calls.
+    /// Accepts calls.
     #[default]
     Ready,
-    /// It finishes its work and takes no more.
+    /// Finishes its calls and accepts no more.
     Draining,
-    /// It has been removed.
+    /// Removed from the fleet.
     Removed,
 }
 
-/// An entry of the server list.
+/// Entry of the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Which server.
+    /// Server id.
     pub server: ServerId,
-    /// What it does.
+    /// State of the server.
     pub state: State,
-    /// Its zone.
+    /// Zone of the server.
     pub zone: ZoneId,
-    /// Its model.
+    /// Model of the server.
     pub model: ModelId,
-    /// Its cell.
+    /// Deduplication cell of the server.
     pub cell: CellId,
-    /// When it last started; 0: long ago.
+    /// Start time of the server's process; 0 if it started long ago.
     pub started_at: Micros,
-    /// Its size beside the others', without a unit; what is not above 0 or not finite counts as 1.
+    /// Relative capacity of the server, without a unit; values that are not finite and positive count as 1.
     pub weight: f64,
 }
 
-/// How much of the list a piece of news holds.
+/// Kind of an update of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ListKind {
-    /// Changed entries only.
+    /// Only entries that have changed.
     Delta,
     /// The whole list.
     Full,
-    /// The whole list as the proxy last had it, maybe old.
+    /// The whole list as cached by the proxy, possibly outdated.
     Cached,
-    /// None: asking failed or the subscription broke.
+    /// No entries: the subscription failed or broke.
     Failed,
 }
 
-/// How an attempt ended.
+/// Result of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Outcome {
-    /// Served.
+    /// Answered successfully.
     Served,
-    /// The server answered with an error.
+    /// Answered with an error.
     Error,
-    /// Turned away unseen: full or draining.
+    /// Rejected by the server without being run: it is full or draining.
     Rejected,
-    /// No answer in time.
+    /// Not answered before its deadline.
     TimedOut,
-    /// No connection could be made.
+    /// The connection could not be established.
     NoConnection,
-    /// The connection broke while the attempt was out.
+    /// The connection broke while the attempt was in flight.
     Reset,
-    /// Called off by this balancer.
+    /// Cancelled by this balancer.
     Cancelled,
-    /// Never sent.
+    /// No byte of it was sent.
     NotSent,
-    /// Anything else; it may have run.
+    /// Any other result; the attempt may have run.
     Unknown,
 }
 
 impl Outcome {
-    /// Whether this proves that the attempt never ran.
+    /// Whether the outcome proves that the attempt did not run.
     pub fn never_ran(self) -> bool {
         matches!(self, Outcome::Rejected | Outcome::NoConnection | Outcome::NotSent)
     }
 }
 
-/// A server's word on its load; what it does not report is absent.
+/// Load report of a server; values that it does not report are `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Requests in hand.
+    /// Requests in the server, running or queued.
     pub active_requests: Option<f64>,
-    /// Requests waiting.
+    /// Requests queued in the server.
     pub queued_requests: Option<f64>,
-    /// Share of its cores that is busy.
+    /// Fraction of its cores that is busy, 0 to 1.
     pub cpu_utilization: Option<f64>,
 }
 
-/// What the proxy tells the balancer.
+/// Input of the balancer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Event {
-    /// The proxy comes up. Its saved list, if any, comes next.
+    /// The proxy has started. Its cached endpoint list, if any, follows.
     Start,
-    /// News of the server list.
+    /// Update of the endpoint list.
     Members {
-        /// How much of it.
+        /// Kind of the update.
         kind: ListKind,
-        /// The entries.
+        /// Entries of the list; empty for [`ListKind::Failed`].
         entries: Vec<Entry>,
     },
-    /// A call has come in.
+    /// A call has arrived.
     Request {
-        /// Which.
+        /// Call id.
         call: CallId,
-        /// Its class.
+        /// Class of the call.
         class: ClassId,
-        /// Whose it is.
+        /// Tenant of the call; `None` if it has none.
         tenant: Option<TenantId>,
-        /// How long the client still waits.
+        /// Time until the client's deadline.
         time_left: Micros,
-        /// The client says that it has tried before.
+        /// Whether the client has sent this request before.
         resent: bool,
     },
-    /// An attempt is over.
+    /// An attempt has ended.
     Outcome {
-        /// Of which call.
+        /// Call id.
         call: CallId,
-        /// Which attempt, from 0.
+        /// Number of the attempt, from 0.
         attempt: u32,
-        /// How it ended.
+        /// Result of the attempt.
         outcome: Outcome,
-        /// How long it took.
+        /// Duration of the attempt.
         elapsed: Micros,
-        /// Nothing more is owed for the call.
+        /// Whether the call is complete: the client needs no further answer.
         complete: bool,
-        /// The server's report.
+        /// Load report of the server.
         load: LoadReport,
     },
-    /// The answer of an attempt has begun to flow; the call is bound to it.
+    /// The response of an attempt has begun; the call cannot be retried any more.
     Streaming {
-        /// Which call.
+        /// Call id.
         call: CallId,
-        /// Which attempt.
+        /// Number of the attempt.
         attempt: u32,
     },
-    /// A probe was answered.
+    /// A health check has ended.
     Probed {
-        /// By which server.
+        /// Server id.
         server: ServerId,
-        /// How it ended.
+        /// Result of the health check.
         outcome: Outcome,
-        /// The server's report.
+        /// Load report of the server.
         load: LoadReport,
     },
-    /// Nobody waits for this call any more.
+    /// The client has cancelled the call.
     ClientCancelled {
-        /// Which.
+        /// Call id.
         call: CallId,
     },
-    /// A time asked for by [`Action::Wake`] has come.
+    /// The time requested by [`Action::Wake`] has passed.
     Timer,
 }
 
-/// What the balancer tells the proxy to do.
+/// Instruction to the proxy.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Action {
-    /// Pass the call to a server; the first pass is attempt 0, the next 1, and so on.
+    /// Send an attempt of a call; attempts of a call are numbered from 0.
     Send {
-        /// Which call.
+        /// Call id.
         call: CallId,
-        /// To which server.
+        /// Server id.
         server: ServerId,
-        /// When the attempt times out (a moment); `None`: with the client's patience.
+        /// Time at which the attempt times out; `None` for the client's deadline.
         deadline: Option<Micros>,
-        /// The moment from which on none of it may be written any more, where none is by then: the window in which the
-        /// call may go again is over. Such an attempt was never sent. `None`: it may be written for as long as it is out.
+        /// Time by which the first byte must be written, because the deduplication window ends; an attempt
+        /// that misses it counts as [`Outcome::NotSent`]. `None` for no limit.
         send_by: Option<Micros>,
     },
-    /// End the call unserved; it may safely come again.
+    /// Reject the call; the client may safely retry it.
     Reject {
-        /// Which call.
+        /// Call id.
         call: CallId,
-        /// Advice when.
+        /// Delay after which the client may retry.
         retry_after: Micros,
     },
-    /// End the call with an error that promises nothing.
+    /// Fail the call with an error; an attempt may have run.
     Fail {
-        /// Which call.
+        /// Call id.
         call: CallId,
     },
-    /// Call off an attempt.
+    /// Cancel an attempt.
     Cancel {
-        /// Of which call.
+        /// Call id.
         call: CallId,
-        /// Which attempt.
+        /// Number of the attempt.
         attempt: u32,
     },
     /// Send a health check.
     Probe {
-        /// To which server.
+        /// Server id.
         server: ServerId,
     },
-    /// Send [`Event::Timer`] after this time.
+    /// Send [`Event::Timer`] after a delay.
     Wake {
-        /// How long from now.
+        /// Delay from now.
         after: Micros,
     },
-    /// Subscribe to the server list.
+    /// Subscribe to the endpoint list.
     Subscribe,
-    /// A line for whoever is on call.
+    /// Write a log line.
     Log {
-        /// The line.
+        /// Text of the line.
         text: String,
     },
 }
--- a/policy/src/lib.rs
+++ b/policy/src/lib.rs
@@ -1,7 +1,7 @@
-//! Makes the decisions of a sidecar balancer for service-to-service calls: which server
-//! gets a call, when a call waits, goes again, is refused or fails. It does no I/O and reads no clock.
+//! Client-side load balancing for service-to-service calls: which server gets a call, and when a call
+//! queues, is retried, rejected or failed. The crate does no I/O and reads no clock.
 //!
-//! A client proxy makes one [`Balancer`], feeds it [`Event`]s and carries out the [`Action`]s:
+//! A client proxy creates one [`Balancer`], passes it [`Event`]s and executes the [`Action`]s:
 //!
 //! ```
 //! use flaxhead_policy::{Action, Balancer, CallId, ClassId, Entry, Event, ListKind, ServerId, Settings, State};
@@ -16,7 +16,7 @@
 //! balancer.handle(1_000, event, &mut actions);
 //! for action in actions.drain(..) {
 //!     match action {
-//!         Action::Send { call, server, .. } => println!("pass {call:?} to {server:?}"),
+//!         Action::Send { call, server, .. } => println!("send {call:?} to {server:?}"),
 //!         Action::Wake { after } => println!("send Event::Timer in {after} us"),
 //!         other => println!("{other:?}"),
 //!     }
@@ -37,7 +37,7 @@
 pub use balance::{Balancer, RestoreError};
 pub use bounds::is_event_in_range;
 
-/// The README's example is compiled as a test too.
+/// Compiles the README's example as a test.
 #[cfg(doctest)]
 #[doc = include_str!("../../README.md")]
 struct Readme;
--- a/policy/src/outcome_label.rs
+++ b/policy/src/outcome_label.rs
@@ -1,10 +1,10 @@
-//! The platform's words for how an attempt ended.
+//! Names of outcomes on the platform.
 
 use crate::api::Outcome;
 
 impl Outcome {
-    /// The platform's word for an outcome that counts as a host's error; `None`: it served, or the proxy itself
-    /// ended the attempt. What no word fits is an answer that cannot be used: an error.
+    /// Platform's name of an outcome that counts as an error of the host; `None` if the attempt was served or
+    /// ended by the proxy itself. An unknown outcome is an unusable answer and counts as an error.
     pub fn error_label(self) -> Option<&'static str> {
         match self {
             Outcome::Error | Outcome::Unknown => Some("error"),
