--- a/policy/benches/module.rs
+++ b/policy/benches/module.rs
@@ -1,5 +1,5 @@
-//! What the module itself takes: a call from its request to its outcome, one that fails over, a whole list, a change
-//! of one host; for a busy proxy and for one of 300, at fleets of 10 to 5,000 hosts.
+//! Benchmarks of a call with its outcome and of list updates, for a busy proxy and for one of 300, with
+//! fleets of 10 to 5,000 hosts.
 //!
 //! `cargo bench -p flaxhead-policy`
 
@@ -11,15 +11,15 @@
 const MS: Micros = 1_000;
 const FLEETS: [u32; 4] = [10, 200, 1_000, 5_000];
 
-/// A proxy in the middle of its work: answers come in the order of the calls.
+/// A proxy under steady load; answers come in the order of the calls.
 struct Proxy {
     balancer: Balancer,
     now: Micros,
     next: u64,
-    /// Time between two requests: 2,000 a second at a busy proxy, 50 at one of 300.
-    pace: Micros,
+    /// Interval of requests: 2,000 a second at a busy proxy, 50 at one of 300.
+    interval: Micros,
     actions: Vec<Action>,
-    out: std::collections::VecDeque<(CallId, u32)>,
+    in_flight: std::collections::VecDeque<(CallId, u32)>,
 }
 
 fn entry(server: u32, started_at: Micros) -> Entry {
@@ -28,7 +28,7 @@
 }
 
 impl Proxy {
-    fn new(balancer_count: u32, fleet: u32, cold: u32) -> Proxy {
+    fn new(balancer_count: u32, fleet: u32, warming_count: u32) -> Proxy {
         let class = |objective: Micros| Class {
             objective,
             deadline: 4 * objective,
@@ -37,7 +37,7 @@
             idempotency: Idempotency::Idempotent,
         };
         let classes = vec![class(600 * MS), class(2_000 * MS), class(2_000 * MS), class(2_000 * MS)];
-        // What starts cold stays so while it is measured.
+        // Keeps new servers warming up during the benchmark.
         let safety = SafetyLimits { slow_start_window: 1 << 40, ..Settings::default().safety };
         let settings = Settings {
             classes,
@@ -46,11 +46,12 @@
             safety,
             ..Settings::default()
         };
-        let (balancer, out) = (Balancer::new(7, settings), Default::default());
-        let pace = if balancer_count > 100 { 20 * MS } else { MS / 2 };
-        let mut proxy = Proxy { balancer, now: 1_000_000_000, next: 0, pace, actions: Vec::new(), out };
+        let (balancer, in_flight) = (Balancer::new(7, settings), Default::default());
+        let interval = if balancer_count > 100 { 20 * MS } else { MS / 2 };
+        let mut proxy =
+            Proxy { balancer, now: 1_000_000_000, next: 0, interval, actions: Vec::new(), in_flight };
         proxy.feed(Event::Start);
-        let start = |n| if n < cold { proxy.now } else { 0 };
+        let start = |n| if n < warming_count { proxy.now } else { 0 };
         let entries = (0..fleet).map(|n| entry(n, start(n))).collect();
         proxy.feed(Event::Members { kind: ListKind::Full, entries });
         (0..4_000).for_each(|_| proxy.call());
@@ -62,20 +63,20 @@
         self.balancer.handle(self.now, event, &mut self.actions);
         for action in &self.actions {
             if let Action::Send { call, .. } = action {
-                self.out.push_back((*call, 0));
+                self.in_flight.push_back((*call, 0));
             }
         }
     }
 
-    /// One request comes and one answer does.
+    /// Handles one request and one answer.
     fn call(&mut self) {
-        self.now += self.pace;
+        self.now += self.interval;
         self.next += 1;
         let (call, class) = (CallId(self.next), ClassId((self.next % 4) as usize));
         self.feed(Event::Request { call, class, tenant: None, time_left: 2_400 * MS, resent: false });
-        // So many are out as answers of 55 ms leave at this pace.
-        if self.out.len() as u64 > 55 * MS / self.pace {
-            if let Some((call, attempt)) = self.out.pop_front() {
+        // Keeps as many calls in flight as a latency of 55 ms needs.
+        if self.in_flight.len() as u64 > 55 * MS / self.interval {
+            if let Some((call, attempt)) = self.in_flight.pop_front() {
                 let (outcome, elapsed, load) =
                     (Outcome::Served, 40 * MS + self.next % 30 * MS, LoadReport::default());
                 self.feed(Event::Outcome { call, attempt, outcome, elapsed, complete: true, load });
@@ -86,11 +87,13 @@
 }
 
 fn calls(criterion: &mut Criterion) {
-    for (name, balancer_count, cold) in [("busy", 3, 0), ("thin", 300, 0), ("thin, a tenth cold", 300, 10)] {
+    for (name, balancer_count, warming_every) in
+        [("busy", 3, 0), ("thin", 300, 0), ("thin, a tenth cold", 300, 10)]
+    {
         let mut group = criterion.benchmark_group(format!("a call and its outcome, {name}"));
         for fleet in FLEETS {
-            let part = fleet.checked_div(cold).unwrap_or(0);
-            let mut proxy = Proxy::new(balancer_count, fleet, part);
+            let warming_count = fleet.checked_div(warming_every).unwrap_or(0);
+            let mut proxy = Proxy::new(balancer_count, fleet, warming_count);
             group.bench_function(BenchmarkId::from_parameter(fleet), |bencher| bencher.iter(|| proxy.call()));
         }
     }
@@ -102,19 +105,19 @@
         let mut proxy = Proxy::new(300, fleet, 0);
         let whole: Vec<Entry> = (0..fleet).map(|n| entry(n, 0)).collect();
         group.bench_function(BenchmarkId::new("whole, unchanged", fleet), |bencher| {
-            let told = |entries| Event::Members { kind: ListKind::Full, entries };
+            let list_update = |entries| Event::Members { kind: ListKind::Full, entries };
             bencher.iter_batched(
                 || whole.clone(),
-                |entries| proxy.feed(told(entries)),
+                |entries| proxy.feed(list_update(entries)),
                 BatchSize::SmallInput,
             );
         });
         let mut proxy = Proxy::new(300, fleet, 0);
-        let mut turn = 0;
+        let mut round = 0;
         group.bench_function(BenchmarkId::new("one host leaves or comes", fleet), |bencher| {
             bencher.iter(|| {
-                turn += 1;
-                let state = if turn % 2 == 0 { State::Ready } else { State::Removed };
+                round += 1;
+                let state = if round % 2 == 0 { State::Ready } else { State::Removed };
                 let entries = vec![Entry { state, ..entry(fleet / 2, 0) }];
                 proxy.feed(Event::Members { kind: ListKind::Delta, entries });
             });
--- a/policy/tests/access.rs
+++ b/policy/tests/access.rs
@@ -1,4 +1,4 @@
-//! Who is allowed in.
+//! Access lists and trusted proxies.
 
 use flaxhead_policy::{Access, Networks, PeerAccess};
 use std::net::IpAddr;
@@ -43,14 +43,14 @@
             && mapped.contains(ip("::ffff:10.8.3.4"))
             && !mapped.contains(ip("10.9.0.1"))
     );
-    assert!(!networks("::/0").contains(ip("10.8.3.4")), "IPv6 ranges hold no IPv4 address");
+    assert!(!networks("::/0").contains(ip("10.8.3.4")), "IPv6 ranges do not contain IPv4 addresses");
 }
 
 #[test]
-fn a_lone_address_is_a_range_of_one_and_what_is_no_range_is_refused() {
+fn a_single_address_is_a_range_of_one_and_invalid_ranges_are_rejected() {
     let one = networks(" 10.8.0.1 ,::1");
     assert!(one.contains(ip("10.8.0.1")) && !one.contains(ip("10.8.0.2")) && one.contains(ip("::1")));
-    assert!(networks("10.8.3.4/16").contains(ip("10.8.200.1")), "bits beyond the prefix do not count");
+    assert!(networks("10.8.3.4/16").contains(ip("10.8.200.1")), "bits beyond the prefix are ignored");
     assert_eq!(networks(""), Networks::default());
     for bad in
         ["10.8.0.0/33", "10.8.0/16", "fd00::/129", "gateway", "10.8.0.0/16,", ",", "10.8.0.0/16 10.9.0.0/16"]
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_front_is_asked_whom_it_speaks_for_whatever_the_lists_say_of_itself() {
+fn a_trusted_proxy_is_identified_whatever_the_lists_say_of_its_own_address() {
     let access = Access {
         allow: networks("10.8.0.0/16"),
         deny: networks("127.0.0.9"),
