--- a/adapter/src/main.rs
+++ b/adapter/src/main.rs
@@ -1,11 +1,12 @@
-//! Hosts balancers on the bench's wire: one JSON batch a line in, one JSON reply a line out. Decides nothing.
+//! Runs balancers on the simulator's protocol: reads one batch of events as a line of JSON, and writes one
+//! batch of commands.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod fault;
+mod error;
 mod wire;
 
-use fault::Fault;
+use error::AdapterError;
 use flaxhead_policy::{
     Action, Balancer, CallId, ClassId, Entry, Event, ListKind, Outcome, ServerId, TenantId,
 };
@@ -13,105 +14,107 @@
 use std::io::{self, BufRead, Write};
 use wire::{Batch, Command, Input, Reply};
 
-/// A call of an instance under its name on the wire.
-struct Name {
-    word: String,
-    out: u32,
+/// Call of a proxy, with its name on the wire.
+struct CallEntry {
+    name: String,
+    in_flight: u32,
     ended: bool,
 }
 
-/// One instance: its balancer and the names that the wire uses for what the balancer numbers.
-struct Instance {
+/// Proxy of the simulator: its balancer, and the names of what the balancer identifies by numbers.
+struct Proxy {
     balancer: Balancer,
     classes: Vec<String>,
     tenants: Vec<String>,
-    numbers: HashMap<String, CallId>,
-    names: HashMap<CallId, Name>,
-    next: u64,
+    call_ids: HashMap<String, CallId>,
+    calls: HashMap<CallId, CallEntry>,
+    next_call_id: u64,
 }
 
-impl Instance {
-    fn number(&mut self, word: &str) -> CallId {
-        if let Some(&id) = self.numbers.get(word) {
+impl Proxy {
+    fn call_id(&mut self, name: &str) -> CallId {
+        if let Some(&id) = self.call_ids.get(name) {
             return id;
         }
-        let id = CallId(self.next);
-        self.next += 1;
-        self.numbers.insert(word.to_owned(), id);
-        self.names.insert(id, Name { word: word.to_owned(), out: 0, ended: false });
+        let id = CallId(self.next_call_id);
+        self.next_call_id += 1;
+        self.call_ids.insert(name.to_owned(), id);
+        self.calls.insert(id, CallEntry { name: name.to_owned(), in_flight: 0, ended: false });
         id
     }
 
-    /// Forgets a call once it has ended and none of its attempts is out.
-    fn tidy(&mut self, id: CallId) {
-        if self.names.get(&id).is_some_and(|n| n.ended && n.out == 0) {
-            if let Some(name) = self.names.remove(&id) {
-                self.numbers.remove(&name.word);
+    /// Removes a call that has ended and has no attempt in flight.
+    fn remove_if_complete(&mut self, id: CallId) {
+        if self.calls.get(&id).is_some_and(|n| n.ended && n.in_flight == 0) {
+            if let Some(entry) = self.calls.remove(&id) {
+                self.call_ids.remove(&entry.name);
             }
         }
     }
 }
 
-/// All instances of this process, the lists, and the zones' numbers.
+/// All proxies of the simulation and the endpoint lists that they may receive.
 #[derive(Default)]
-struct Host {
-    instances: HashMap<i64, Instance>,
+struct Adapter {
+    proxies: HashMap<i64, Proxy>,
     lists: HashMap<i64, Vec<wire::Element>>,
     actions: Vec<Action>,
 }
 
-fn need<T>(value: Option<T>, verb: &str, field: &'static str) -> Result<T, Fault> {
-    value.ok_or_else(|| Fault::Without { verb: verb.to_owned(), field })
+fn require<T>(value: Option<T>, verb: &str, field: &'static str) -> Result<T, AdapterError> {
+    value.ok_or_else(|| AdapterError::MissingField { verb: verb.to_owned(), field })
 }
 
-impl Host {
-    fn batch(&mut self, line: &str) -> Result<String, Fault> {
-        let batch: Batch = serde_json::from_str(line).map_err(Fault::NoBatch)?;
+impl Adapter {
+    fn handle_batch(&mut self, line: &str) -> Result<String, AdapterError> {
+        let batch: Batch = serde_json::from_str(line).map_err(AdapterError::InvalidBatch)?;
         let mut reply = Reply { cmds: Vec::with_capacity(batch.input.len()) };
         for input in batch.input {
-            self.input(batch.clock_us, input, &mut reply)?;
+            self.handle_input(batch.clock_us, input, &mut reply)?;
         }
-        serde_json::to_string(&reply).map_err(Fault::NoReply)
+        serde_json::to_string(&reply).map_err(AdapterError::Encode)
     }
 
-    fn input(&mut self, now: u64, input: Input, reply: &mut Reply) -> Result<(), Fault> {
+    fn handle_input(&mut self, now: u64, input: Input, reply: &mut Reply) -> Result<(), AdapterError> {
         let verb = input.verb.as_ref();
         if verb == "POOL" {
-            let list = need(input.roster_id, verb, "roster_id")?;
+            let list = require(input.roster_id, verb, "roster_id")?;
             self.lists.insert(list, input.elements.unwrap_or_default());
             return Ok(());
         }
-        let proxy = need(input.proxy, verb, "proxy")?;
+        let proxy = require(input.proxy, verb, "proxy")?;
         if verb == "CREATE" {
-            let facts = need(input.facts, verb, "facts")?;
-            let seed = need(input.seed, verb, "seed")?;
+            let facts = require(input.facts, verb, "facts")?;
+            let seed = require(input.seed, verb, "seed")?;
             let (settings, classes, tenants) = flaxhead_settings::parse(&facts)?;
             let balancer = Balancer::new(seed, settings);
-            let (numbers, names) = (HashMap::new(), HashMap::new());
-            let instance = Instance { balancer, classes, tenants, numbers, names, next: 0 };
-            self.instances.insert(proxy, instance);
+            let (call_ids, calls) = (HashMap::new(), HashMap::new());
+            let instance = Proxy { balancer, classes, tenants, call_ids, calls, next_call_id: 0 };
+            self.proxies.insert(proxy, instance);
         } else if verb == "DETACH" {
-            self.instances.remove(&proxy);
+            self.proxies.remove(&proxy);
             return Ok(());
         }
-        let instance =
-            self.instances.get_mut(&proxy).ok_or_else(|| Fault::Proxy { verb: verb.to_owned(), proxy })?;
-        let mut touched = None;
+        let instance = self
+            .proxies
+            .get_mut(&proxy)
+            .ok_or_else(|| AdapterError::UnknownProxy { verb: verb.to_owned(), proxy })?;
+        let mut touched_call = None;
         let event = match verb {
             "CREATE" => Event::Start,
             "MEMBERS" => {
-                let kind = match need(input.scope, verb, "scope")? {
+                let kind = match require(input.scope, verb, "scope")? {
                     0 => ListKind::Failed,
                     1 => ListKind::Cached,
                     2 => ListKind::Delta,
                     3 => ListKind::Full,
-                    other => return Err(Fault::Scope(other)),
+                    other => return Err(AdapterError::UnknownScope(other)),
                 };
                 let entries: Vec<Entry> = match kind {
                     ListKind::Failed => Vec::new(),
                     _ => {
-                        let list = need(input.roster_id, verb, "roster_id")?;
-                        let list = self.lists.get(&list).ok_or(Fault::List(list))?;
+                        let list = require(input.roster_id, verb, "roster_id")?;
+                        let list = self.lists.get(&list).ok_or(AdapterError::UnknownList(list))?;
                         list.iter().map(wire::Element::entry).collect::<Result<_, _>>()?
                     }
                 };
@@ -119,94 +122,97 @@
             }
             "ALARM" => Event::Timer,
             "PROBED" => Event::Probed {
-                server: ServerId(need(input.host, verb, "host")?),
-                outcome: wire::outcome(&need(input.result, verb, "result")?),
+                server: ServerId(require(input.host, verb, "host")?),
+                outcome: wire::outcome(&require(input.result, verb, "result")?),
                 load: input.stats.map(|s| s.load()).unwrap_or_default(),
             },
             "WHISPER" => return Ok(()),
             "JOB_IN" | "DONE" | "UNDER_WAY" | "CANCELLED_BY_CLIENT" => {
-                let word = need(input.call, verb, "call")?;
-                if verb != "JOB_IN" && !instance.numbers.contains_key(word.as_ref()) {
+                let name = require(input.call, verb, "call")?;
+                if verb != "JOB_IN" && !instance.call_ids.contains_key(name.as_ref()) {
                     return Ok(());
                 }
-                let call = instance.number(&word);
-                touched = Some(call);
+                let call = instance.call_id(&name);
+                touched_call = Some(call);
                 match verb {
                     "JOB_IN" => {
-                        let class = need(input.tier_class, verb, "tier_class")?;
-                        let place = |all: &[String], name: &str| all.iter().position(|n| n == name);
+                        let class = require(input.tier_class, verb, "tier_class")?;
+                        let index_of = |all: &[String], name: &str| all.iter().position(|n| n == name);
                         Event::Request {
                             call,
-                            class: ClassId(place(&instance.classes, &class).unwrap_or(usize::MAX)),
-                            tenant: input.user_group.and_then(|t| place(&instance.tenants, &t)).map(TenantId),
-                            time_left: need(input.time_budget_us, verb, "time_budget_us")?,
+                            class: ClassId(index_of(&instance.classes, &class).unwrap_or(usize::MAX)),
+                            tenant: input
+                                .user_group
+                                .and_then(|t| index_of(&instance.tenants, &t))
+                                .map(TenantId),
+                            time_left: require(input.time_budget_us, verb, "time_budget_us")?,
                             resent: input.resent,
                         }
                     }
                     "DONE" => {
-                        let outcome: Outcome = wire::outcome(&need(input.result, verb, "result")?);
-                        if let Some(name) = instance.names.get_mut(&call) {
-                            name.out = name.out.saturating_sub(1);
-                            name.ended |= input.terminal;
+                        let outcome: Outcome = wire::outcome(&require(input.result, verb, "result")?);
+                        if let Some(entry) = instance.calls.get_mut(&call) {
+                            entry.in_flight = entry.in_flight.saturating_sub(1);
+                            entry.ended |= input.terminal;
                         }
                         Event::Outcome {
                             call,
-                            attempt: need(input.seq_no, verb, "seq_no")?,
+                            attempt: require(input.seq_no, verb, "seq_no")?,
                             outcome,
                             elapsed: input.elapsed_us.unwrap_or(0),
                             complete: input.terminal,
                             load: input.stats.map(|s| s.load()).unwrap_or_default(),
                         }
                     }
-                    "UNDER_WAY" => Event::Streaming { call, attempt: need(input.seq_no, verb, "seq_no")? },
+                    "UNDER_WAY" => Event::Streaming { call, attempt: require(input.seq_no, verb, "seq_no")? },
                     _ => {
-                        if let Some(name) = instance.names.get_mut(&call) {
-                            name.ended = true;
+                        if let Some(entry) = instance.calls.get_mut(&call) {
+                            entry.ended = true;
                         }
                         Event::ClientCancelled { call }
                     }
                 }
             }
-            other => return Err(Fault::Verb(other.to_owned())),
+            other => return Err(AdapterError::UnknownVerb(other.to_owned())),
         };
         instance.balancer.handle(now, event, &mut self.actions);
         for action in self.actions.drain(..) {
-            if let Some(command) = command(proxy, instance, action) {
+            if let Some(command) = to_command(proxy, instance, action) {
                 reply.cmds.push(command);
             }
         }
-        if let Some(call) = touched {
-            instance.tidy(call);
+        if let Some(call) = touched_call {
+            instance.remove_if_complete(call);
         }
         Ok(())
     }
 }
 
-/// The wire's form of an action, with the names put back.
-fn command(proxy: i64, instance: &mut Instance, action: Action) -> Option<Command> {
-    let word = |id: CallId, names: &HashMap<CallId, Name>| names.get(&id).map(|n| n.word.clone());
+/// Converts an action to a command; `None` for a call that has been removed.
+fn to_command(proxy: i64, instance: &mut Proxy, action: Action) -> Option<Command> {
+    let name_of = |id: CallId, calls: &HashMap<CallId, CallEntry>| calls.get(&id).map(|n| n.name.clone());
     Some(match action {
         Action::Send { call, server, deadline, .. } => {
-            let name = instance.names.get_mut(&call)?;
-            name.out += 1;
-            Command::Route { proxy, call: name.word.clone(), host: server.0, stop_at_us: deadline }
+            let entry = instance.calls.get_mut(&call)?;
+            entry.in_flight += 1;
+            Command::Route { proxy, call: entry.name.clone(), host: server.0, stop_at_us: deadline }
         }
         Action::Reject { call, retry_after } => {
-            let name = instance.names.get_mut(&call)?;
-            name.ended = true;
-            let command = Command::Bounce { proxy, call: name.word.clone(), hold_off_us: retry_after };
-            instance.tidy(call);
+            let entry = instance.calls.get_mut(&call)?;
+            entry.ended = true;
+            let command = Command::Bounce { proxy, call: entry.name.clone(), hold_off_us: retry_after };
+            instance.remove_if_complete(call);
             command
         }
         Action::Fail { call } => {
-            let name = instance.names.get_mut(&call)?;
-            name.ended = true;
-            let command = Command::DropRequest { proxy, call: name.word.clone() };
-            instance.tidy(call);
+            let entry = instance.calls.get_mut(&call)?;
+            entry.ended = true;
+            let command = Command::DropRequest { proxy, call: entry.name.clone() };
+            instance.remove_if_complete(call);
             command
         }
         Action::Cancel { call, attempt } => {
-            Command::DropAttempt { proxy, call: word(call, &instance.names)?, seq_no: attempt }
+            Command::DropAttempt { proxy, call: name_of(call, &instance.calls)?, seq_no: attempt }
         }
         Action::Probe { server } => Command::Test { proxy, host: server.0 },
         Action::Wake { after } => Command::SetAlarm { proxy, offset_us: after, tag: 0 },
@@ -216,10 +222,10 @@
 }
 
 fn main() {
-    let mut host = Host::default();
+    let mut adapter = Adapter::default();
     let mut output = io::stdout().lock();
     for (index, line) in io::stdin().lock().lines().enumerate() {
-        let answer = line.map_err(Fault::Unreadable).and_then(|line| host.batch(&line));
+        let answer = line.map_err(AdapterError::Read).and_then(|line| adapter.handle_batch(&line));
         match answer {
             Ok(reply) => {
                 if writeln!(output, "{reply}").and_then(|()| output.flush()).is_err() {
--- a/adapter/src/wire.rs
+++ b/adapter/src/wire.rs
@@ -1,6 +1,6 @@
-//! Messages of the wire, as they are read and written.
+//! Messages of the simulator's protocol.
 
-use crate::fault::Fault;
+use crate::error::AdapterError;
 use flaxhead_policy::{CellId, Entry, LoadReport, Outcome, ServerId, State};
 use flaxhead_settings::{model_id, zone_id};
 use serde::{Deserialize, Serialize};
@@ -13,7 +13,7 @@
     pub input: Vec<Input<'a>>,
 }
 
-/// Any event; which fields it has depends on its verb.
+/// Event of any kind; the verb determines which fields are present.
 #[derive(Deserialize)]
 pub struct Input<'a> {
     #[serde(borrow)]
@@ -73,12 +73,12 @@
 }
 
 impl Element {
-    pub fn entry(&self) -> Result<Entry, Fault> {
+    pub fn entry(&self) -> Result<Entry, AdapterError> {
         let state = match self.state {
             0 => State::Draining,
             1 => State::Ready,
             2 => State::Removed,
-            other => return Err(Fault::State { host: self.host, state: other }),
+            other => return Err(AdapterError::UnknownState { host: self.host, state: other }),
         };
         Ok(Entry {
             server: ServerId(self.host),
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -1,5 +1,5 @@
-//! A site's settings, as the simulator's first message and a proxy's configuration hold them. Unknown keys
-//! are ignored, absent ones get harmless values.
+//! Settings of a site, as in the simulator's CREATE event and in a proxy's configuration. Unknown keys are
+//! ignored; absent optional keys have defaults.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -11,29 +11,29 @@
 use serde_json::Value;
 
 #[derive(Deserialize)]
-struct Facts {
+struct SiteSettings {
     balancers: u32,
     #[serde(default)]
     me: u32,
-    classes: Vec<ClassFacts>,
+    classes: Vec<ClassSettings>,
     #[serde(default)]
-    tenants: Vec<TenantFacts>,
+    tenants: Vec<TenantSettings>,
     #[serde(default)]
     discovery: String,
-    limits: LimitFacts,
-    invariants: RuleFacts,
+    limits: LimitSettings,
+    invariants: InvariantSettings,
     #[serde(default)]
-    result_mix: GoalFacts,
+    result_mix: ScoreSettings,
     #[serde(default)]
     locality: Option<String>,
     #[serde(default)]
-    charges: PriceFacts,
+    charges: ChargeSettings,
     #[serde(default)]
     tick_us: u64,
 }
 
 #[derive(Deserialize)]
-struct ClassFacts {
+struct ClassSettings {
     name: String,
     objective_us: u64,
     deadline_us: u64,
@@ -49,7 +49,7 @@
 }
 
 #[derive(Deserialize)]
-struct TenantFacts {
+struct TenantSettings {
     name: String,
     #[serde(default)]
     portion: f64,
@@ -57,7 +57,7 @@
 
 #[derive(Deserialize)]
 #[serde(default)]
-struct LimitFacts {
+struct LimitSettings {
     cancel: bool,
     probes: bool,
     second_copies: bool,
@@ -65,72 +65,73 @@
     max_retry_after_us: u64,
 }
 
-impl Default for LimitFacts {
+impl Default for LimitSettings {
     fn default() -> Self {
         let (cancel, probes, second_copies) = (false, false, false);
-        LimitFacts { cancel, probes, second_copies, max_attempts: 1, max_retry_after_us: 0 }
+        LimitSettings { cancel, probes, second_copies, max_attempts: 1, max_retry_after_us: 0 }
     }
 }
 
 #[derive(Deserialize)]
-struct RuleFacts {
+struct InvariantSettings {
     cold_from: f64,
     cold_us: u64,
-    #[serde(default = "ask_every")]
+    #[serde(default = "default_max_poll_interval")]
     ask_every_us: u64,
-    #[serde(default = "fall_multiple")]
+    #[serde(default = "default_overload_multiple")]
     fall_multiple: f64,
 }
 
-fn fall_multiple() -> f64 {
+fn default_overload_multiple() -> f64 {
     Settings::default().safety.overload_multiple
 }
 
-fn ask_every() -> u64 {
+fn default_max_poll_interval() -> u64 {
     Settings::default().safety.max_poll_interval
 }
 
 #[derive(Deserialize)]
 #[serde(default)]
-struct GoalFacts {
+struct ScoreSettings {
     whole: f64,
     worst_class: f64,
 }
 
 #[derive(Default, Deserialize)]
 #[serde(default)]
-struct PriceFacts {
+struct ChargeSettings {
     cross_zone: f64,
 }
 
-impl Default for GoalFacts {
+impl Default for ScoreSettings {
     fn default() -> Self {
-        GoalFacts { whole: 1.0, worst_class: 0.0 }
+        ScoreSettings { whole: 1.0, worst_class: 0.0 }
     }
 }
 
-/// Settings that cannot be read: what they lack, or which value is of the wrong kind.
+/// Settings with a missing key or a value of the wrong type.
 #[derive(Debug, thiserror::Error)]
 #[error("{0}")]
 pub struct SettingsError(#[from] serde_json::Error);
 
-/// Settings, and the names of classes and tenants in their order.
+/// Parses the settings of a site; returns them with the names of classes and tenants, in the order of their
+/// indices.
 ///
 /// # Errors
 ///
-/// Where something that cannot be guessed is absent (the number of balancers, the classes, the limits, the rules),
-/// or a value is of another kind.
-pub fn parse(facts: &Value) -> Result<(Settings, Vec<String>, Vec<String>), SettingsError> {
-    let facts = Facts::deserialize(facts)?;
+/// If a required key (the number of balancers, the classes, the limits or the invariants) is missing, or a
+/// value has the wrong type.
+pub fn parse(value: &Value) -> Result<(Settings, Vec<String>, Vec<String>), SettingsError> {
+    let site = SiteSettings::deserialize(value)?;
     let mut classes = Vec::new();
-    for class in &facts.classes {
+    for class in &site.classes {
         let scope = match class.dedup_scope.as_str() {
             "all" => Some(DedupScope::All),
             "zone" => Some(DedupScope::Zone),
             "cell" => Some(DedupScope::Cell),
             _ => None,
         };
-        // A kind or a scope that is not known is taken to allow no repeat.
+        // An unknown idempotency or deduplication scope allows no repeats.
         let idempotency = match (class.idempotency.as_str(), scope) {
             ("free", _) => Idempotency::Idempotent,
             ("guarded", Some(scope)) => Idempotency::Keyed { scope, window: class.repeat_window_us },
@@ -145,62 +146,61 @@
             idempotency,
         });
     }
-    let limits = &facts.limits;
-    let rules = &facts.invariants;
+    let limits = &site.limits;
+    let invariants = &site.invariants;
     let settings = Settings {
-        balancer_count: facts.balancers,
-        balancer_index: facts.me,
-        clock_tick: facts.tick_us,
-        subscribe: facts.discovery == "ask",
+        balancer_count: site.balancers,
+        balancer_index: site.me,
+        clock_tick: site.tick_us,
+        subscribe: site.discovery == "ask",
         classes,
-        tenants: facts.tenants.iter().map(|t| Tenant { share: t.portion }).collect(),
+        tenants: site.tenants.iter().map(|t| Tenant { share: t.portion }).collect(),
         limits: Limits {
             cancel: limits.cancel,
             probes: limits.probes,
             hedging: limits.second_copies,
             max_attempts: limits.max_attempts,
-            // Also where clients are said not to heed it: a refusal on sockets always says when to come back.
+            // Also kept where clients ignore Retry-After: a proxy sends it with each rejection.
             max_retry_after: limits.max_retry_after_us,
         },
         safety: SafetyLimits {
-            slow_start_ratio: rules.cold_from,
-            slow_start_window: rules.cold_us,
-            max_poll_interval: rules.ask_every_us,
-            overload_multiple: rules.fall_multiple,
+            slow_start_ratio: invariants.cold_from,
+            slow_start_window: invariants.cold_us,
+            max_poll_interval: invariants.ask_every_us,
+            overload_multiple: invariants.fall_multiple,
         },
         score_weights: ScoreWeights {
-            overall: facts.result_mix.whole,
-            worst_class: facts.result_mix.worst_class,
+            overall: site.result_mix.whole,
+            worst_class: site.result_mix.worst_class,
         },
-        local_zone: facts.locality.as_deref().filter(|_| facts.charges.cross_zone > 0.0).map(zone_id),
+        local_zone: site.locality.as_deref().filter(|_| site.charges.cross_zone > 0.0).map(zone_id),
     };
-    let names = facts.classes.into_iter().map(|c| c.name).collect();
-    Ok((settings, names, facts.tenants.into_iter().map(|t| t.name).collect()))
+    let class_names = site.classes.into_iter().map(|c| c.name).collect();
+    Ok((settings, class_names, site.tenants.into_iter().map(|t| t.name).collect()))
 }
 
-/// A number for a zone's name, the same wherever it is met.
+/// Id of a zone: a hash of its name, equal on all proxies.
 pub fn zone_id(name: &str) -> ZoneId {
-    ZoneId(number(name))
+    ZoneId(fnv1a(name))
 }
 
-/// A number for the name of a model of server, the same wherever it is met.
+/// Id of a server model: a hash of its name, equal on all proxies.
 pub fn model_id(name: &str) -> ModelId {
-    ModelId(number(name))
+    ModelId(fnv1a(name))
 }
 
-/// A number for a server's name, the same wherever it is met. Two names may share one.
+/// Id of a server: a hash of its name, equal on all proxies. Two names may have the same hash.
 pub fn server_id(name: &str) -> ServerId {
-    ServerId(number(name))
+    ServerId(fnv1a(name))
 }
 
-/// FNV-1a.
-fn number(name: &str) -> u32 {
+/// 32-bit FNV-1a hash.
+fn fnv1a(name: &str) -> u32 {
     name.bytes().fold(0x811c_9dc5, |hash, byte| (hash ^ u32::from(byte)).wrapping_mul(0x0100_0193))
 }
 
-/// Reads a load report, `name=value,name=value`; what is not known or no number is passed over. The names are
-/// those of the settings (`report.columns`), as on the simulator's wire: read under other names, every report
-/// would be lost without a sign.
+/// Parses a load report, `name=value,name=value`; unknown names and values that are not finite numbers are
+/// ignored. The names are those of the simulator and of the settings' key `report.columns`.
 pub fn parse_load_report(text: &str) -> LoadReport {
     let mut load = LoadReport::default();
     for (name, value) in text.split(',').filter_map(|pair| pair.split_once('=')) {
