--- a/policy/src/balance/restore.rs
+++ b/policy/src/balance/restore.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RestoreError {
     /// A duration in the settings exceeds its bound.
-    #[error("a duration in the settings is out of range")]
+    #[error("a duration in the settings is too long")]
     InvalidSettings,
     /// The number of classes or tenants differs from the settings.
     #[error("the classes or tenants in the state differ from the settings")]
