--- a/adapter/src/error.rs
+++ b/adapter/src/error.rs
@@ -17,7 +17,7 @@
     /// An event lacks a field that its verb requires.
     #[error("{verb} without {field}")]
     MissingField {
-        /// Verb of the event.
+        /// Verb of the event that lacks the field.
         verb: String,
         /// Name of the missing field.
         field: &'static str,
@@ -25,29 +25,29 @@
     /// The settings of a proxy are invalid.
     #[error("invalid facts: {0}")]
     InvalidSettings(#[from] flaxhead_settings::SettingsError),
-    /// The proxy was not created, or was detached.
+    /// An event is for a proxy that no CREATE event made, or that was detached.
     #[error("{verb} for unknown proxy {proxy}")]
     UnknownProxy {
-        /// Verb of the event.
+        /// Verb of that event.
         verb: String,
-        /// Id of the proxy.
+        /// Id of the proxy in that event.
         proxy: i64,
     },
-    /// The scope of a list update is unknown.
+    /// An update of the endpoint list has a scope that is not one of the four defined values.
     #[error("MEMBERS with unknown scope {0}")]
     UnknownScope(i64),
-    /// The list was not defined by a POOL event.
+    /// An update refers to an endpoint list that no POOL event defined.
     #[error("MEMBERS of unknown list {0}")]
     UnknownList(i64),
-    /// The state of a host is unknown.
+    /// An entry of an endpoint list has a state that is not one of the three defined values.
     #[error("host {host} in unknown state {state}")]
     UnknownState {
-        /// Id of the host.
+        /// Id of the host that the entry describes.
         host: u32,
-        /// Number of the state.
+        /// Undefined value of its state.
         state: u32,
     },
-    /// The verb of an event is unknown.
+    /// An event has a verb that is not defined.
     #[error("unknown verb {0}")]
     UnknownVerb(String),
 }
--- a/adapter/src/main.rs
+++ b/adapter/src/main.rs
@@ -14,15 +14,15 @@
 use std::io::{self, BufRead, Write};
 use wire::{Batch, Command, Input, Reply};
 
-/// Call of a proxy, with its name on the wire.
+/// A call of a simulated proxy, under its name in the protocol.
 struct CallEntry {
     name: String,
     in_flight: u32,
     ended: bool,
 }
 
-/// Proxy of the simulator: its balancer, and the names of what the balancer identifies by numbers.
-struct Proxy {
+/// A simulated proxy: its balancer, and the names in the protocol of calls, classes and tenants.
+struct SimulatedProxy {
     balancer: Balancer,
     classes: Vec<String>,
     tenants: Vec<String>,
@@ -31,7 +31,7 @@
     next_call_id: u64,
 }
 
-impl Proxy {
+impl SimulatedProxy {
     fn call_id(&mut self, name: &str) -> CallId {
         if let Some(&id) = self.call_ids.get(name) {
             return id;
@@ -56,7 +56,7 @@
 /// All proxies of the simulation and the endpoint lists that they may receive.
 #[derive(Default)]
 struct Adapter {
-    proxies: HashMap<i64, Proxy>,
+    proxies: HashMap<i64, SimulatedProxy>,
     lists: HashMap<i64, Vec<wire::Element>>,
     actions: Vec<Action>,
 }
@@ -89,13 +89,13 @@
             let (settings, classes, tenants) = flaxhead_settings::parse(&facts)?;
             let balancer = Balancer::new(seed, settings);
             let (call_ids, calls) = (HashMap::new(), HashMap::new());
-            let instance = Proxy { balancer, classes, tenants, call_ids, calls, next_call_id: 0 };
-            self.proxies.insert(proxy, instance);
+            let simulated = SimulatedProxy { balancer, classes, tenants, call_ids, calls, next_call_id: 0 };
+            self.proxies.insert(proxy, simulated);
         } else if verb == "DETACH" {
             self.proxies.remove(&proxy);
             return Ok(());
         }
-        let instance = self
+        let simulated = self
             .proxies
             .get_mut(&proxy)
             .ok_or_else(|| AdapterError::UnknownProxy { verb: verb.to_owned(), proxy })?;
@@ -129,10 +129,10 @@
             "WHISPER" => return Ok(()),
             "JOB_IN" | "DONE" | "UNDER_WAY" | "CANCELLED_BY_CLIENT" => {
                 let name = require(input.call, verb, "call")?;
-                if verb != "JOB_IN" && !instance.call_ids.contains_key(name.as_ref()) {
+                if verb != "JOB_IN" && !simulated.call_ids.contains_key(name.as_ref()) {
                     return Ok(());
                 }
-                let call = instance.call_id(&name);
+                let call = simulated.call_id(&name);
                 touched_call = Some(call);
                 match verb {
                     "JOB_IN" => {
@@ -140,10 +140,10 @@
                         let index_of = |all: &[String], name: &str| all.iter().position(|n| n == name);
                         Event::Request {
                             call,
-                            class: ClassId(index_of(&instance.classes, &class).unwrap_or(usize::MAX)),
+                            class: ClassId(index_of(&simulated.classes, &class).unwrap_or(usize::MAX)),
                             tenant: input
                                 .user_group
-                                .and_then(|t| index_of(&instance.tenants, &t))
+                                .and_then(|t| index_of(&simulated.tenants, &t))
                                 .map(TenantId),
                             time_left: require(input.time_budget_us, verb, "time_budget_us")?,
                             resent: input.resent,
@@ -151,7 +151,7 @@
                     }
                     "DONE" => {
                         let outcome: Outcome = wire::outcome(&require(input.result, verb, "result")?);
-                        if let Some(entry) = instance.calls.get_mut(&call) {
+                        if let Some(entry) = simulated.calls.get_mut(&call) {
                             entry.in_flight = entry.in_flight.saturating_sub(1);
                             entry.ended |= input.terminal;
                         }
@@ -166,7 +166,7 @@
                     }
                     "UNDER_WAY" => Event::Streaming { call, attempt: require(input.seq_no, verb, "seq_no")? },
                     _ => {
-                        if let Some(entry) = instance.calls.get_mut(&call) {
+                        if let Some(entry) = simulated.calls.get_mut(&call) {
                             entry.ended = true;
                         }
                         Event::ClientCancelled { call }
@@ -175,44 +175,44 @@
             }
             other => return Err(AdapterError::UnknownVerb(other.to_owned())),
         };
-        instance.balancer.handle(now, event, &mut self.actions);
+        simulated.balancer.handle(now, event, &mut self.actions);
         for action in self.actions.drain(..) {
-            if let Some(command) = to_command(proxy, instance, action) {
+            if let Some(command) = to_command(proxy, simulated, action) {
                 reply.cmds.push(command);
             }
         }
         if let Some(call) = touched_call {
-            instance.remove_if_complete(call);
+            simulated.remove_if_complete(call);
         }
         Ok(())
     }
 }
 
 /// Converts an action to a command; `None` for a call that has been removed.
-fn to_command(proxy: i64, instance: &mut Proxy, action: Action) -> Option<Command> {
+fn to_command(proxy: i64, simulated: &mut SimulatedProxy, action: Action) -> Option<Command> {
     let name_of = |id: CallId, calls: &HashMap<CallId, CallEntry>| calls.get(&id).map(|n| n.name.clone());
     Some(match action {
         Action::Send { call, server, deadline, .. } => {
-            let entry = instance.calls.get_mut(&call)?;
+            let entry = simulated.calls.get_mut(&call)?;
             entry.in_flight += 1;
             Command::Route { proxy, call: entry.name.clone(), host: server.0, stop_at_us: deadline }
         }
         Action::Reject { call, retry_after } => {
-            let entry = instance.calls.get_mut(&call)?;
+            let entry = simulated.calls.get_mut(&call)?;
             entry.ended = true;
             let command = Command::Bounce { proxy, call: entry.name.clone(), hold_off_us: retry_after };
-            instance.remove_if_complete(call);
+            simulated.remove_if_complete(call);
             command
         }
         Action::Fail { call } => {
-            let entry = instance.calls.get_mut(&call)?;
+            let entry = simulated.calls.get_mut(&call)?;
             entry.ended = true;
             let command = Command::DropRequest { proxy, call: entry.name.clone() };
-            instance.remove_if_complete(call);
+            simulated.remove_if_complete(call);
             command
         }
         Action::Cancel { call, attempt } => {
-            Command::DropAttempt { proxy, call: name_of(call, &instance.calls)?, seq_no: attempt }
+            Command::DropAttempt { proxy, call: name_of(call, &simulated.calls)?, seq_no: attempt }
         }
         Action::Probe { server } => Command::Test { proxy, host: server.0 },
         Action::Wake { after } => Command::SetAlarm { proxy, offset_us: after, tag: 0 },
--- a/policy/src/access.rs
+++ b/policy/src/access.rs
@@ -1,4 +1,4 @@
-//! Access control by client address: allowed and denied networks, and trusted proxies.
+//! Access control by client address: allowed and denied networks, and trusted reverse proxies.
 
 use ipnet::{IpNet, Ipv4Net};
 use std::net::IpAddr;
@@ -43,14 +43,15 @@
     }
 }
 
-/// Access lists of the operators' file.
+/// Networks from which clients may connect, and the reverse proxies that may name a client.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Access {
     /// Allowed networks; all if empty.
     pub allow: Networks,
     /// Denied networks; they take precedence over `allow`.
     pub deny: Networks,
-    /// Trusted proxies, whose connections begin with a PROXY header that names the client.
+    /// Reverse proxies in front of this one, whose connections begin with a PROXY header that names the
+    /// client.
     pub proxy_from: Networks,
 }
 
--- a/policy/src/api.rs
+++ b/policy/src/api.rs
@@ -29,38 +29,40 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ZoneId(pub u32);
 
-/// Id of a cell: a group of servers that deduplicate calls among themselves.
+/// Id of a cell: a group of servers that deduplicate calls with an idempotency key among themselves.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CellId(pub u32);
 
-/// Servers among which repeats of a call with an idempotency key are deduplicated.
+/// Set of servers, relative to the server of the first attempt, that deduplicate a call with an idempotency
+/// key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DedupScope {
     /// All servers.
     All,
-    /// Servers of the same zone.
+    /// Servers in the zone of the first attempt's server.
     Zone,
-    /// Servers of the same cell.
+    /// Servers in the cell of the first attempt's server.
     Cell,
 }
 
-/// Whether calls of a class may run more than once.
+/// Whether a call of a class may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Idempotency {
     /// Repeats are safe on all servers.
     Idempotent,
-    /// Repeats are safe on the servers of `scope`, within `window` of the first attempt that may have run.
+    /// Repeats are safe, thanks to an idempotency key, on the servers of `scope` and within `window` of the
+    /// first attempt that may have run.
     Keyed {
         /// Servers that deduplicate the call.
         scope: DedupScope,
-        /// Duration for which they do.
+        /// Duration, from the first attempt, for which they remember its key.
         window: Micros,
     },
-    /// Repeats are unsafe unless no earlier attempt has run.
+    /// Repeats are unsafe: a call is sent again only if no earlier attempt has run.
     NonIdempotent,
 }
 
-/// Requirements of a class of calls.
+/// Latency objective, weight and idempotency of a class of calls.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Class {
     /// Latency objective: an answer within this time earns the full priority weight.
@@ -88,14 +90,14 @@
     }
 }
 
-/// Quota of a tenant.
+/// Quota of a tenant, in effect while calls queue.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Tenant {
     /// Fraction of the calls to which the tenant is entitled, 0 to 1.
     pub share: f64,
 }
 
-/// Features that the site allows.
+/// Features that the site allows the balancer to use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Limits {
     /// Attempts in flight may be cancelled.
@@ -110,7 +112,7 @@
     pub max_retry_after: Micros,
 }
 
-/// Limits that protect the servers and bound the age of the endpoint list.
+/// Limits on the load of starting servers and on the age of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SafetyLimits {
     /// Fraction of its capacity that a server has at least when it starts, 0 to 1.
@@ -123,12 +125,13 @@
     pub overload_multiple: f64,
 }
 
-/// Weights of the parts of a site's score.
+/// Weights with which a site combines the service of all calls and of its worst class into one score. They
+/// decide how much longer calls of valuable classes may queue.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ScoreWeights {
-    /// Weight of all calls together.
+    /// Weight of the service of all calls.
     pub overall: f64,
-    /// Weight of the class that is served worst.
+    /// Weight of the service of the worst-served class.
     pub worst_class: f64,
 }
 
@@ -137,7 +140,7 @@
 pub struct Settings {
     /// Number of balancers that send to the same servers, including this one.
     pub balancer_count: u32,
-    /// Index of this balancer among them, from 0.
+    /// Index of this balancer among them, from 0; it selects the servers that the balancer uses.
     pub balancer_index: u32,
     /// Resolution of the proxy's clock.
     pub clock_tick: Micros,
@@ -147,11 +150,11 @@
     pub classes: Vec<Class>,
     /// Tenants; empty if calls are not assigned to tenants.
     pub tenants: Vec<Tenant>,
-    /// Features that the site allows.
+    /// Features that the site allows the balancer to use.
     pub limits: Limits,
-    /// Limits that protect the servers.
+    /// Limits on the load of starting servers and on the age of the endpoint list.
     pub safety: SafetyLimits,
-    /// Weights of the site's score.
+    /// Weights that combine the service of all calls and of the worst class.
     pub score_weights: ScoreWeights,
     /// Zone of this balancer, if calls to other zones have a cost; otherwise `None`.
     pub local_zone: Option<ZoneId>,
@@ -208,19 +211,20 @@
 /// Entry of the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Server id.
+    /// Server that the entry describes.
     pub server: ServerId,
-    /// State of the server.
+    /// Whether the server accepts calls.
     pub state: State,
-    /// Zone of the server.
+    /// Zone in which the server runs.
     pub zone: ZoneId,
-    /// Model of the server.
+    /// Hardware model of the server.
     pub model: ModelId,
-    /// Deduplication cell of the server.
+    /// Cell in which the server deduplicates calls.
     pub cell: CellId,
     /// Start time of the server's process; 0 if it started long ago.
     pub started_at: Micros,
-    /// Relative capacity of the server, without a unit; values that are not finite and positive count as 1.
+    /// Capacity of the server relative to others, without a unit; a value that is not finite and positive
+    /// counts as 1.
     pub weight: f64,
 }
 
@@ -270,9 +274,9 @@
 /// Load report of a server; values that it does not report are `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Requests in the server, running or queued.
+    /// Requests that the server is processing or has queued.
     pub active_requests: Option<f64>,
-    /// Requests queued in the server.
+    /// Requests among them that are queued.
     pub queued_requests: Option<f64>,
     /// Fraction of its cores that is busy, 0 to 1.
     pub cpu_utilization: Option<f64>,
@@ -285,18 +289,18 @@
     Start,
     /// Update of the endpoint list.
     Members {
-        /// Kind of the update.
+        /// Whether the update holds changes, the whole list, or nothing.
         kind: ListKind,
         /// Entries of the list; empty for [`ListKind::Failed`].
         entries: Vec<Entry>,
     },
     /// A call has arrived.
     Request {
-        /// Call id.
+        /// New id for the call.
         call: CallId,
-        /// Class of the call.
+        /// Class of the call; one that the settings do not contain counts as non-idempotent.
         class: ClassId,
-        /// Tenant of the call; `None` if it has none.
+        /// Tenant that sent the call; `None` if it is not assigned to one.
         tenant: Option<TenantId>,
         /// Time until the client's deadline.
         time_left: Micros,
@@ -305,38 +309,38 @@
     },
     /// An attempt has ended.
     Outcome {
-        /// Call id.
+        /// Call to which the attempt belongs.
         call: CallId,
-        /// Number of the attempt, from 0.
+        /// Number of the attempt within the call, from 0.
         attempt: u32,
         /// Result of the attempt.
         outcome: Outcome,
-        /// Duration of the attempt.
+        /// Time from sending the attempt to its end.
         elapsed: Micros,
-        /// Whether the call is complete: the client needs no further answer.
+        /// Whether the call has ended with it: the client needs no further answer.
         complete: bool,
-        /// Load report of the server.
+        /// Load report that came with the answer.
         load: LoadReport,
     },
-    /// The response of an attempt has begun; the call cannot be retried any more.
+    /// The response of an attempt has begun; the call can no longer be retried.
     Streaming {
-        /// Call id.
+        /// Call to which the response belongs.
         call: CallId,
-        /// Number of the attempt.
+        /// Number, within the call and from 0, of the attempt that is answered.
         attempt: u32,
     },
     /// A health check has ended.
     Probed {
-        /// Server id.
+        /// Server that was checked.
         server: ServerId,
         /// Result of the health check.
         outcome: Outcome,
-        /// Load report of the server.
+        /// Load report that came with the answer.
         load: LoadReport,
     },
     /// The client has cancelled the call.
     ClientCancelled {
-        /// Call id.
+        /// Call that was cancelled.
         call: CallId,
     },
     /// The time requested by [`Action::Wake`] has passed.
@@ -348,11 +352,11 @@
 pub enum Action {
     /// Send an attempt of a call; attempts of a call are numbered from 0.
     Send {
-        /// Call id.
+        /// Call of which an attempt is sent.
         call: CallId,
-        /// Server id.
+        /// Server to send it to.
         server: ServerId,
-        /// Time at which the attempt times out; `None` for the client's deadline.
+        /// Time at which the attempt times out; `None` for the deadline of the client.
         deadline: Option<Micros>,
         /// Time by which the first byte must be written, because the deduplication window ends; an attempt
         /// that misses it counts as [`Outcome::NotSent`]. `None` for no limit.
@@ -360,26 +364,26 @@
     },
     /// Reject the call; the client may safely retry it.
     Reject {
-        /// Call id.
+        /// Call to reject.
         call: CallId,
-        /// Delay after which the client may retry.
+        /// Delay, to be sent as Retry-After, after which the client may retry.
         retry_after: Micros,
     },
     /// Fail the call with an error; an attempt may have run.
     Fail {
-        /// Call id.
+        /// Call to fail.
         call: CallId,
     },
     /// Cancel an attempt.
     Cancel {
-        /// Call id.
+        /// Call to which the attempt belongs.
         call: CallId,
-        /// Number of the attempt.
+        /// Number, within the call and from 0, of the attempt to cancel.
         attempt: u32,
     },
     /// Send a health check.
     Probe {
-        /// Server id.
+        /// Server to check.
         server: ServerId,
     },
     /// Send [`Event::Timer`] after a delay.
@@ -391,7 +395,7 @@
     Subscribe,
     /// Write a log line.
     Log {
-        /// Text of the line.
+        /// Text of the line, without a line break.
         text: String,
     },
 }
--- a/policy/src/balance.rs
+++ b/policy/src/balance.rs
@@ -1,5 +1,5 @@
 //! Balancing decisions. The interface (settings, events, actions) is `src/api.rs`; the design is in
-//! `docs/design.md`.
+//! `docs/architecture.md`.
 //!
 //! A call goes to the less loaded of two random servers within their in-flight budgets, and waits in a queue
 //! when all are full. One call at a time may exceed a budget as a trial that can raise it. Calls are rejected
@@ -28,7 +28,7 @@
 impl Balancer {
     /// Handles an event at time `now`, in microseconds, and appends the resulting actions.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
-        // A new call behind others does not change what the queue can do; this saves CPU time in overload.
+        // A new call behind others cannot be sent before them, so the queue is not scanned again for it.
         let queue_unchanged = matches!(event, Event::Request { .. }) && !self.queue.is_empty();
         match event {
             Event::Start => self.start(now),
@@ -49,7 +49,7 @@
                 }
             }
             Event::Streaming { call, attempt } => {
-                // The response has begun, so no other attempt is needed.
+                // The response has begun: the call is not retried, and its other attempts are cancelled.
                 self.end_call(call);
                 self.cancel_attempts(call, Some(attempt), actions);
             }
@@ -84,11 +84,11 @@
         self.remove_if_complete(id);
     }
 
-    /// Sets one timer for everything that is due by time.
+    /// Requests one timer for the earliest of the subscription, the call timers and the polling of the queue.
     fn set_timer(&mut self, now: Micros, actions: &mut Actions) {
         let mut next = self.subscribe_at.min(self.call_timers.first().map_or(Micros::MAX, |w| w.0));
         if !self.queue.is_empty() {
-            // No event marks the end of a backoff or pause, so a queue is polled.
+            // No event marks the end of a backoff or pause, so a queue that is not empty is polled.
             next = next.min(now + self.settings.clock_tick.max(self.initial_backoff() / 8));
         }
         if next < self.timer_at {
--- a/policy/src/balance/balancer.rs
+++ b/policy/src/balance/balancer.rs
@@ -12,13 +12,13 @@
 /// Load balancer of one client proxy: takes events and returns actions, without I/O or a clock.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Balancer {
-    /// Not serialized: supplied again on restore.
+    /// Not serialized; `restore` sets it again.
     #[serde(skip)]
     pub(super) settings: Settings,
     pub(super) rng: Pcg32,
     pub(super) servers: Vec<Server>,
-    pub(super) sparse: Option<SparseTraffic>,
-    /// For each zone: consecutive connection failures, and the end of its backoff.
+    pub(super) large_group: Option<LargeGroup>,
+    /// For each zone: its consecutive connection failures, and the time until which it is skipped.
     pub(super) zone_backoffs: BTreeMap<ZoneId, (u32, Micros)>,
     pub(super) zones: BTreeMap<ZoneId, ZoneLatency>,
     /// For each server model: latency relative to all models, without the zone's network latency.
@@ -55,7 +55,7 @@
             rng: Pcg32::seed_from_u64(seed),
             latencies: settings.classes.iter().map(class_latency).collect(),
             tenant_shares: vec![0.0; settings.tenants.len()],
-            sparse: SparseTraffic::new(settings.balancer_count),
+            large_group: LargeGroup::new(settings.balancer_count),
             settings,
             servers: Vec::new(),
             zone_backoffs: BTreeMap::new(),
@@ -91,7 +91,7 @@
 
     /// Number of servers over which this balancer spreads its calls.
     pub(super) fn subset_size(&self) -> usize {
-        subset_size(self.sparse.as_ref(), self.servers.len())
+        subset_size(self.large_group.as_ref(), self.servers.len())
     }
 
     pub(super) fn initial_backoff(&self) -> Micros {
--- a/policy/src/balance/budget.rs
+++ b/policy/src/balance/budget.rs
@@ -9,7 +9,7 @@
 pub(super) struct Budget {
     pub(super) steps: u32,
     pub(super) concurrency: f64,
-    /// Budget below which only a severe reduction goes, in calls.
+    /// Lowest budget, in calls, that a reduction leaves unless it is severe.
     pub(super) floor: f64,
     pub(super) trial_in_flight: bool,
     pub(super) doublings: u32,
@@ -32,7 +32,7 @@
         if self.steps < MAX_STEP_COUNT {
             self.steps += 1;
         } else {
-            // At the maximum of steps the learned concurrency is too low and grows instead.
+            // With the most steps, the concurrency grows instead: it was estimated too low.
             self.concurrency *= 1.0 + 1.0 / f64::from(MAX_STEP_COUNT);
         }
     }
@@ -42,8 +42,8 @@
         self.doublings = (self.doublings + 1).min(MAX_BACKOFF_DOUBLINGS);
     }
 
-    /// Multiplies the concurrency by `remaining`, but not below the floor. A severe reduction, after a
-    /// rejection or a latency near the objective, has a lower floor.
+    /// Multiplies the concurrency by `remaining`, down to the floor at the lowest. A severe reduction, after
+    /// a rejection or a latency near the objective, may go below it.
     pub(super) fn reduce(&mut self, remaining: f64, severe: bool) {
         let min =
             if severe { self.floor * SEVERE_FLOOR_RATIO } else { self.floor } / f64::from(self.steps.max(1));
--- a/policy/src/balance/calls.rs
+++ b/policy/src/balance/calls.rs
@@ -2,7 +2,7 @@
 
 use super::balancer::*;
 
-/// Time from which a deduplicated call may not be sent again; one clock tick early.
+/// Time from which a call with an idempotency key may not be sent again, earlier by one clock tick.
 fn window_end(first: &Attempt, window: Micros, clock_tick: Micros) -> Micros {
     first.sent_at.saturating_add(window).saturating_sub(clock_tick)
 }
@@ -13,7 +13,7 @@
         self.deadline.min(self.arrived_at.saturating_add(useful_for))
     }
 
-    /// Whether the call may be sent to `server`, given that earlier attempts may have run.
+    /// Whether the call may be sent to `server`, although earlier attempts may have run.
     pub(super) fn may_go_to(&self, now: Micros, server: &Server, clock_tick: Micros) -> bool {
         match (self.first_run(), self.class.idempotency) {
             (None, _) | (_, Idempotency::Idempotent) => true,
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Latest time to begin writing an attempt; `None` if it is not bound to a deduplication window.
+    /// Latest time to begin writing an attempt; `None` without a deduplication window.
     fn send_by(&self, clock_tick: Micros) -> Option<Micros> {
         match (self.first_run(), self.class.idempotency) {
             (Some(first), Idempotency::Keyed { window, .. }) => Some(window_end(first, window, clock_tick)),
@@ -84,10 +84,10 @@
         let deadline =
             (useful_until < latest && useful_until as f64 > now as f64 + mean).then_some(useful_until);
         actions.push(Action::Send { call: id, server, deadline, send_by });
-        // The hedge is sent as late as can still be in time, but not before the first attempt is slow.
+        // A hedge is sent as late as its answer can be in time, but not before the first attempt is slow.
         let hedge_at = (useful_until as f64 - SPARE_LATENCY_RATIO * mean).max(arrived_at as f64 + 1.5 * mean);
-        // A sparse balancer cannot tell a stalled server from a long call, so a hedge would only add load.
-        let may_hedge = attempt_count == 1 && self.settings.limits.hedging && self.sparse.is_none();
+        // A balancer of a large group cannot tell a stalled server from a long call: hedges only add load.
+        let may_hedge = attempt_count == 1 && self.settings.limits.hedging && self.large_group.is_none();
         let hedges = may_hedge && hedge_at + mean <= useful_until as f64;
         self.set_call_timer(id, if hedges { (hedge_at as Micros).max(now + 1) } else { 0 });
     }
--- a/policy/src/balance/latency.rs
+++ b/policy/src/balance/latency.rs
@@ -4,12 +4,12 @@
 use crate::api::Micros;
 use crate::state::{ClassLatency, ModelLatency, ZoneLatency};
 
-/// Age, in microseconds, up to which a server's latency still tells it from others.
+/// Age, in microseconds, up to which the latency of a server is used to compare it with others.
 pub(super) fn evidence_lifetime(max_objective: f64) -> f64 {
     (EVIDENCE_RATIO * max_objective).min(MAX_EVIDENCE_AGE_US)
 }
 
-/// Progress of an upward drift since `updated_at`, 0 to 1.
+/// Fraction, 0 to 1, by which a lowest latency last updated at `updated_at` may rise to the current one.
 pub(super) fn drift_ratio(now: Micros, updated_at: Micros) -> f64 {
     (now.saturating_sub(updated_at) as f64 / BASELINE_DRIFT_US).min(1.0)
 }
--- a/policy/src/balance/learn.rs
+++ b/policy/src/balance/learn.rs
@@ -3,8 +3,8 @@
 use super::balancer::*;
 
 impl Balancer {
-    /// Records a server's load report. A ratio of 1, with as many requests queued as running or nearly all
-    /// cores busy, counts like an answer at the latency limit.
+    /// Records a server's load report. A ratio of 1, for as many requests queued as running or nearly
+    /// all cores busy, counts like an answer at the latency limit.
     pub(super) fn record_load_report(&mut self, id: CallId, attempt: u32, load: LoadReport) {
         let Some(sent) = self.calls.get(&id).and_then(|c| c.attempts.get(attempt as usize)) else { return };
         let Ok(index) = self.servers.binary_search_by_key(&sent.server, |s| s.id) else { return };
@@ -39,15 +39,15 @@
             (zone_latency.min_us.unwrap_or(0.0) * LIMIT_ZONE_RATIO)
                 .min(objective * LIMIT_OBJECTIVE_RATIO * SEVERE_LATENCY_RATIO),
         );
-        if let Some(sparse) = &mut self.sparse {
+        if let Some(large_group) = &mut self.large_group {
             if !matches!(outcome, Outcome::Cancelled | Outcome::NotSent | Outcome::NoConnection) {
-                sparse.record(now, elapsed as f64);
+                large_group.record(now, elapsed as f64);
             }
         }
-        // A zone that cannot be reached is skipped as a whole, instead of server by server.
+        // An unreachable zone is skipped as a whole, instead of after a failure at each of its servers.
         let disconnected = matches!(outcome, Outcome::NoConnection | Outcome::Reset);
         let outage = self.zone_backoffs.entry(zone).or_default();
-        if disconnected && self.sparse.is_some() {
+        if disconnected && self.large_group.is_some() {
             let doublings = outage.0.min(MAX_BACKOFF_DOUBLINGS + ZONE_DOUBLINGS);
             *outage = (outage.0.saturating_add(1), now + ((initial_backoff << doublings) >> ZONE_DOUBLINGS));
         } else if !matches!(outcome, Outcome::TimedOut | Outcome::Cancelled | Outcome::NotSent) {
@@ -84,7 +84,7 @@
         // The weight grows with the time since the last answer, so that rare answers still replace old ones.
         let silence_ratio = now.saturating_sub(server.last_end_at) as f64 / max_objective;
         let weight = EMA_RATIO.max(1.0 - (-silence_ratio).exp());
-        // The deviation updates the model too: most servers are seen too rarely for estimates of their own.
+        // Servers of one model share an estimate: most are seen too rarely for one of their own.
         let model_ratio =
             (elapsed as f64 - zone_min_us).max(min_cost).max(mean * (-MAX_LOG_DEVIATION).exp()) / mean;
         let model = self.models.entry(server.model).or_default();
@@ -113,7 +113,7 @@
             server.not_before = server.not_before.max(now + max_mean as Micros);
         } else if server.latency_ratio > 1.0 && server.has_settled(now, max_mean) {
             server.budget.reduce(1.0 / server.latency_ratio, server.latency_ratio > SEVERE_LATENCY_RATIO);
-            // The reduction shows only in later answers, and one overload must not be counted twice.
+            // The smaller budget shows only in later answers, and one overload must not reduce it twice.
             server.latency_ratio = server.latency_ratio.sqrt();
             (server.answers_since, server.changed_at) = (0, now);
         }
@@ -146,8 +146,8 @@
             server.latency_ratio = 1.0;
             actions.push(Action::Log { text: format!("server {} ejected", server.id.0) });
         }
-        // Backoff by time is too short with many sparse balancers: it also counts other servers' answers.
-        if self.sparse.is_some() && (outcome == Outcome::Rejected || server.budget.steps == 0) {
+        // In a large group, backoff by time alone would still allow too many trials from all balancers.
+        if self.large_group.is_some() && (outcome == Outcome::Rejected || server.budget.steps == 0) {
             server.resume_at_count = self.served_count + ((subset_size as u64) << server.budget.doublings);
         }
         self.ejected_count = self.ejected_count + usize::from(server.is_ejected()) - usize::from(was_ejected);
--- a/policy/src/balance/list.rs
+++ b/policy/src/balance/list.rs
@@ -2,7 +2,7 @@
 
 use super::balancer::*;
 
-/// Period over which balancers that lose the list together spread their subscriptions.
+/// Period over which balancers that lose the endpoint list together spread their new subscriptions.
 fn subscribe_spread(settings: &Settings) -> Micros {
     (SUBSCRIBE_SLOT_US * Micros::from(settings.balancer_count.saturating_sub(1))).min(SUBSCRIBE_GAP_US)
 }
@@ -10,14 +10,14 @@
 impl Balancer {
     pub(super) fn start(&mut self, now: Micros) {
         self.credits_updated_at = now;
-        // Balancers may start together, so their first subscriptions are spread.
+        // Balancers may start together, so each delays its first subscription by a random time.
         if self.settings.subscribe {
             self.subscribe_at = now + self.random_below(subscribe_spread(&self.settings));
         }
     }
 
-    /// Delay before subscribing again after a failure, with exponential backoff and jitter. It never exceeds
-    /// the limits within which a change has to arrive.
+    /// Delay before a new subscription to the endpoint list after one has failed: exponential backoff with
+    /// jitter, short enough for a change to arrive in time.
     fn subscribe_delay(&mut self, now: Micros) -> Micros {
         let initial = (self.settings.safety.max_poll_interval / 32).max(subscribe_spread(&self.settings));
         let backoff = initial << self.subscribe_failures.min(MAX_SUBSCRIBE_DOUBLINGS);
@@ -46,11 +46,11 @@
         for entry in entries {
             let found = self.servers.binary_search_by_key(&entry.server, |s| s.id);
             let index = found.unwrap_or_else(|index| index);
-            // A restarted server is a new process: estimates of the old one no longer apply.
+            // A restarted server is a new process: the estimates of the old one no longer apply.
             if found.is_err() || entry.started_at > self.servers[index].started_at {
                 let mut server = Server::new(entry, self.settings.balancer_count);
                 server.record_busy_time(self.max_mean_latency(), self.send_count, 1.0);
-                // A random first credit spreads the first calls that balancers send to a new server.
+                // A random first credit keeps balancers from calling a new server all at once.
                 if server.warmup_ratio(now, &self.settings.safety) < 1.0 {
                     server.send_credits = self.random_below(CREDIT_PARTS) as f64 / CREDIT_PARTS as f64;
                 }
--- a/policy/src/balance/pick.rs
+++ b/policy/src/balance/pick.rs
@@ -2,7 +2,7 @@
 //!
 //! 1. Eligible: listed, usable, not in a zone that backs off, and allowed for this call.
 //! 2. Slow start: a warming server that has earned a call is preferred to all others.
-//! 3. Subset: the first servers on the ring from this balancer's position on, as many as its traffic needs.
+//! 3. Subset: the next servers on the ring from this balancer's position, as many as its traffic needs.
 //! 4. In time: servers that can answer in time, and those of the local zone while they answer well.
 //! 5. Room: the better of two random servers within budget, otherwise a trial.
 //!
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Rejects only if all listed servers are ejected: otherwise an answer may free a server.
+    /// Queues the call, unless all listed servers are ejected and none can become free.
     fn queue_or_reject(&self, now: Micros) -> Route {
         let all = self.servers.iter().filter(|s| s.listed);
         let all_down = all.clone().all(|s| s.budget.steps == 0);
@@ -74,7 +74,7 @@
             && pick.call.may_go_to(pick.now, server, self.settings.clock_tick)
     }
 
-    /// Eligible servers in ring order. Balancers start at even distances for even subsets.
+    /// Eligible servers in ring order. Balancers start at even distances: each server is in as many subsets.
     fn ring<'a>(&'a self, pick: &'a PickContext<'a>) -> impl Iterator<Item = usize> + 'a {
         let len = self.servers.len();
         let balancer_count = self.settings.balancer_count.max(1) as usize;
@@ -102,8 +102,8 @@
         self.ring(pick).filter(|&index| !any_untried || is_untried(index)).take(self.subset_size()).collect()
     }
 
-    /// Step 4. Avoids zones too far away for the time left. For a sparse balancer, which rarely meets a
-    /// server, the expected latency must also be within the objective.
+    /// Step 4. Avoids zones too far away for the time left. In a large group, where a balancer rarely
+    /// uses the same server twice, the expected latency must also be within the objective.
     fn prefer_in_time(&self, pick: &PickContext<'_>, candidates: &mut Vec<usize>) {
         let &PickContext { now, call, mean, .. } = pick;
         let has_room = |s: &Server| !s.is_full(now, &self.settings.safety);
@@ -113,13 +113,13 @@
         if !reaches_in_time(max_zone_latency) && !candidates.iter().all(|&index| is_near(index)) {
             prefer(candidates, |index| is_near(index) && has_room(&self.servers[index]));
         }
-        if self.sparse.is_some() {
+        if self.large_group.is_some() {
             let objective = call.class.objective as f64;
             let is_preferred = |s: &Server| self.expected_us(now, s, mean) <= objective && has_room(s);
             prefer(candidates, |index| is_preferred(&self.servers[index]));
-            // A late answer costs more than leaving the zone.
+            // A late answer costs more than another zone, so the local zone must answer early.
             let answers_early = |s: &Server| {
-                s.in_flight == 0 && self.expected_us(now, s, mean) <= objective * SPARSE_LOCAL_RATIO
+                s.in_flight == 0 && self.expected_us(now, s, mean) <= objective * LARGE_GROUP_LOCAL_RATIO
             };
             let is_local = |s: &Server| Some(s.zone) == self.settings.local_zone && answers_early(s);
             prefer(candidates, |index| is_local(&self.servers[index]));
@@ -141,10 +141,10 @@
         self.min_zone_us(server.zone) + mean * (model + server.deviation(now)).exp()
     }
 
-    /// Cost that decides between servers with equally many calls in flight; lower is better. A sparse
-    /// balancer has none in flight at most servers and uses recent load and expected latency.
+    /// Cost that decides between servers with equally many calls in flight; lower is better. In a large
+    /// group, with no call in flight at most servers, it is recent load times expected latency.
     fn cost(&self, now: Micros, mean: f64, server: &Server) -> f64 {
-        match self.sparse {
+        match self.large_group {
             Some(_) => {
                 let (send_count, subset_size) = (self.send_count as f64, self.subset_size() as f64);
                 (server.recent_load(send_count, subset_size) + mean / server.weight)
@@ -154,7 +154,7 @@
         }
     }
 
-    /// Step 5. Power of two choices by calls in flight.
+    /// Step 5. Picks the less loaded of two random candidates (power of two choices), by calls in flight.
     fn two_choices(&mut self, now: Micros, mean: f64, candidates: &[usize]) -> Option<usize> {
         let len = candidates.len() as u64;
         let first = self.random_below(len);
--- a/policy/src/balance/queue.rs
+++ b/policy/src/balance/queue.rs
@@ -7,7 +7,7 @@
     pub(super) fn admit(&mut self, now: Micros, id: CallId, tenant: Option<TenantId>, actions: &mut Actions) {
         let over_share = tenant.is_some_and(|tenant| self.over_share(tenant));
         let head_wait = self.queue.front().map_or(0, |head| now.saturating_sub(self.calls[head].arrived_at));
-        // A call without time for a mean answer would only add load. The mean counts only if it is recent.
+        // A call with less time left than a recent mean latency would only add load.
         let call = &self.calls[&id];
         let max_age = evidence_lifetime(self.max_objective());
         let is_recent =
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Longest wait of the queue's head with which a call may join; protected classes wait longest.
+    /// Longest wait, of the call at the queue's head, with which a new call may join the queue.
     fn max_queue_wait(&self, id: CallId, over_share: bool) -> Micros {
         let call = &self.calls[&id];
         let mean = self.mean_latency(call.class_id, call.class.objective);
@@ -62,7 +62,7 @@
     pub(super) fn enqueue(&mut self, now: Micros, id: CallId, retried: bool) {
         let Some(call) = self.calls.get_mut(&id) else { return };
         call.queued = true;
-        // Ends the wait when a mean answer would be late, and always before the client's deadline.
+        // Ends the call when an answer of mean latency would be late, or the client's deadline is near.
         let (class_id, objective, last_moment) =
             (call.class_id, call.class.objective, call.deadline.saturating_sub(self.settings.clock_tick));
         let due_at =
@@ -75,7 +75,7 @@
         let scanned = if self.ejected_count > 0 && !self.queue.is_empty() { self.servers.len() } else { 0 };
         for server_index in 0..scanned {
             if self.servers[server_index].may_recover(now, self.served_count, &self.settings.safety) {
-                // A call that was sent before may be bound to some servers.
+                // Only new calls are used: one sent before may be restricted to other servers.
                 let mut queued = self.queue.iter().take(MAX_SCAN_COUNT);
                 if let Some(index) = queued.position(|id| self.calls[id].attempts.is_empty()) {
                     let id = self.queue[index];
@@ -92,7 +92,7 @@
                     self.send(now, id, server, kind, actions);
                 }
                 Route::Reject { retry_after } => self.reject_or_fail(id, retry_after, actions),
-                // The queue is first in, first out, but a call bound to some servers does not block the rest.
+                // A call restricted to some servers does not block those that arrived after it.
                 Route::Queue if self.calls[&id].first_run().is_some() && index < MAX_SCAN_COUNT => index += 1,
                 Route::Queue => break,
             }
--- a/policy/src/balance/restore.rs
+++ b/policy/src/balance/restore.rs
@@ -5,7 +5,7 @@
 use crate::bounds::{MAX_DURATION_US, MAX_TIMESTAMP_US};
 use std::collections::BTreeSet;
 
-/// Upper bound of counters that grow by one.
+/// Bound of counters that a running balancer increments one by one.
 const MAX_COUNT: u32 = 1 << 30;
 
 /// Reason for which a serialized state is rejected: it is damaged, or belongs to other settings.
--- a/policy/src/balance/server.rs
+++ b/policy/src/balance/server.rs
@@ -1,4 +1,4 @@
-//! State of a server as seen by this balancer, and when it may be sent calls.
+//! Estimates that this balancer keeps of a server, and when the server may be sent calls.
 
 use super::{budget::Budget, constants::*, latency::*};
 use crate::api::*;
@@ -16,14 +16,14 @@
     pub(super) in_flight: u32,
     pub(super) budget: Budget,
     pub(super) weight: f64,
-    /// Decaying sum of the time that this balancer's calls spent at the server.
+    /// Time that this balancer's calls spent at the server, as a decaying sum.
     pub(super) busy_us: f64,
     pub(super) busy_at_send: u64,
-    /// Moving average of latency over its limit; above 1 the server is overloaded.
+    /// Moving average of the ratio of latency to its limit; above 1 the server is overloaded.
     pub(super) latency_ratio: f64,
-    /// Decaying natural logarithm of its latency relative to its model.
+    /// Natural logarithm of the server's latency relative to its model; decays to 0.
     pub(super) deviation: f64,
-    /// As `latency_ratio`, but with a limit that does not allow for the zone's network latency.
+    /// As `latency_ratio`, but with a limit that makes no allowance for the zone's network latency.
     pub(super) raw_ratio: f64,
     pub(super) answers_since: u32,
     /// Last load report, on the scale of `latency_ratio`.
@@ -33,10 +33,10 @@
     pub(super) last_end_at: Micros,
     pub(super) last_served_at: Micros,
     pub(super) failure_ratio: f64,
-    /// Earliest time, and earliest count of served calls, of the next call after a rejection or failure.
+    /// Earliest time and count of served calls at which a server that rejected or failed is used again.
     pub(super) not_before: Micros,
     pub(super) resume_at_count: u64,
-    /// Calls that a warming server has earned; one is spent for each call sent.
+    /// Calls that a warming server has earned; each call sent spends one.
     pub(super) send_credits: f64,
 }
 
@@ -66,7 +66,7 @@
         self.busy_at_send = sends;
     }
 
-    /// Recent `raw_ratio`; without answers at most the zone's lowest, so that the server is tried again.
+    /// Recent `raw_ratio`; with no recent answer at most the zone's lowest, so that calls try it again.
     pub(super) fn recent_ratio(&self, now: Micros, zone: Option<&ZoneLatency>, max_objective: f64) -> f64 {
         let zone_ratio = zone.map_or(0.0, |zone| zone.min_ratio * (1.0 - drift_ratio(now, zone.updated_at)));
         let is_stale = now.saturating_sub(self.last_end_at) as f64 >= evidence_lifetime(max_objective);
--- a/policy/src/balance/slow_start.rs
+++ b/policy/src/balance/slow_start.rs
@@ -1,11 +1,11 @@
-//! Slow start: limits what a recently started server is sent.
+//! Slow start: limits the calls that a recently started server is sent.
 
 use super::balancer::*;
 
 impl Balancer {
-    /// Credits warming servers with their share, by capacity, of the calls that the fleet serves. The shares
-    /// of all balancers add up to a safe rate, and fast rejections earn nothing. Elapsed time adds less than
-    /// one call in flight over all balancers.
+    /// Adds send credits to warming servers: their share, by capacity, of each call that the fleet serves.
+    /// The sum over all balancers is safe, and fast rejections earn nothing. Elapsed time alone adds less
+    /// than one call in flight over all balancers.
     pub(super) fn earn_send_credits(&mut self, now: Micros, is_answer: bool) {
         let elapsed = now.saturating_sub(std::mem::replace(&mut self.credits_updated_at, now)) as f64;
         if now >= self.all_warm_at {
@@ -16,20 +16,20 @@
             let log_ratio = models.get(&s.model).map_or(0.0, |model| model.log_ratio);
             s.weight * s.warmup_ratio(now, safety) * (-log_ratio).exp()
         };
-        // The capacity of the fleet is summed only for served calls; most events do not need it.
+        // Only a served call needs the capacity of the fleet; other events skip the sum.
         let total = is_answer.then(|| self.servers.iter().filter(|s| s.listed).map(capacity).sum::<f64>());
         let round = self.max_objective() * f64::from(self.settings.balancer_count);
-        let is_sparse = self.sparse.is_some();
+        let in_large_group = self.large_group.is_some();
         let boost = (safety.overload_multiple * BOOST_OVERLOAD_RATIO).clamp(1.0, MAX_BOOST_RATIO);
         for server in self.servers.iter_mut().filter(|s| s.listed) {
             let warmup_ratio = server.warmup_ratio(now, safety);
             if warmup_ratio < 1.0 {
                 let credits =
                     total.map_or(0.0, |total| capacity(server) / total) + elapsed * warmup_ratio / round;
-                // A sparse balancer gets too few answers to see an overload in time.
-                let keeps_up = !is_sparse && server.last_served_at > 0 && server.latency_ratio <= 1.0;
+                // A balancer in a large group gets too few answers to see an overload in time.
+                let keeps_up = !in_large_group && server.last_served_at > 0 && server.latency_ratio <= 1.0;
                 let credits = if keeps_up { credits * boost } else { credits };
-                // At most one missed call is made up for.
+                // The cap of two credits makes up for one late call at most.
                 server.send_credits = (server.send_credits + credits).min(2.0);
             }
         }
--- a/policy/src/balance/subset.rs
+++ b/policy/src/balance/subset.rs
@@ -4,18 +4,18 @@
 use crate::api::Micros;
 use serde::{Deserialize, Serialize};
 
-/// Traffic of a sparse balancer: one whose share of a server's initial budget is far below one call. It sees
-/// most servers too rarely to learn their limits and uses a small subset.
+/// Traffic of a balancer in a large group, where its share of a server's initial budget is far below one
+/// call. It sees most servers too rarely to learn their limits, and uses a small subset.
 #[derive(Debug, Default, Serialize, Deserialize)]
-pub(super) struct SparseTraffic {
-    /// Moving average of calls in flight.
+pub(super) struct LargeGroup {
+    /// Moving average of this balancer's calls in flight.
     pub(super) mean_in_flight: f64,
     pub(super) last_end_at: Micros,
 }
 
-impl SparseTraffic {
+impl LargeGroup {
     pub(super) fn new(balancer_count: u32) -> Option<Self> {
-        (Budget::new(balancer_count).concurrency < SPARSE_BUDGET_CALLS).then(SparseTraffic::default)
+        (Budget::new(balancer_count).concurrency < LARGE_GROUP_BUDGET_CALLS).then(LargeGroup::default)
     }
 
     pub(super) fn record(&mut self, now: Micros, elapsed: f64) {
@@ -25,9 +25,10 @@
     }
 }
 
-/// Number of servers to spread calls over. A sparse balancer that used all of them would open a connection
-/// for nearly every call.
-pub(super) fn subset_size(sparse: Option<&SparseTraffic>, servers: usize) -> usize {
-    let wanted = sparse.map_or(f64::MAX, |sparse| sparse.mean_in_flight / SUBSET_CALLS_PER_SERVER);
+/// Number of servers to spread calls over. In a large group, a balancer that used all servers would open a
+/// connection for nearly every call.
+pub(super) fn subset_size(large_group: Option<&LargeGroup>, servers: usize) -> usize {
+    let wanted =
+        large_group.map_or(f64::MAX, |large_group| large_group.mean_in_flight / SUBSET_CALLS_PER_SERVER);
     (wanted as usize).max(MIN_SUBSET_SERVER_COUNT).min(servers)
 }
--- a/policy/src/balance/trials.rs
+++ b/policy/src/balance/trials.rs
@@ -13,7 +13,7 @@
         self.budget.steps == 0 && self.budget.is_trial_due(now) && self.is_open(now, served_count, safety)
     }
 
-    /// Whether a call may be sent past the budget, as a trial that can raise it.
+    /// Whether one call may be sent past the budget, as a trial that raises the budget if it is served.
     pub(super) fn may_take_trial(&self, now: Micros, max_mean: f64, safety: &SafetyLimits) -> bool {
         self.budget.is_trial_due(now)
             && self.latency_ratio <= 1.0
--- a/policy/src/state.rs
+++ b/policy/src/state.rs
@@ -56,12 +56,12 @@
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub(crate) struct ZoneLatency {
     pub(crate) min_us: Option<f64>,
-    /// Lowest recent ratio of latency to its limit.
+    /// Lowest recent ratio of an answer's latency to its limit.
     pub(crate) min_ratio: f64,
     pub(crate) updated_at: Micros,
 }
 
-/// Latency of a server model relative to all models.
+/// Latency of a server model relative to all models, as a moving average.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub(crate) struct ModelLatency {
     pub(crate) log_ratio: f64,
--- a/policy/tests/balancing.rs
+++ b/policy/tests/balancing.rs
@@ -298,7 +298,7 @@
 }
 
 #[test]
-fn a_sparse_balancer_uses_a_subset_and_subsets_are_even_over_all_servers() {
+fn in_a_large_group_a_balancer_uses_a_subset_and_subsets_are_even_over_all_servers() {
     let mut subset_counts: BTreeMap<ServerId, u32> = BTreeMap::new();
     for balancer_index in 0..100 {
         let mut proxy = Proxy::new(
@@ -325,7 +325,7 @@
 }
 
 #[test]
-fn a_sparse_balancer_estimates_unknown_servers_by_their_model() {
+fn in_a_large_group_unknown_servers_are_estimated_by_their_model() {
     let entry = |i: u32| Entry { model: ModelId(i % 2), ..ready(i) };
     let mut proxy = Proxy::new(Settings { balancer_count: 100, ..settings(Idempotency::Idempotent) }, 0);
     let serve = |proxy: &mut Proxy| {
@@ -407,7 +407,7 @@
 }
 
 #[test]
-fn a_sparse_balancer_avoids_overloaded_servers_while_others_have_room() {
+fn in_a_large_group_overloaded_servers_are_avoided_while_others_have_room() {
     let mut settings = Settings { balancer_count: 100, ..settings(Idempotency::Idempotent) };
     settings.classes[0].objective = 80 * MS;
     let mut proxy = Proxy::new(settings, 8);
@@ -431,7 +431,7 @@
 
 /// A subset that widened with slow answers would open a connection for most calls.
 #[test]
-fn slow_answers_do_not_widen_the_subset_of_a_sparse_balancer() {
+fn in_a_large_group_slow_answers_do_not_widen_the_subset() {
     let mut proxy = Proxy::new(Settings { balancer_count: 300, ..settings(Idempotency::Idempotent) }, 100);
     let (mut used, mut out) = (std::collections::BTreeSet::new(), std::collections::VecDeque::new());
     for _ in 0..400 {
@@ -447,7 +447,7 @@
     assert!((8..=20).contains(&used.len()), "{} of 100", used.len());
 }
 
-/// A balancer stays in its local zone only while the servers there answer well within the objective.
+/// Servers of the local zone are preferred only while they answer well within the objective.
 #[test]
 fn a_balancer_prefers_its_local_zone_while_it_answers_early() {
     let zoned = |i: u32| Entry { zone: ZoneId(i % 4), ..ready(i) };
--- a/policy/tests/invariants.rs
+++ b/policy/tests/invariants.rs
@@ -215,7 +215,7 @@
     }
 }
 
-// Regressions.
+// Failures that occurred before.
 
 #[test]
 fn a_server_with_fast_errors_is_ejected() {
@@ -422,7 +422,7 @@
         let (class, tenant) = (ClassId(0), None);
         sent(&proxy.handle_event(Event::Request { call, class, tenant, time_left, resent: false }))
     };
-    // The near server's budget is three calls; by load alone the second and third would go far.
+    // The near server's budget is three calls; by load alone the far server would get two of three.
     let hurried: Vec<_> = (0..3).flat_map(|number| request(number, 60 * MS)).map(|s| s.1).collect();
     assert_eq!(hurried, [ServerId(1); 3], "the far server cannot answer in time");
     assert_eq!(
@@ -731,9 +731,9 @@
     // The server's share is one in seventeen, 47 of 800.
     let (fast, slow) = (calls_to_warming_server(3, 20 * MS, 2.5), calls_to_warming_server(3, 300 * MS, 2.5));
     assert!((64..=80).contains(&fast) && (40..=54).contains(&slow), "{fast} and {slow}");
-    // A sparse balancer gets too few answers to see an overload in time.
-    let sparse = calls_to_warming_server(300, 20 * MS, 2.5);
-    assert!((40..=60).contains(&sparse), "{sparse}");
+    // A balancer in a large group gets too few answers to see an overload in time.
+    let in_large_group = calls_to_warming_server(300, 20 * MS, 2.5);
+    assert!((40..=60).contains(&in_large_group), "{in_large_group}");
 }
 
 /// The overload multiple of the settings bounds the extra calls of a warming server.
--- a/policy/tests/low_traffic.rs
+++ b/policy/tests/low_traffic.rs
@@ -31,7 +31,7 @@
     (counts, first)
 }
 
-/// A proxy with two servers after `times` attempts at server 1 have ended with `outcome`.
+/// Creates a proxy with two servers and ends `times` attempts at server 1 with `outcome`.
 fn proxy_after(
     settings: Settings,
     entries: Vec<Entry>,
--- a/policy/tests/random_events.rs
+++ b/policy/tests/random_events.rs
@@ -112,7 +112,7 @@
         };
         check(&actions, &mut calls, &list, &known, &classes, hedging, proxy.now);
     }
-    // All calls end at last.
+    // Time out all attempts in flight, three times: the client deadline of every call is then past.
     for _ in 0..3 {
         proxy.now += 700 * MS;
         let actions = proxy.handle_event(Event::Timer);
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -160,7 +160,8 @@
             probes: limits.probes,
             hedging: limits.second_copies,
             max_attempts: limits.max_attempts,
-            // Also kept where clients ignore Retry-After: a proxy sends it with each rejection.
+            // Not set to 0 where the site says that clients ignore Retry-After: every rejection has to carry
+            // one.
             max_retry_after: limits.max_retry_after_us,
         },
         safety: SafetyLimits {
@@ -179,17 +180,17 @@
     Ok((settings, class_names, site.tenants.into_iter().map(|t| t.name).collect()))
 }
 
-/// Id of a zone: a hash of its name, equal on all proxies.
+/// Id of a zone: a hash of its name, so that all balancers agree on it.
 pub fn zone_id(name: &str) -> ZoneId {
     ZoneId(fnv1a(name))
 }
 
-/// Id of a server model: a hash of its name, equal on all proxies.
+/// Id of a server model: a hash of its name, so that all balancers agree on it.
 pub fn model_id(name: &str) -> ModelId {
     ModelId(fnv1a(name))
 }
 
-/// Id of a server: a hash of its name, equal on all proxies. Two names may have the same hash.
+/// Id of a server: a hash of its name, so that all balancers agree on it. Two names may have the same hash.
 pub fn server_id(name: &str) -> ServerId {
     ServerId(fnv1a(name))
 }
