--- a/policy/src/balance/budget.rs
+++ b/policy/src/balance/budget.rs
@@ -45,9 +45,9 @@
     /// Multiplies the concurrency by `remaining`, down to the floor at the lowest. A severe reduction, after
     /// a rejection or a latency near the objective, may go below it.
     pub(super) fn reduce(&mut self, remaining: f64, severe: bool) {
-        let min =
+        let lowest =
             if severe { self.floor * SEVERE_FLOOR_RATIO } else { self.floor } / f64::from(self.steps.max(1));
-        self.concurrency = (self.concurrency * remaining.max(MIN_REMAINING_RATIO)).max(min);
+        self.concurrency = (self.concurrency * remaining.max(MIN_REMAINING_RATIO)).max(lowest);
     }
 }
 
--- a/policy/src/balance/calls.rs
+++ b/policy/src/balance/calls.rs
@@ -118,8 +118,8 @@
 
     pub(super) fn cancel_attempts(&mut self, id: CallId, except: Option<u32>, actions: &mut Actions) {
         let Some(call) = self.calls.get(&id).filter(|_| self.settings.limits.cancel) else { return };
-        let in_flight = (0..).zip(&call.attempts).filter(|(n, a)| a.outcome.is_none() && Some(*n) != except);
-        actions.extend(in_flight.map(|(attempt, _)| Action::Cancel { call: id, attempt }));
+        let cancelled = (0..).zip(&call.attempts).filter(|(n, a)| a.outcome.is_none() && Some(*n) != except);
+        actions.extend(cancelled.map(|(attempt, _)| Action::Cancel { call: id, attempt }));
     }
 
     pub(super) fn remove_if_complete(&mut self, id: CallId) {
--- a/policy/src/balance/learn.rs
+++ b/policy/src/balance/learn.rs
@@ -54,7 +54,7 @@
             *outage = (0, 0);
         }
         let Ok(index) = self.servers.binary_search_by_key(&id, |s| s.id) else { return };
-        let zone_min_us = self.zones.get(&zone).and_then(|zone| zone.min_us).unwrap_or(0.0);
+        let zone_min_us = self.zones.get(&zone).and_then(|latency| latency.min_us).unwrap_or(0.0);
         let mean = class_latency.as_ref().map_or(f64::MAX, |class| class.mean);
         let server = &mut self.servers[index];
         // The attempt ran in an earlier process of this server.
--- a/policy/src/balance/pick.rs
+++ b/policy/src/balance/pick.rs
@@ -108,7 +108,7 @@
         let &PickContext { now, call, mean, .. } = pick;
         let has_room = |s: &Server| !s.is_full(now, &self.settings.safety);
         let reaches_in_time = |zone_us: f64| now as f64 + zone_us * LIMIT_ZONE_RATIO <= call.deadline as f64;
-        let max_zone_latency = self.zones.values().filter_map(|zone| zone.min_us).fold(0.0, f64::max);
+        let max_zone_latency = self.zones.values().filter_map(|latency| latency.min_us).fold(0.0, f64::max);
         let is_near = |index: usize| reaches_in_time(self.min_zone_us(self.servers[index].zone));
         if !reaches_in_time(max_zone_latency) && !candidates.iter().all(|&index| is_near(index)) {
             prefer(candidates, |index| is_near(index) && has_room(&self.servers[index]));
@@ -132,7 +132,7 @@
     }
 
     fn min_zone_us(&self, zone: ZoneId) -> f64 {
-        self.zones.get(&zone).and_then(|zone| zone.min_us).unwrap_or(0.0)
+        self.zones.get(&zone).and_then(|latency| latency.min_us).unwrap_or(0.0)
     }
 
     /// Expected latency of a call at a server, in microseconds.
--- a/policy/src/balance/queue.rs
+++ b/policy/src/balance/queue.rs
@@ -37,9 +37,10 @@
         limit.min(useful_for - mean).max(0.0) as Micros
     }
 
+    /// Whether the class is worth so much per unit of work that it outweighs the worst class in the score.
     fn is_protected(&self, call: &Call) -> bool {
-        let classes = self.latencies.iter().zip(&self.settings.classes);
-        let (total_weight, total_work) = classes.fold((0.0, 0.0), |(weight, work), (c, spec)| {
+        let pairs = self.latencies.iter().zip(&self.settings.classes);
+        let (total_weight, total_work) = pairs.fold((0.0, 0.0), |(weight, work), (c, spec)| {
             (weight + c.request_count * spec.priority_weight, work + c.request_count * c.base_us)
         });
         let base_us = self.latencies.get(call.class_id).map_or(f64::MAX, |class| class.base_us);
--- a/policy/src/balance/server.rs
+++ b/policy/src/balance/server.rs
@@ -67,8 +67,9 @@
     }
 
     /// Recent `raw_ratio`; with no recent answer at most the zone's lowest, so that calls try it again.
-    pub(super) fn recent_ratio(&self, now: Micros, zone: Option<&ZoneLatency>, max_objective: f64) -> f64 {
-        let zone_ratio = zone.map_or(0.0, |zone| zone.min_ratio * (1.0 - drift_ratio(now, zone.updated_at)));
+    pub(super) fn recent_ratio(&self, now: Micros, latency: Option<&ZoneLatency>, max_objective: f64) -> f64 {
+        let zone_ratio =
+            latency.map_or(0.0, |latency| latency.min_ratio * (1.0 - drift_ratio(now, latency.updated_at)));
         let is_stale = now.saturating_sub(self.last_end_at) as f64 >= evidence_lifetime(max_objective);
         if is_stale {
             self.raw_ratio.min(zone_ratio)
--- a/policy/tests/slow_start.rs
+++ b/policy/tests/slow_start.rs
@@ -90,10 +90,10 @@
         (-self.draw().ln() * mean) as Micros
     }
 
-    fn schedule(&mut self, at: Micros, event: SimEvent) {
+    fn schedule(&mut self, at: Micros, sim_event: SimEvent) {
         self.event_count += 1;
         self.queue.push(Reverse((at, self.event_count)));
-        self.events.insert(self.event_count, event);
+        self.events.insert(self.event_count, sim_event);
     }
 
     fn settings(scenario: Scenario, balancer_index: u32) -> Settings {
@@ -180,8 +180,8 @@
         self.schedule(ends, SimEvent::End { balancer, call, attempt, outcome, elapsed });
     }
 
-    fn handle(&mut self, event: SimEvent) {
-        match event {
+    fn process(&mut self, sim_event: SimEvent) {
+        match sim_event {
             SimEvent::Call(balancer) => {
                 let call = CallId(self.event_count);
                 // A third of the balancers get three times the traffic of the others.
@@ -284,8 +284,8 @@
             if at > START + 30 * SECOND {
                 break;
             }
-            if let Some(event) = fleet.events.remove(&key) {
-                fleet.handle(event);
+            if let Some(sim_event) = fleet.events.remove(&key) {
+                fleet.process(sim_event);
             }
         }
         fleet
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -121,8 +121,8 @@
 ///
 /// If a required key (the number of balancers, the classes, the limits or the invariants) is missing, or a
 /// value has the wrong type.
-pub fn parse(value: &Value) -> Result<(Settings, Vec<String>, Vec<String>), SettingsError> {
-    let site = SiteSettings::deserialize(value)?;
+pub fn parse(json: &Value) -> Result<(Settings, Vec<String>, Vec<String>), SettingsError> {
+    let site = SiteSettings::deserialize(json)?;
     let mut classes = Vec::new();
     for class in &site.classes {
         let scope = match class.dedup_scope.as_str() {
