--- a/policy/src/balance.rs
+++ b/policy/src/balance.rs
@@ -1,9 +1,9 @@
 //! Balancing decisions. The interface (settings, events, actions) is `src/api.rs`; the design is in
 //! `docs/architecture.md`.
 //!
-//! A call goes to the less loaded of two random servers within their in-flight budgets, and waits in a queue
-//! when all are full. One call at a time may exceed a budget as a trial that can raise it. Calls are rejected
-//! when all servers are ejected.
+//! A call goes to the less loaded of two random servers below their in-flight budget, which is the most calls
+//! that this balancer has in flight at a server, or is queued if there is none. One call beyond the budget, a
+//! trial, raises it if served. Calls are rejected while all servers are ejected.
 
 mod balancer;
 mod budget;
@@ -28,7 +28,7 @@
 impl Balancer {
     /// Handles an event at time `now`, in microseconds, and appends the resulting actions.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
-        // A new call behind others cannot be sent before them, so the queue is not scanned again for it.
+        // While calls are queued, a new one only joins the end of the queue, which needs no new scan.
         let queue_unchanged = matches!(event, Event::Request { .. }) && !self.queue.is_empty();
         match event {
             Event::Start => self.start(now),
@@ -58,7 +58,7 @@
                 self.cancel_attempts(call, None, actions);
                 self.remove_if_complete(call);
             }
-            // Only the timer that is due is cleared: otherwise each of several would set another one forever.
+            // A timer before `timer_at` is stale and ignored: otherwise each would request another forever.
             Event::Timer if now >= self.timer_at => self.timer_at = Micros::MAX,
             Event::Timer | Event::Probed { .. } | Event::Request { .. } => {}
         }
@@ -73,7 +73,7 @@
         self.set_timer(now, actions);
     }
 
-    /// Ends or retries the call after an attempt; waits if another attempt is in flight.
+    /// After the end of an attempt, ends an answered call or retries one with no attempt left in flight.
     fn proceed(&mut self, now: Micros, id: CallId, outcome: Outcome, complete: bool, actions: &mut Actions) {
         if complete || outcome == Outcome::Served {
             self.end_call(id);
@@ -84,11 +84,11 @@
         self.remove_if_complete(id);
     }
 
-    /// Requests one timer for the earliest of the subscription, the call timers and the polling of the queue.
+    /// Requests a timer event for the next subscription, call timer or poll of the queue, whichever is first.
     fn set_timer(&mut self, now: Micros, actions: &mut Actions) {
         let mut next = self.subscribe_at.min(self.call_timers.first().map_or(Micros::MAX, |w| w.0));
         if !self.queue.is_empty() {
-            // No event marks the end of a backoff or pause, so a queue that is not empty is polled.
+            // No event marks the end of a server's backoff or pause, so a queue that is not empty is polled.
             next = next.min(now + self.settings.clock_tick.max(self.initial_backoff() / 8));
         }
         if next < self.timer_at {
--- a/policy/src/balance/balancer.rs
+++ b/policy/src/balance/balancer.rs
@@ -12,7 +12,7 @@
 /// Load balancer of one client proxy: takes events and returns actions, without I/O or a clock.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Balancer {
-    /// Not serialized; `restore` sets it again.
+    /// Not serialized; `Balancer::restore` sets the settings again.
     #[serde(skip)]
     pub(super) settings: Settings,
     pub(super) rng: Pcg32,
@@ -21,7 +21,7 @@
     /// For each zone: its consecutive connection failures, and the time until which it is skipped.
     pub(super) zone_backoffs: BTreeMap<ZoneId, (u32, Micros)>,
     pub(super) zones: BTreeMap<ZoneId, ZoneLatency>,
-    /// For each server model: latency relative to all models, without the zone's network latency.
+    /// For each server model: its latency relative to all models, without the network latency of zones.
     pub(super) models: BTreeMap<ModelId, ModelLatency>,
     pub(super) calls: BTreeMap<CallId, Call>,
     pub(super) queue: VecDeque<CallId>,
--- a/policy/src/balance/budget.rs
+++ b/policy/src/balance/budget.rs
@@ -4,7 +4,8 @@
 use crate::api::Micros;
 use serde::{Deserialize, Serialize};
 
-/// In-flight budget: `steps` times `concurrency` calls, grown one served trial at a time.
+/// Most calls that this balancer has in flight at a server: `steps` times `concurrency`. A served trial adds
+/// a step; with 0 steps the server is ejected.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub(super) struct Budget {
     pub(super) steps: u32,
@@ -32,7 +33,7 @@
         if self.steps < MAX_STEP_COUNT {
             self.steps += 1;
         } else {
-            // With the most steps, the concurrency grows instead: it was estimated too low.
+            // At the most steps, the concurrency grows instead, by as much as a step would add.
             self.concurrency *= 1.0 + 1.0 / f64::from(MAX_STEP_COUNT);
         }
     }
@@ -42,8 +43,8 @@
         self.doublings = (self.doublings + 1).min(MAX_BACKOFF_DOUBLINGS);
     }
 
-    /// Multiplies the concurrency by `remaining`, down to the floor at the lowest. A severe reduction, after
-    /// a rejection or a latency near the objective, may go below it.
+    /// Multiplies the concurrency by `remaining`, but leaves at least half, and a budget of `floor` calls.
+    /// A severe reduction, after a rejection or a latency far above its limit, may go below the floor.
     pub(super) fn reduce(&mut self, remaining: f64, severe: bool) {
         let lowest =
             if severe { self.floor * SEVERE_FLOOR_RATIO } else { self.floor } / f64::from(self.steps.max(1));
@@ -51,7 +52,7 @@
     }
 }
 
-/// Whether enough answers or enough time followed a change of budget to judge its effect.
+/// Whether `answers` or `elapsed` time since a change of the budget suffice to judge its effect.
 pub(super) fn is_conclusive(answers: u32, elapsed: Micros, mean: f64) -> bool {
     f64::from(answers) * EMA_RATIO >= 1.0 || elapsed as f64 >= 2.0 * mean
 }
--- a/policy/src/balance/calls.rs
+++ b/policy/src/balance/calls.rs
@@ -2,7 +2,7 @@
 
 use super::balancer::*;
 
-/// Time from which a call with an idempotency key may not be sent again, earlier by one clock tick.
+/// End of the deduplication window that the attempt `first` began, less one clock tick.
 fn window_end(first: &Attempt, window: Micros, clock_tick: Micros) -> Micros {
     first.sent_at.saturating_add(window).saturating_sub(clock_tick)
 }
@@ -13,7 +13,7 @@
         self.deadline.min(self.arrived_at.saturating_add(useful_for))
     }
 
-    /// Whether the call may be sent to `server`, although earlier attempts may have run.
+    /// Whether idempotency allows the call at `server`, given the earlier attempts that may have run.
     pub(super) fn may_go_to(&self, now: Micros, server: &Server, clock_tick: Micros) -> bool {
         match (self.first_run(), self.class.idempotency) {
             (None, _) | (_, Idempotency::Idempotent) => true,
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Latest time to begin writing an attempt; `None` without a deduplication window.
+    /// Latest time to begin writing the next attempt; `None` without a deduplication window.
     fn send_by(&self, clock_tick: Micros) -> Option<Micros> {
         match (self.first_run(), self.class.idempotency) {
             (Some(first), Idempotency::Keyed { window, .. }) => Some(window_end(first, window, clock_tick)),
@@ -78,13 +78,13 @@
         let send_by = call.send_by(self.settings.clock_tick);
         call.attempts.push(Attempt { server, started_at, zone, cell, class_id, sent_at, kind, outcome });
         let attempt_count = call.attempts.len();
-        // An answer past the objective has little value; its server is better used for other calls.
+        // An answer after the objective has little value, so the attempt ends then if one is likely before.
         let (useful_until, arrived_at) = (call.useful_until(), call.arrived_at);
         let (latest, mean) = (call.deadline, self.mean_latency(class_id, self.calls[&id].class.objective));
         let deadline =
             (useful_until < latest && useful_until as f64 > now as f64 + mean).then_some(useful_until);
         actions.push(Action::Send { call: id, server, deadline, send_by });
-        // A hedge is sent as late as its answer can be in time, but not before the first attempt is slow.
+        // A hedge is sent as late as its answer can be in time, but not before 1.5 mean latencies.
         let hedge_at = (useful_until as f64 - SPARE_LATENCY_RATIO * mean).max(arrived_at as f64 + 1.5 * mean);
         // A balancer of a large group cannot tell a stalled server from a long call: hedges only add load.
         let may_hedge = attempt_count == 1 && self.settings.limits.hedging && self.large_group.is_none();
--- a/policy/src/balance/constants.rs
+++ b/policy/src/balance/constants.rs
@@ -2,80 +2,80 @@
 
 use crate::api::Micros;
 
-/// Most steps of a budget, after the default maximum of connections in gRFC A105.
+/// Maximum of `Budget::steps`, after the default maximum of connections in gRFC A105.
 pub(super) const MAX_STEP_COUNT: u32 = 10;
-/// Calls in flight at one server over all balancers: initially, and the least that mild overload leaves.
+/// Initial budget of a server in calls over all balancers, and its floor unless a reduction is severe.
 pub(super) const INITIAL_CALLS: f64 = 7.0;
 pub(super) const FLOOR_CALLS: f64 = 12.0;
-/// Concurrency that remains, at least, of a reduction (as in TCP), and after a rejection.
+/// Fraction of a budget that one reduction leaves at least (as in TCP), and that a rejection leaves.
 pub(super) const MIN_REMAINING_RATIO: f64 = 0.5;
 pub(super) const REJECTED_REMAINING_RATIO: f64 = 0.8;
-/// The latency limit, above which a server is overloaded, is this multiple of a class's unloaded latency.
+/// Latency limit, above which a server counts as overloaded, as a multiple of the class's unloaded latency.
 pub(super) const LIMIT_BASELINE_RATIO: f64 = 3.0;
-/// The latency limit is at most this fraction of the class's objective.
+/// Maximum of the latency limit as a fraction of the class's objective.
 pub(super) const LIMIT_OBJECTIVE_RATIO: f64 = 0.33;
-/// The latency limit is at least this multiple of the zone's lowest latency, which no budget can shorten.
+/// Minimum of the latency limit as a multiple of the zone's lowest latency, which is due to the network.
 pub(super) const LIMIT_ZONE_RATIO: f64 = 1.5;
-/// CPU utilization that counts like a latency at its limit; queueing grows steeply above it.
+/// CPU utilization that counts like a latency equal to the latency limit; queueing grows steeply above it.
 pub(super) const FULL_CPU_RATIO: f64 = 0.9;
-/// Ratio of latency to its limit above which a reduction is severe: more than half the objective.
+/// Ratio of a server's latency to the latency limit above which a reduction of its budget is severe.
 pub(super) const SEVERE_LATENCY_RATIO: f64 = 1.5;
-/// Fraction of a budget's floor that remains, at least, after severe reductions.
+/// Floor of a severe reduction as a fraction of the floor of other reductions.
 pub(super) const SEVERE_FLOOR_RATIO: f64 = 0.2;
-/// Weight of a new sample in a moving average over about twenty samples.
+/// Smoothing factor of a server's latency: weight of a new answer in the moving average.
 pub(super) const EMA_RATIO: f64 = 0.1;
-/// Time in which an estimate of the lowest latency may rise to the current latency.
+/// Time over which an estimate of a lowest latency rises, without lower samples, to the current latency.
 pub(super) const BASELINE_DRIFT_US: f64 = 120e6;
-/// Weight of a new outcome in a server's failure ratio, and the ratio above which the server is ejected.
+/// Smoothing factor of a server's failure ratio, and the failure ratio above which the server is ejected.
 pub(super) const FAILURE_EMA_RATIO: f64 = 0.2;
 pub(super) const EJECTION_RATIO: f64 = 0.3;
-/// First backoff of a server as a fraction of the longest objective, and the most doublings of it.
+/// First backoff of a server as a fraction of the longest objective, and the most doublings of the backoff.
 pub(super) const BACKOFF_RATIO: f64 = 0.25;
 pub(super) const MAX_BACKOFF_DOUBLINGS: u32 = 4;
-/// Longest wait in the queue before new calls are rejected, as a fraction of their objective.
+/// Wait of the queue's first call above which a new call is rejected, as a fraction of its objective.
 pub(super) const QUEUE_WAIT_RATIO: f64 = 0.1;
-/// Mean latencies that must remain before the objective for a hedge, or for a protected call to queue.
+/// Time kept before the objective for a hedged request, or after a protected call's wait, in mean latencies.
 pub(super) const SPARE_LATENCY_RATIO: f64 = 2.0;
-/// Tokens for retries and hedges that each call adds, and the most that are kept.
+/// Retry tokens that a new call adds (a retry or hedged request takes one), and the most that are kept.
 pub(super) const RETRY_TOKENS_PER_CALL: f64 = 0.2;
 pub(super) const MAX_RETRY_TOKENS: f64 = 20.0;
-/// Queued calls examined at one event; bounds the CPU time that a long queue costs.
+/// Most queued calls examined per event, so that a long queue costs bounded CPU time.
 pub(super) const MAX_SCAN_COUNT: usize = 16;
-/// Factor on the share of a warming server within its limit: this part of the overload multiple, capped.
+/// Factor on the credits of a fast warming server, as a part of the overload multiple, and its maximum.
 pub(super) const BOOST_OVERLOAD_RATIO: f64 = 0.6;
 pub(super) const MAX_BOOST_RATIO: f64 = 1.5;
-/// Resolution of the random first credit of a new server.
+/// Resolution of the random first send credit of a warming server: parts of one credit.
 pub(super) const CREDIT_PARTS: u64 = 1 << 16;
-/// Sends per server after which its past busy time has decayed by a factor of e.
+/// Sends per server of the subset after which an earlier busy time counts 1/e.
 pub(super) const BUSY_MEMORY_SENDS: f64 = 4.0;
-/// Share of a server's initial budget, in calls, below which a balancer is one of a large group.
+/// A group is large if one balancer's part of a server's initial budget is below this number of calls.
 pub(super) const LARGE_GROUP_BUDGET_CALLS: f64 = 0.5;
-/// Fewest servers used in a large group, and calls in flight per server above which more are used.
+/// Fewest servers in a subset, and mean calls in flight per server above which the subset grows.
 pub(super) const MIN_SUBSET_SERVER_COUNT: usize = 8;
 pub(super) const SUBSET_CALLS_PER_SERVER: f64 = 0.5;
-/// Doublings of a zone's backoff before it reaches a server's: one failed connection is weak evidence.
+/// Doublings after which a zone's backoff equals a server's first: one failed connection is weak evidence.
 pub(super) const ZONE_DOUBLINGS: u32 = 3;
-/// Decay time of the moving average of calls in flight, and unit of the longest rest of a server.
+/// Time constant of the average of a balancer's calls in flight, and a third of a server's longest pause.
 pub(super) const RATE_MEMORY_US: f64 = 3e6;
-/// Age of a server's latency up to which it counts, in longest objectives, and the cap of that age.
+/// Age up to which a server's latency is compared with others', in longest objectives, and its maximum.
 pub(super) const EVIDENCE_RATIO: f64 = 8.0;
 pub(super) const MAX_EVIDENCE_AGE_US: f64 = 4e6;
-/// Weight of a new answer in the latency of a server model, and in a server's deviation from its model.
+/// Smoothing factors of a server model's latency, and of a server's deviation from its model's latency.
 pub(super) const MODEL_EMA_RATIO: f64 = 0.01;
 pub(super) const DEVIATION_EMA_RATIO: f64 = 0.25;
-/// Decay time of a server's deviation from its model.
+/// Time constant with which a server's deviation from its model's latency decays to 0.
 pub(super) const DEVIATION_MEMORY_US: f64 = 3e6;
-/// Largest deviation of one answer from its server's model, as a natural logarithm.
+/// Largest deviation of one answer's latency from that of the server model, as a natural logarithm.
 pub(super) const MAX_LOG_DEVIATION: f64 = 2.5;
 pub(super) const MAX_SUBSCRIBE_DOUBLINGS: u32 = 3;
-/// Longest time between subscriptions and after a broken watch: a change must arrive within 6 s.
+/// Longest time between failing subscriptions, and after a broken one: list changes must arrive in 6 s.
 pub(super) const SUBSCRIBE_GAP_US: Micros = 5_000_000;
 pub(super) const RESUBSCRIBE_DELAY_US: Micros = 3_000_000;
-/// Time for which discovery is occupied by one balancer's subscription.
+/// Time that discovery needs for the subscription of one balancer.
 pub(super) const SUBSCRIBE_SLOT_US: Micros = 30_000;
-/// Part of the objective within which a balancer of a large group, with rough estimates, prefers its zone.
+/// In a large group: expected latency, per objective, up to which a server of the local zone is preferred.
 pub(super) const LARGE_GROUP_LOCAL_RATIO: f64 = 0.35;
-/// Ratio of latency to its limit up to which a balancer of a small group prefers its zone.
+/// In a small group: latency, per latency limit, up to which a server of the local zone is preferred.
 pub(super) const LOCAL_RATIO: f64 = 0.4;
-/// The second of two random servers is preferred if its cost is below this fraction of the first one's.
+/// Cost, relative to the first of two equally busy random servers, below which the second is picked.
 pub(super) const TIE_RATIO: f64 = 0.93;
--- a/policy/src/balance/latency.rs
+++ b/policy/src/balance/latency.rs
@@ -4,12 +4,12 @@
 use crate::api::Micros;
 use crate::state::{ClassLatency, ModelLatency, ZoneLatency};
 
-/// Age, in microseconds, up to which the latency of a server is used to compare it with others.
+/// Age, in microseconds, from which a server's latency is too old to compare it with others.
 pub(super) fn evidence_lifetime(max_objective: f64) -> f64 {
     (EVIDENCE_RATIO * max_objective).min(MAX_EVIDENCE_AGE_US)
 }
 
-/// Fraction, 0 to 1, by which a lowest latency last updated at `updated_at` may rise to the current one.
+/// Part, 0 to 1, of its gap to the current latency by which a lowest latency rises since `updated_at`.
 pub(super) fn drift_ratio(now: Micros, updated_at: Micros) -> f64 {
     (now.saturating_sub(updated_at) as f64 / BASELINE_DRIFT_US).min(1.0)
 }
--- a/policy/src/balance/learn.rs
+++ b/policy/src/balance/learn.rs
@@ -1,10 +1,10 @@
-//! Updates from the end of an attempt: latencies, budgets, failures and ejections.
+//! Updates of latency estimates, budgets and ejections when an attempt ends.
 
 use super::balancer::*;
 
 impl Balancer {
-    /// Records a server's load report. A ratio of 1, for as many requests queued as running or nearly
-    /// all cores busy, counts like an answer at the latency limit.
+    /// Records the load report of an attempt's server as a ratio that counts like latency over its limit: 1
+    /// if as many requests are queued as run, or at a CPU utilization of `FULL_CPU_RATIO`.
     pub(super) fn record_load_report(&mut self, id: CallId, attempt: u32, load: LoadReport) {
         let Some(sent) = self.calls.get(&id).and_then(|c| c.attempts.get(attempt as usize)) else { return };
         let Ok(index) = self.servers.binary_search_by_key(&sent.server, |s| s.id) else { return };
@@ -19,7 +19,7 @@
             if reported_ratio.is_finite() { reported_ratio.clamp(0.0, 4.0) } else { 0.0 };
     }
 
-    /// Updates all estimates and budgets from an attempt that has ended.
+    /// Updates all estimates and budgets from an attempt that has ended; `took` is its duration by the proxy.
     pub(super) fn learn(&mut self, now: Micros, attempt: Attempt, took: Micros, actions: &mut Actions) {
         let Attempt { server: id, zone, started_at, class_id, sent_at, kind, outcome, .. } = attempt;
         let Some(outcome) = outcome else { return };
@@ -44,7 +44,7 @@
                 large_group.record(now, elapsed as f64);
             }
         }
-        // An unreachable zone is skipped as a whole, instead of after a failure at each of its servers.
+        // In a large group, connection failures make a balancer skip the zone, not only the server.
         let disconnected = matches!(outcome, Outcome::NoConnection | Outcome::Reset);
         let outage = self.zone_backoffs.entry(zone).or_default();
         if disconnected && self.large_group.is_some() {
@@ -57,19 +57,19 @@
         let zone_min_us = self.zones.get(&zone).and_then(|latency| latency.min_us).unwrap_or(0.0);
         let mean = class_latency.as_ref().map_or(f64::MAX, |class| class.mean);
         let server = &mut self.servers[index];
-        // The attempt ran in an earlier process of this server.
+        // The attempt went to an earlier process of this server and tells nothing about the present one.
         if server.started_at != started_at {
             return;
         }
         server.in_flight = server.in_flight.saturating_sub(1);
-        // Counts an unserved attempt as a whole objective: fast errors must not make a server look idle.
+        // An unserved attempt adds at least the longest objective: fast errors must not look like idleness.
         let min_cost = if outcome == Outcome::Served { 0.0 } else { max_objective };
         server.record_busy_time(min_cost.max(elapsed as f64), self.send_count, subset_size);
         let relative_to = |limit: f64| (elapsed as f64 / limit).min(4.0);
         let (latency_ratio, raw_ratio) = (relative_to(zone_limit), relative_to(limit));
         let failed = match outcome {
             Outcome::Served => false,
-            // A timeout while other calls are served marks the server as slow, not as failed.
+            // The server has served another call since this one was sent: it is slow, but has not failed.
             Outcome::TimedOut if server.last_served_at > sent_at => false,
             Outcome::Cancelled | Outcome::NotSent => {
                 server.budget.trial_in_flight &= kind != SendKind::Trial;
@@ -77,14 +77,14 @@
             }
             _ => true,
         };
-        // A timeout is weaker evidence of failure than an error.
+        // A timeout is weaker evidence of failure than an error, so it counts half.
         let failure_weight =
             if outcome == Outcome::TimedOut { FAILURE_EMA_RATIO / 2.0 } else { FAILURE_EMA_RATIO };
         server.failure_ratio += (if failed { 1.0 } else { 0.0 } - server.failure_ratio) * failure_weight;
-        // The weight grows with the time since the last answer, so that rare answers still replace old ones.
+        // The weight of an answer grows with the time since the last one, so that rare answers count.
         let silence_ratio = now.saturating_sub(server.last_end_at) as f64 / max_objective;
         let weight = EMA_RATIO.max(1.0 - (-silence_ratio).exp());
-        // Servers of one model share an estimate: most are seen too rarely for one of their own.
+        // Servers of one model share a latency estimate: most answer too rarely for one of their own.
         let model_ratio =
             (elapsed as f64 - zone_min_us).max(min_cost).max(mean * (-MAX_LOG_DEVIATION).exp()) / mean;
         let model = self.models.entry(server.model).or_default();
@@ -100,7 +100,7 @@
             server.raw_ratio += (raw_ratio - server.raw_ratio) * weight;
             server.answers_since += 1;
         }
-        // A timeout above the mean is a sample too: otherwise the mean covers only the fast answers.
+        // The class's mean latency includes timeouts longer than it; else it would cover only fast answers.
         let is_sample = if outcome == Outcome::TimedOut { elapsed as f64 > mean } else { !failed };
         class_latency.filter(|_| is_sample).into_iter().for_each(|class| class.record(now, elapsed as f64));
         if outcome == Outcome::Served {
@@ -113,14 +113,14 @@
             server.not_before = server.not_before.max(now + max_mean as Micros);
         } else if server.latency_ratio > 1.0 && server.has_settled(now, max_mean) {
             server.budget.reduce(1.0 / server.latency_ratio, server.latency_ratio > SEVERE_LATENCY_RATIO);
-            // The smaller budget shows only in later answers, and one overload must not reduce it twice.
+            // The next answers still show the old budget's overload, which must not reduce the budget again.
             server.latency_ratio = server.latency_ratio.sqrt();
             (server.answers_since, server.changed_at) = (0, now);
         }
         let (was_up, was_ejected) = (server.budget.steps > 0, server.is_ejected());
         let may_eject = (self.ejected_count + 1) * 2 <= self.listed_count;
         server.budget.steps -= u32::from(disconnected && (server.budget.steps > 1 || was_up && may_eject));
-        // As in gRFC A105, only a failure to connect backs off; a broken connection is reopened at once.
+        // As in gRFC A105, a broken connection is reopened at once; only failures to connect back off.
         let was_reset =
             outcome == Outcome::Reset && kind != SendKind::Trial && server.failure_ratio <= EJECTION_RATIO;
         server.budget.trial_in_flight &= kind != SendKind::Trial;
@@ -135,7 +135,7 @@
                 }
             }
         }
-        // Fast errors make a server look idle, so that its budget alone would attract more calls.
+        // Fast errors keep a server below its budget: only the failure ratio stops it from attracting calls.
         if was_up && server.failure_ratio > EJECTION_RATIO && may_eject {
             server.budget.steps = 0;
         }
@@ -146,7 +146,7 @@
             server.latency_ratio = 1.0;
             actions.push(Action::Log { text: format!("server {} ejected", server.id.0) });
         }
-        // In a large group, backoff by time alone would still allow too many trials from all balancers.
+        // With backoff by time alone, the balancers of a large group would together send too many trials.
         if self.large_group.is_some() && (outcome == Outcome::Rejected || server.budget.steps == 0) {
             server.resume_at_count = self.served_count + ((subset_size as u64) << server.budget.doublings);
         }
--- a/policy/src/balance/list.rs
+++ b/policy/src/balance/list.rs
@@ -17,7 +17,7 @@
     }
 
     /// Delay before a new subscription to the endpoint list after one has failed: exponential backoff with
-    /// jitter, short enough for a change to arrive in time.
+    /// jitter, short enough for a change of the list to arrive within 6 s.
     fn subscribe_delay(&mut self, now: Micros) -> Micros {
         let initial = (self.settings.safety.max_poll_interval / 32).max(subscribe_spread(&self.settings));
         let backoff = initial << self.subscribe_failures.min(MAX_SUBSCRIBE_DOUBLINGS);
--- a/policy/src/balance/pick.rs
+++ b/policy/src/balance/pick.rs
@@ -1,16 +1,16 @@
 //! Server selection in five steps, each of which narrows the candidates of the step before.
 //!
-//! 1. Eligible: listed, usable, not in a zone that backs off, and allowed for this call.
-//! 2. Slow start: a warming server that has earned a call is preferred to all others.
-//! 3. Subset: the next servers on the ring from this balancer's position, as many as its traffic needs.
-//! 4. In time: servers that can answer in time, and those of the local zone while they answer well.
-//! 5. Room: the better of two random servers within budget, otherwise a trial.
+//! 1. Eligible: listed, neither ejected nor paused, in no zone that backs off, and safe for a retried call.
+//! 2. Slow start: a warming server with a send credit and no call in flight is preferred to all others.
+//! 3. Subset: the next servers, by id, from this balancer's position, as many as its traffic needs.
+//! 4. In time: servers that can answer in time, and among them those of the local zone while they are fast.
+//! 5. Load: the better of two random servers below their budgets; if there is none, a trial beyond a budget.
 //!
-//! Steps 3 and 4 are preferences: they never leave the call without a candidate.
+//! Steps 3 and 4 are preferences: they leave at least one candidate if step 1 does.
 
 use super::balancer::*;
 
-/// Inputs shared by the steps of one selection.
+/// Inputs of one selection; `mean` is the mean latency of the call's class in microseconds.
 struct PickContext<'a> {
     now: Micros,
     call: &'a Call,
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Queues the call, unless all listed servers are ejected and none can become free.
+    /// Queues the call; rejects it if servers are listed and all of them are ejected.
     fn queue_or_reject(&self, now: Micros) -> Route {
         let all = self.servers.iter().filter(|s| s.listed);
         let all_down = all.clone().all(|s| s.budget.steps == 0);
@@ -67,14 +67,15 @@
         })
     }
 
-    /// Step 1, for one server.
+    /// Step 1. Whether the call may be sent to the server.
     fn is_eligible(&self, pick: &PickContext<'_>, server: &Server) -> bool {
         server.is_usable(pick.now, self.served_count, &self.settings.safety)
             && !pick.zones_in_backoff.contains(&server.zone)
             && pick.call.may_go_to(pick.now, server, self.settings.clock_tick)
     }
 
-    /// Eligible servers in ring order. Balancers start at even distances: each server is in as many subsets.
+    /// Eligible servers on a ring in order of id, from this balancer's position on. The balancers' positions
+    /// are evenly spaced, so that each server is in about the same number of subsets.
     fn ring<'a>(&'a self, pick: &'a PickContext<'a>) -> impl Iterator<Item = usize> + 'a {
         let len = self.servers.len();
         let balancer_count = self.settings.balancer_count.max(1) as usize;
@@ -82,7 +83,7 @@
         (start..len).chain(0..start).filter(|&index| self.is_eligible(pick, &self.servers[index]))
     }
 
-    /// Step 2. Left to random choice, a warming server would get far less than its share.
+    /// Step 2. Picks the warming server with the most credits; random choice would give it too few calls.
     fn pick_warming_up(&self, pick: &PickContext<'_>) -> Option<usize> {
         let now = pick.now;
         if now >= self.all_warm_at || !pick.call.attempts.is_empty() {
@@ -95,15 +96,15 @@
             .max_by(|a, b| send_credits(a).total_cmp(&send_credits(b)))
     }
 
-    /// Step 3. A retry goes to a server that the call has not tried, if there is one.
+    /// Step 3. Takes the first servers of the ring; for a retry, only those not tried yet, if there are any.
     fn subset(&self, pick: &PickContext<'_>) -> Vec<usize> {
         let is_untried = |index: usize| pick.call.is_untried(self.servers[index].id);
         let any_untried = self.ring(pick).any(is_untried);
         self.ring(pick).filter(|&index| !any_untried || is_untried(index)).take(self.subset_size()).collect()
     }
 
-    /// Step 4. Avoids zones too far away for the time left. In a large group, where a balancer rarely
-    /// uses the same server twice, the expected latency must also be within the objective.
+    /// Step 4. Prefers zones near enough to answer before the deadline, then the local zone. In a large group
+    /// it also prefers servers whose expected latency is within the objective.
     fn prefer_in_time(&self, pick: &PickContext<'_>, candidates: &mut Vec<usize>) {
         let &PickContext { now, call, mean, .. } = pick;
         let has_room = |s: &Server| !s.is_full(now, &self.settings.safety);
@@ -117,7 +118,7 @@
             let objective = call.class.objective as f64;
             let is_preferred = |s: &Server| self.expected_us(now, s, mean) <= objective && has_room(s);
             prefer(candidates, |index| is_preferred(&self.servers[index]));
-            // A late answer costs more than another zone, so the local zone must answer early.
+            // A late answer costs more than one from another zone, so local servers must be fast.
             let answers_early = |s: &Server| {
                 s.in_flight == 0 && self.expected_us(now, s, mean) <= objective * LARGE_GROUP_LOCAL_RATIO
             };
@@ -135,14 +136,14 @@
         self.zones.get(&zone).and_then(|latency| latency.min_us).unwrap_or(0.0)
     }
 
-    /// Expected latency of a call at a server, in microseconds.
+    /// Expected latency in microseconds: the zone's network, and the class's mean scaled to the server.
     fn expected_us(&self, now: Micros, server: &Server, mean: f64) -> f64 {
         let model = self.models.get(&server.model).map_or(0.0, |model| model.log_ratio);
         self.min_zone_us(server.zone) + mean * (model + server.deviation(now)).exp()
     }
 
-    /// Cost that decides between servers with equally many calls in flight; lower is better. In a large
-    /// group, with no call in flight at most servers, it is recent load times expected latency.
+    /// Cost that decides between servers with equally many calls in flight; the lower is better. In a large
+    /// group it is recent load times expected latency, otherwise the recent ratio of latency to its limit.
     fn cost(&self, now: Micros, mean: f64, server: &Server) -> f64 {
         match self.large_group {
             Some(_) => {
@@ -154,7 +155,7 @@
         }
     }
 
-    /// Step 5. Picks the less loaded of two random candidates (power of two choices), by calls in flight.
+    /// Step 5. Picks the one of two random candidates with fewer calls in flight (power of two choices).
     fn two_choices(&mut self, now: Micros, mean: f64, candidates: &[usize]) -> Option<usize> {
         let len = candidates.len() as u64;
         let first = self.random_below(len);
--- a/policy/src/balance/queue.rs
+++ b/policy/src/balance/queue.rs
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Longest wait, of the call at the queue's head, with which a new call may join the queue.
+    /// Longest wait of the queue's first call with which the new call `id` is still queued.
     fn max_queue_wait(&self, id: CallId, over_share: bool) -> Micros {
         let call = &self.calls[&id];
         let mean = self.mean_latency(call.class_id, call.class.objective);
@@ -37,7 +37,7 @@
         limit.min(useful_for - mean).max(0.0) as Micros
     }
 
-    /// Whether the class is worth so much per unit of work that it outweighs the worst class in the score.
+    /// Whether a call may queue longer: its class's value per work exceeds the mean by a factor of the score.
     fn is_protected(&self, call: &Call) -> bool {
         let pairs = self.latencies.iter().zip(&self.settings.classes);
         let (total_weight, total_work) = pairs.fold((0.0, 0.0), |(weight, work), (c, spec)| {
@@ -49,7 +49,7 @@
         score_weights.overall * value > score_weights.overall + score_weights.worst_class
     }
 
-    /// Counts a tenant's call; returns whether the tenant exceeds its share of this balancer's calls.
+    /// Counts a tenant's call; returns whether the tenant is a tenth over its share of the balancer's calls.
     fn over_share(&mut self, tenant: TenantId) -> bool {
         let Some(share) = self.settings.tenants.get(tenant.0).map(|t| t.share) else { return true };
         for (index, recent) in self.tenant_shares.iter_mut().enumerate() {
@@ -59,11 +59,11 @@
         self.tenant_shares[tenant.0] > total_share * share * 1.1
     }
 
-    /// Queues a call; a retried one goes to the front because it is older than those waiting.
+    /// Queues a call: a new one at the end, a retried one, which arrived before the others, at the front.
     pub(super) fn enqueue(&mut self, now: Micros, id: CallId, retried: bool) {
         let Some(call) = self.calls.get_mut(&id) else { return };
         call.queued = true;
-        // Ends the call when an answer of mean latency would be late, or the client's deadline is near.
+        // Ends the call when an answer of mean latency would be late, or a tick before the client's deadline.
         let (class_id, objective, last_moment) =
             (call.class_id, call.class.objective, call.deadline.saturating_sub(self.settings.clock_tick));
         let due_at =
@@ -76,7 +76,7 @@
         let scanned = if self.ejected_count > 0 && !self.queue.is_empty() { self.servers.len() } else { 0 };
         for server_index in 0..scanned {
             if self.servers[server_index].may_recover(now, self.served_count, &self.settings.safety) {
-                // Only new calls are used: one sent before may be restricted to other servers.
+                // Only a call not sent before is used: a retry may be restricted to other servers.
                 let mut queued = self.queue.iter().take(MAX_SCAN_COUNT);
                 if let Some(index) = queued.position(|id| self.calls[id].attempts.is_empty()) {
                     let id = self.queue[index];
@@ -93,7 +93,7 @@
                     self.send(now, id, server, kind, actions);
                 }
                 Route::Reject { retry_after } => self.reject_or_fail(id, retry_after, actions),
-                // A call restricted to some servers does not block those that arrived after it.
+                // A retry that waits for the servers open to it does not block the calls behind it.
                 Route::Queue if self.calls[&id].first_run().is_some() && index < MAX_SCAN_COUNT => index += 1,
                 Route::Queue => break,
             }
--- a/policy/src/balance/retry.rs
+++ b/policy/src/balance/retry.rs
@@ -3,7 +3,7 @@
 use super::balancer::*;
 
 impl Balancer {
-    /// Queues the call again after an unserved attempt, or ends it.
+    /// Queues a call again after an unserved attempt; rejects or fails it if no retry is allowed or in time.
     pub(super) fn retry(&mut self, now: Micros, id: CallId, outcome: Outcome, actions: &mut Actions) {
         let call = &self.calls[&id];
         let in_time =
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Sends a hedged request for a late call, if retry tokens are left and no call waits.
+    /// Sends a hedged request for a call with a slow attempt, if a retry token is left and no call is queued.
     fn hedge(&mut self, now: Micros, id: CallId, actions: &mut Actions) {
         let call = &self.calls[&id];
         let clock_tick = self.settings.clock_tick;
--- a/policy/src/balance/server.rs
+++ b/policy/src/balance/server.rs
@@ -16,27 +16,28 @@
     pub(super) in_flight: u32,
     pub(super) budget: Budget,
     pub(super) weight: f64,
-    /// Time that this balancer's calls spent at the server, as a decaying sum.
+    /// Decaying sum of the durations of this balancer's calls to the server, as of its send `busy_at_send`.
     pub(super) busy_us: f64,
     pub(super) busy_at_send: u64,
-    /// Moving average of the ratio of latency to its limit; above 1 the server is overloaded.
+    /// Moving average of the ratio of an answer's latency to the latency limit; above 1, an overload.
     pub(super) latency_ratio: f64,
-    /// Natural logarithm of the server's latency relative to its model; decays to 0.
+    /// Natural logarithm of the server's latency relative to its model's, at `last_end_at`; decays to 0.
     pub(super) deviation: f64,
-    /// As `latency_ratio`, but with a limit that makes no allowance for the zone's network latency.
+    /// As `latency_ratio`, but the latency limit makes no allowance for the zone's network latency.
     pub(super) raw_ratio: f64,
     pub(super) answers_since: u32,
-    /// Last load report, on the scale of `latency_ratio`.
+    /// Load in the last load report, on the scale of `latency_ratio`: 1 for a fully loaded server.
     pub(super) reported_ratio: f64,
-    /// Last change of the budget.
+    /// Time of the last change of the budget; `answers_since` counts the answers since then.
     pub(super) changed_at: Micros,
     pub(super) last_end_at: Micros,
     pub(super) last_served_at: Micros,
     pub(super) failure_ratio: f64,
-    /// Earliest time and count of served calls at which a server that rejected or failed is used again.
+    /// Time until which the server is paused after a rejection.
     pub(super) not_before: Micros,
+    /// Value of `Balancer::served_count` until which the server is paused after a rejection or ejection.
     pub(super) resume_at_count: u64,
-    /// Calls that a warming server has earned; each call sent spends one.
+    /// Calls that a warming server may be sent; `earn_send_credits` adds to it, each call sent takes one.
     pub(super) send_credits: f64,
 }
 
@@ -55,7 +56,7 @@
         }
     }
 
-    /// Recent busy time relative to the weight; tells servers apart when none has calls in flight.
+    /// Busy time per weight, decayed to the balancer's send `sends`; compares servers with no call in flight.
     pub(super) fn recent_load(&self, sends: f64, subset_size: f64) -> f64 {
         self.busy_us * (-(sends - self.busy_at_send as f64) / (subset_size * BUSY_MEMORY_SENDS)).exp()
             / self.weight
@@ -66,7 +67,7 @@
         self.busy_at_send = sends;
     }
 
-    /// Recent `raw_ratio`; with no recent answer at most the zone's lowest, so that calls try it again.
+    /// `raw_ratio`, but without recent answers at most the zone's lowest, so that the server is tried again.
     pub(super) fn recent_ratio(&self, now: Micros, latency: Option<&ZoneLatency>, max_objective: f64) -> f64 {
         let zone_ratio =
             latency.map_or(0.0, |latency| latency.min_ratio * (1.0 - drift_ratio(now, latency.updated_at)));
@@ -78,12 +79,12 @@
         }
     }
 
-    /// Current deviation from the model's latency, as a natural logarithm.
+    /// Deviation from the model's latency, decayed until `now`, as a natural logarithm.
     pub(super) fn deviation(&self, now: Micros) -> f64 {
         self.deviation * (-(now.saturating_sub(self.last_end_at) as f64) / DEVIATION_MEMORY_US).exp()
     }
 
-    /// Fraction of its capacity that a warming server has at least, by the slow start settings.
+    /// Least fraction of its capacity that the server has by the slow start settings; 1 once it is warm.
     pub(super) fn warmup_ratio(&self, now: Micros, safety: &SafetyLimits) -> f64 {
         let age = now.saturating_sub(self.started_at);
         if self.started_at == 0 || age >= safety.slow_start_window {
@@ -98,6 +99,7 @@
         self.in_flight >= (budget + 0.5).max(1.0) as u32
     }
 
+    /// Whether the server may be sent calls, whatever its budget: listed, not paused, warm or with credit.
     pub(super) fn is_open(&self, now: Micros, served_count: u64, safety: &SafetyLimits) -> bool {
         let is_paced = self.send_credits >= 1.0 || self.warmup_ratio(now, safety) >= 1.0;
         let has_rested = served_count >= self.resume_at_count
--- a/policy/src/balance/slow_start.rs
+++ b/policy/src/balance/slow_start.rs
@@ -3,9 +3,9 @@
 use super::balancer::*;
 
 impl Balancer {
-    /// Adds send credits to warming servers: their share, by capacity, of each call that the fleet serves.
-    /// The sum over all balancers is safe, and fast rejections earn nothing. Elapsed time alone adds less
-    /// than one call in flight over all balancers.
+    /// Adds send credits to warming servers: for each call served by any server, the warming server's part of
+    /// the fleet's capacity. Rejections add nothing. Elapsed time adds at most one credit per longest
+    /// objective over all balancers.
     pub(super) fn earn_send_credits(&mut self, now: Micros, is_answer: bool) {
         let elapsed = now.saturating_sub(std::mem::replace(&mut self.credits_updated_at, now)) as f64;
         if now >= self.all_warm_at {
@@ -26,10 +26,10 @@
             if warmup_ratio < 1.0 {
                 let credits =
                     total.map_or(0.0, |total| capacity(server) / total) + elapsed * warmup_ratio / round;
-                // A balancer in a large group gets too few answers to see an overload in time.
+                // A server that keeps up earns more, but not in a large group: it sees an overload too late.
                 let keeps_up = !in_large_group && server.last_served_at > 0 && server.latency_ratio <= 1.0;
                 let credits = if keeps_up { credits * boost } else { credits };
-                // The cap of two credits makes up for one late call at most.
+                // Capped at two credits, so that a server without recent calls is not sent a burst.
                 server.send_credits = (server.send_credits + credits).min(2.0);
             }
         }
--- a/policy/src/balance/subset.rs
+++ b/policy/src/balance/subset.rs
@@ -4,8 +4,8 @@
 use crate::api::Micros;
 use serde::{Deserialize, Serialize};
 
-/// Traffic of a balancer in a large group, where its share of a server's initial budget is far below one
-/// call. It sees most servers too rarely to learn their limits, and uses a small subset.
+/// Traffic of a balancer in a large group: one of so many that its part of a server's initial budget is below
+/// half a call. It sees most servers too rarely to learn their limits, and uses a subset of them.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub(super) struct LargeGroup {
     /// Moving average of this balancer's calls in flight.
@@ -25,8 +25,8 @@
     }
 }
 
-/// Number of servers to spread calls over. In a large group, a balancer that used all servers would open a
-/// connection for nearly every call.
+/// Number of servers that a balancer uses: all, or in a large group as many as its traffic needs. With all,
+/// it would open a connection for nearly every call there.
 pub(super) fn subset_size(large_group: Option<&LargeGroup>, servers: usize) -> usize {
     let wanted =
         large_group.map_or(f64::MAX, |large_group| large_group.mean_in_flight / SUBSET_CALLS_PER_SERVER);
--- a/policy/src/balance/trials.rs
+++ b/policy/src/balance/trials.rs
@@ -1,4 +1,4 @@
-//! Trials: calls sent past a server's budget, or to a server that was ejected.
+//! Trials: single calls beyond a server's budget, to raise it, or to an ejected server, to reinstate it.
 
 use super::{budget::is_conclusive, server::Server};
 use crate::api::{Micros, SafetyLimits};
@@ -13,7 +13,7 @@
         self.budget.steps == 0 && self.budget.is_trial_due(now) && self.is_open(now, served_count, safety)
     }
 
-    /// Whether one call may be sent past the budget, as a trial that raises the budget if it is served.
+    /// Whether one call may be sent beyond the budget, as a trial that raises the budget if it is served.
     pub(super) fn may_take_trial(&self, now: Micros, max_mean: f64, safety: &SafetyLimits) -> bool {
         self.budget.is_trial_due(now)
             && self.latency_ratio <= 1.0
