--- a/adapter/src/error.rs
+++ b/adapter/src/error.rs
@@ -19,7 +19,7 @@
     MissingField {
         /// Verb of the event that lacks the field.
         verb: String,
-        /// Name of the missing field.
+        /// Key of the field in the JSON object.
         field: &'static str,
     },
     /// The settings of a proxy are invalid.
@@ -28,9 +28,9 @@
     /// An event is for a proxy that no CREATE event made, or that was detached.
     #[error("{verb} for unknown proxy {proxy}")]
     UnknownProxy {
-        /// Verb of that event.
+        /// Verb of the event for the unknown proxy.
         verb: String,
-        /// Id of the proxy in that event.
+        /// Id that no current proxy has.
         proxy: i64,
     },
     /// An update of the endpoint list has a scope that is not one of the four defined values.
@@ -44,10 +44,10 @@
     UnknownState {
         /// Id of the host that the entry describes.
         host: u32,
-        /// Undefined value of its state.
+        /// Number that stands for no state.
         state: u32,
     },
-    /// An event has a verb that is not defined.
+    /// An event's verb is not one of the protocol's.
     #[error("unknown verb {0}")]
     UnknownVerb(String),
 }
--- a/adapter/src/main.rs
+++ b/adapter/src/main.rs
@@ -14,14 +14,14 @@
 use std::io::{self, BufRead, Write};
 use wire::{Batch, Command, Input, Reply};
 
-/// A call of a simulated proxy, under its name in the protocol.
+/// A call of a simulated proxy; `name` identifies it in the protocol.
 struct CallEntry {
     name: String,
     in_flight: u32,
     ended: bool,
 }
 
-/// A simulated proxy: its balancer, and the names in the protocol of calls, classes and tenants.
+/// A simulated proxy: its balancer, and the protocol's names for its calls, classes and tenants.
 struct SimulatedProxy {
     balancer: Balancer,
     classes: Vec<String>,
@@ -53,7 +53,7 @@
     }
 }
 
-/// All proxies of the simulation and the endpoint lists that they may receive.
+/// All proxies of the simulation and the endpoint lists that MEMBERS events refer to, by their ids.
 #[derive(Default)]
 struct Adapter {
     proxies: HashMap<i64, SimulatedProxy>,
@@ -188,7 +188,7 @@
     }
 }
 
-/// Converts an action to a command; `None` for a call that has been removed.
+/// Converts a balancer's action to a command; `None` for an action on a call that has been removed.
 fn to_command(proxy: i64, simulated: &mut SimulatedProxy, action: Action) -> Option<Command> {
     let name_of = |id: CallId, calls: &HashMap<CallId, CallEntry>| calls.get(&id).map(|n| n.name.clone());
     Some(match action {
--- a/adapter/src/wire.rs
+++ b/adapter/src/wire.rs
@@ -1,4 +1,5 @@
-//! Messages of the simulator's protocol.
+//! Messages of the simulator's protocol. Its hosts are the balancer's servers, its commands the balancer's
+//! actions.
 
 use crate::error::AdapterError;
 use flaxhead_policy::{CellId, Entry, LoadReport, Outcome, ServerId, State};
--- a/policy/src/access.rs
+++ b/policy/src/access.rs
@@ -7,7 +7,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Networks(Vec<IpNet>);
 
-/// Part of a list that is neither an address nor a CIDR range.
+/// Error for a part of a list of networks that is neither an address nor a CIDR range.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0:?} is neither an address nor a CIDR range")]
 pub struct InvalidNetwork(String);
@@ -55,14 +55,14 @@
     pub proxy_from: Networks,
 }
 
-/// Decision on a connected peer.
+/// Decision on the peer of a new connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerAccess {
     /// Serve the connection.
     Allow,
     /// Close the connection.
     Deny,
-    /// Read the PROXY header and check the client that it names.
+    /// Read the PROXY header, and check the address that it names with [`Access::admits`].
     TrustedProxy,
 }
 
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Whether a client with this address is admitted; deny wins over allow.
+    /// Whether clients with this address are admitted; `deny` takes precedence over `allow`.
     pub fn admits(&self, address: IpAddr) -> bool {
         !self.deny.contains(address) && (self.allow.0.is_empty() || self.allow.contains(address))
     }
--- a/policy/src/api.rs
+++ b/policy/src/api.rs
@@ -1,4 +1,5 @@
-//! Interface of the balancer: settings, events and actions. Times are in whole microseconds.
+//! Interface of the balancer: settings, events and actions. Each proxy runs one balancer. Times are in whole
+//! microseconds.
 
 use serde::{Deserialize, Serialize};
 
@@ -55,7 +56,7 @@
     Keyed {
         /// Servers that deduplicate the call.
         scope: DedupScope,
-        /// Duration, from the first attempt, for which they remember its key.
+        /// Duration, from that attempt, for which these servers remember the key.
         window: Micros,
     },
     /// Repeats are unsafe: a call is sent again only if no earlier attempt has run.
@@ -73,7 +74,7 @@
     pub priority_weight: f64,
     /// Fraction of the priority weight that an answer between objective and deadline earns, 0 to 1.
     pub late_ratio: f64,
-    /// Whether its calls may run more than once.
+    /// Whether calls of the class may run more than once.
     pub idempotency: Idempotency,
 }
 
@@ -90,10 +91,10 @@
     }
 }
 
-/// Quota of a tenant, in effect while calls queue.
+/// Quota of a tenant: calls beyond it are rejected at a shorter queue.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Tenant {
-    /// Fraction of the calls to which the tenant is entitled, 0 to 1.
+    /// Fraction of the balancer's calls to which the tenant is entitled, 0 to 1.
     pub share: f64,
 }
 
@@ -104,9 +105,9 @@
     pub cancel: bool,
     /// Servers may be sent health checks.
     pub probes: bool,
-    /// A call may have a hedged request: two attempts in flight.
+    /// A call may have a hedged request: a second attempt while the first is in flight.
     pub hedging: bool,
-    /// Maximum number of attempts of a call.
+    /// Maximum number of attempts of a call, including the first.
     pub max_attempts: u32,
     /// Longest Retry-After that is sent to a client; 0 for none.
     pub max_retry_after: Micros,
@@ -115,13 +116,13 @@
 /// Limits on the load of starting servers and on the age of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SafetyLimits {
-    /// Fraction of its capacity that a server has at least when it starts, 0 to 1.
+    /// Least fraction, 0 to 1, of its full capacity that a server has when it starts.
     pub slow_start_ratio: f64,
     /// Time after which a started server has its full capacity.
     pub slow_start_window: Micros,
     /// Longest time between two polls of the endpoint list.
     pub max_poll_interval: Micros,
-    /// Multiple of its present capacity above which a warming server is overloaded.
+    /// Multiple of a warming server's present capacity above which the site counts it as overloaded.
     pub overload_multiple: f64,
 }
 
@@ -140,7 +141,7 @@
 pub struct Settings {
     /// Number of balancers that send to the same servers, including this one.
     pub balancer_count: u32,
-    /// Index of this balancer among them, from 0; it selects the servers that the balancer uses.
+    /// Index of this balancer among the `balancer_count`, from 0; selects the servers that it uses.
     pub balancer_index: u32,
     /// Resolution of the proxy's clock.
     pub clock_tick: Micros,
@@ -154,7 +155,7 @@
     pub limits: Limits,
     /// Limits on the load of starting servers and on the age of the endpoint list.
     pub safety: SafetyLimits,
-    /// Weights that combine the service of all calls and of the worst class.
+    /// Weights of all calls and of the worst class in the site's score.
     pub score_weights: ScoreWeights,
     /// Zone of this balancer, if calls to other zones have a cost; otherwise `None`.
     pub local_zone: Option<ZoneId>,
@@ -258,7 +259,7 @@
     Reset,
     /// Cancelled by this balancer.
     Cancelled,
-    /// No byte of it was sent.
+    /// No byte of the attempt was sent.
     NotSent,
     /// Any other result; the attempt may have run.
     Unknown,
@@ -276,9 +277,9 @@
 pub struct LoadReport {
     /// Requests that the server is processing or has queued.
     pub active_requests: Option<f64>,
-    /// Requests among them that are queued.
+    /// Those of `active_requests` that are queued.
     pub queued_requests: Option<f64>,
-    /// Fraction of its cores that is busy, 0 to 1.
+    /// Fraction of the server's CPU time that is used, 0 to 1.
     pub cpu_utilization: Option<f64>,
 }
 
@@ -317,7 +318,7 @@
         outcome: Outcome,
         /// Time from sending the attempt to its end.
         elapsed: Micros,
-        /// Whether the call has ended with it: the client needs no further answer.
+        /// Whether the call has ended with this attempt: the client needs no further answer.
         complete: bool,
         /// Load report that came with the answer.
         load: LoadReport,
@@ -354,7 +355,7 @@
     Send {
         /// Call of which an attempt is sent.
         call: CallId,
-        /// Server to send it to.
+        /// Server to send the attempt to.
         server: ServerId,
         /// Time at which the attempt times out; `None` for the deadline of the client.
         deadline: Option<Micros>,
@@ -381,17 +382,17 @@
         /// Number, within the call and from 0, of the attempt to cancel.
         attempt: u32,
     },
-    /// Send a health check.
+    /// Send a health check; [`Event::Probed`] reports its result.
     Probe {
         /// Server to check.
         server: ServerId,
     },
     /// Send [`Event::Timer`] after a delay.
     Wake {
-        /// Delay from now.
+        /// Time from now until the event is due.
         after: Micros,
     },
-    /// Subscribe to the endpoint list.
+    /// Subscribe to the endpoint list; updates arrive as [`Event::Members`].
     Subscribe,
     /// Write a log line.
     Log {
--- a/policy/src/bounds.rs
+++ b/policy/src/bounds.rs
@@ -2,9 +2,9 @@
 
 use crate::api::*;
 
-/// About 50 days.
+/// Longest duration: about 50 days.
 pub(crate) const MAX_DURATION_US: Micros = 1 << 42;
-/// More than 10,000 years after 1970.
+/// Latest timestamp: more than 10,000 years after 1970.
 pub(crate) const MAX_TIMESTAMP_US: Micros = 1 << 60;
 
 /// Whether an event and its time are within the bounds; a damaged capture may exceed them.
@@ -18,7 +18,7 @@
 }
 
 impl Settings {
-    /// Whether all durations are within the bounds.
+    /// Whether all durations are short enough for the balancer's arithmetic: at most about 50 days.
     pub fn is_in_range(&self) -> bool {
         let class_in_range = |class: &Class| {
             let window = match class.idempotency {
--- a/policy/src/outcome_label.rs
+++ b/policy/src/outcome_label.rs
@@ -3,8 +3,8 @@
 use crate::api::Outcome;
 
 impl Outcome {
-    /// Platform's name of an outcome that counts as an error of the host; `None` if the attempt was served or
-    /// ended by the proxy itself. An unknown outcome is an unusable answer and counts as an error.
+    /// Platform's name of an outcome that counts as an error of the server; `None` if the attempt was served
+    /// or ended by the proxy itself. An unknown outcome is an unusable answer and counts as an error.
     pub fn error_label(self) -> Option<&'static str> {
         match self {
             Outcome::Error | Outcome::Unknown => Some("error"),
--- a/policy/src/state.rs
+++ b/policy/src/state.rs
@@ -3,7 +3,8 @@
 use crate::api::*;
 use serde::{Deserialize, Serialize};
 
-/// Whether an attempt is within its server's budget, or a trial that can raise it.
+/// Whether an attempt is within its server's budget, or a trial: one call beyond the budget, to raise it, or
+/// to an ejected server, to reinstate it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum SendKind {
     Regular,
@@ -42,7 +43,7 @@
         self.attempts.iter().filter(|a| a.outcome.is_none()).count()
     }
 
-    /// First attempt that may have run, which binds later ones to its deduplication scope and window.
+    /// First attempt that may have run; later ones are bound to its deduplication scope and window.
     pub(crate) fn first_run(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|a| !a.outcome.is_some_and(Outcome::never_ran))
     }
@@ -56,19 +57,20 @@
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub(crate) struct ZoneLatency {
     pub(crate) min_us: Option<f64>,
-    /// Lowest recent ratio of an answer's latency to its limit.
+    /// Lowest recent ratio of an answer's latency to the latency limit of its class.
     pub(crate) min_ratio: f64,
     pub(crate) updated_at: Micros,
 }
 
-/// Latency of a server model relative to all models, as a moving average.
+/// Latency of a server model relative to all models: moving average of a natural logarithm.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub(crate) struct ModelLatency {
     pub(crate) log_ratio: f64,
     pub(crate) samples: u32,
 }
 
-/// Latency of a class: its mean, and its lowest mean as an estimate for an unloaded server.
+/// Mean latency of a class's answers, and the lowest recent mean (`base_us`), which estimates the latency at
+/// an unloaded server; in microseconds.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub(crate) struct ClassLatency {
     pub(crate) mean: f64,
@@ -78,7 +80,7 @@
     pub(crate) request_count: f64,
 }
 
-/// Destination of a call.
+/// Decision on a call; `server` is its index in `Balancer::servers`.
 pub(crate) enum Route {
     Send { server: usize, kind: SendKind },
     Queue,
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -109,7 +109,7 @@
     }
 }
 
-/// Settings with a missing key or a value of the wrong type.
+/// Error for settings with a missing key or a value of the wrong type.
 #[derive(Debug, thiserror::Error)]
 #[error("{0}")]
 pub struct SettingsError(#[from] serde_json::Error);
@@ -131,7 +131,7 @@
             "cell" => Some(DedupScope::Cell),
             _ => None,
         };
-        // An unknown idempotency or deduplication scope allows no repeats.
+        // An unrecognised idempotency or deduplication scope allows no repeats.
         let idempotency = match (class.idempotency.as_str(), scope) {
             ("free", _) => Idempotency::Idempotent,
             ("guarded", Some(scope)) => Idempotency::Keyed { scope, window: class.repeat_window_us },
@@ -160,8 +160,7 @@
             probes: limits.probes,
             hedging: limits.second_copies,
             max_attempts: limits.max_attempts,
-            // Not set to 0 where the site says that clients ignore Retry-After: every rejection has to carry
-            // one.
+            // Also used if the site's clients ignore Retry-After: every rejection has to carry one.
             max_retry_after: limits.max_retry_after_us,
         },
         safety: SafetyLimits {
@@ -180,28 +179,27 @@
     Ok((settings, class_names, site.tenants.into_iter().map(|t| t.name).collect()))
 }
 
-/// Id of a zone: a hash of its name, so that all balancers agree on it.
+/// Id of a zone: a hash of its name, equal on all balancers. Two names may have the same hash.
 pub fn zone_id(name: &str) -> ZoneId {
     ZoneId(fnv1a(name))
 }
 
-/// Id of a server model: a hash of its name, so that all balancers agree on it.
+/// Id of a server model: a hash of its name, equal on all balancers. Two names may have the same hash.
 pub fn model_id(name: &str) -> ModelId {
     ModelId(fnv1a(name))
 }
 
-/// Id of a server: a hash of its name, so that all balancers agree on it. Two names may have the same hash.
+/// Id of a server: a hash of its name, equal on all balancers. Two names may have the same hash.
 pub fn server_id(name: &str) -> ServerId {
     ServerId(fnv1a(name))
 }
 
-/// 32-bit FNV-1a hash.
 fn fnv1a(name: &str) -> u32 {
     name.bytes().fold(0x811c_9dc5, |hash, byte| (hash ^ u32::from(byte)).wrapping_mul(0x0100_0193))
 }
 
-/// Parses a load report, `name=value,name=value`; unknown names and values that are not finite numbers are
-/// ignored. The names are those of the simulator and of the settings' key `report.columns`.
+/// Parses a load report, `name=value,name=value`; unrecognised names and values that are not finite numbers
+/// are ignored. The names are those of the simulator and of the settings' key `report.columns`.
 pub fn parse_load_report(text: &str) -> LoadReport {
     let mut load = LoadReport::default();
     for (name, value) in text.split(',').filter_map(|pair| pair.split_once('=')) {
