--- a/adapter/tests/wire.rs
+++ b/adapter/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Runs the adapter on lines of input, valid and malformed.
+//! Runs the adapter on lines of input, valid and malformed, and checks its replies and exit code.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -18,7 +18,7 @@
         .expect("the adapter to start");
     let mut input = child.stdin.take().expect("a piped standard input");
     for line in lines {
-        // An adapter that has exited closes the pipe; the test then checks its exit code.
+        // Writing fails once the adapter has exited; the test checks the exit code.
         if writeln!(input, "{}", line.replace('\n', " ")).is_err() {
             break;
         }
--- a/policy/benches/module.rs
+++ b/policy/benches/module.rs
@@ -1,5 +1,5 @@
-//! Benchmarks of a call with its outcome and of list updates, for a busy proxy and for one of 300, with
-//! fleets of 10 to 5,000 hosts.
+//! Benchmarks of the events of one call and of updates of the endpoint list, for a busy proxy (one of three)
+//! and for one of 300 with little traffic, with 10 to 5,000 servers.
 //!
 //! `cargo bench -p flaxhead-policy`
 
@@ -11,12 +11,12 @@
 const MS: Micros = 1_000;
 const FLEETS: [u32; 4] = [10, 200, 1_000, 5_000];
 
-/// A proxy under steady load; answers come in the order of the calls.
+/// A proxy with a steady request rate; calls are answered in the order of their arrival.
 struct Proxy {
     balancer: Balancer,
     now: Micros,
     next: u64,
-    /// Interval of requests: 2,000 a second at a busy proxy, 50 at one of 300.
+    /// Time between requests: 2,000 requests a second at a busy proxy, 50 at one of 300.
     interval: Micros,
     actions: Vec<Action>,
     in_flight: std::collections::VecDeque<(CallId, u32)>,
@@ -37,7 +37,7 @@
             idempotency: Idempotency::Idempotent,
         };
         let classes = vec![class(600 * MS), class(2_000 * MS), class(2_000 * MS), class(2_000 * MS)];
-        // Keeps new servers warming up during the benchmark.
+        // A slow start so long that new servers still warm up at the end of the benchmark.
         let safety = SafetyLimits { slow_start_window: 1 << 40, ..Settings::default().safety };
         let settings = Settings {
             classes,
@@ -68,13 +68,13 @@
         }
     }
 
-    /// Handles one request and one answer.
+    /// Passes the balancer one request, and the answer to the oldest attempt.
     fn call(&mut self) {
         self.now += self.interval;
         self.next += 1;
         let (call, class) = (CallId(self.next), ClassId((self.next % 4) as usize));
         self.feed(Event::Request { call, class, tenant: None, time_left: 2_400 * MS, resent: false });
-        // Keeps as many calls in flight as a latency of 55 ms needs.
+        // Keeps as many attempts in flight as a latency of 55 ms leads to at this request rate.
         if self.in_flight.len() as u64 > 55 * MS / self.interval {
             if let Some((call, attempt)) = self.in_flight.pop_front() {
                 let (outcome, elapsed, load) =
--- a/policy/tests/access.rs
+++ b/policy/tests/access.rs
@@ -1,4 +1,4 @@
-//! Access lists and trusted proxies.
+//! Access by client address: allowed and denied networks, and trusted reverse proxies.
 
 use flaxhead_policy::{Access, Networks, PeerAccess};
 use std::net::IpAddr;
--- a/policy/tests/balancing.rs
+++ b/policy/tests/balancing.rs
@@ -1,11 +1,12 @@
-//! Parts of the balancing algorithm: budgets, trials, backoff, queue, choice, subset and zones.
+//! Parts of the balancing algorithm: in-flight budgets, trials, backoff, queue, server selection and zones.
 
 mod common;
 use common::*;
 use flaxhead_policy::*;
 use std::collections::BTreeMap;
 
-/// Fills the initial budget of a single server, which is one call, and leaves that call in flight.
+/// Fills the initial budget of the only server with a call that stays in flight: seven calls, at seven
+/// balancers, are one for each.
 fn full_budget(idempotency: Idempotency) -> (Proxy, CallId) {
     let mut proxy = Proxy::new(settings(idempotency), 1);
     let (first, actions) = proxy.call();
@@ -31,8 +32,8 @@
     let actions = proxy.end_attempt(trial, 1, Outcome::Served, 50 * MS);
     assert!(sent(&actions).is_empty(), "the outcome of an unknown attempt is ignored");
     let actions = proxy.end_attempt(trial, 0, Outcome::Served, 50 * MS);
-    // Two steps of one call each, one in use: the first queued call is sent, but no trial before the new step
-    // has proved itself.
+    // The served trial raised the budget to two calls, of which one is in flight: the first queued call is
+    // sent, but no trial until answers have shown the effect of the larger budget.
     assert_eq!(sent(&actions), [(a, ServerId(1))]);
     proxy.now += 100 * MS;
     proxy.end_attempt(a, 0, Outcome::Served, 100 * MS);
@@ -47,7 +48,7 @@
     );
 }
 
-/// Sends calls until one is not queued; returns the time that took and the call.
+/// Adds a call every 5 ms until one is sent; returns the time until then and the call that was sent.
 fn time_until_sent(proxy: &mut Proxy) -> (Micros, CallId) {
     let began = proxy.now;
     loop {
@@ -118,10 +119,11 @@
     assert_eq!(load[&ServerId(2)], 5);
 }
 
-/// Sends 400 single calls, which end as `end` says; returns how many went to server 2.
+/// Runs 400 calls one after another; each ends with the outcome and latency that `end` gives for its server.
+/// Returns the number of calls to server 2.
 fn calls_to_second_server(entries: Vec<Entry>, end: impl Fn(ServerId) -> (Outcome, Micros)) -> usize {
     let limits = Limits { max_attempts: 1, ..Settings::default().limits };
-    // With a hundred balancers the initial budget of a server is far below one call.
+    // Among a hundred balancers, a large group, calls in flight seldom decide: recent busy time does.
     let mut proxy =
         Proxy::new(Settings { balancer_count: 100, limits, ..settings(Idempotency::NonIdempotent) }, 2);
     proxy.update_list(ListKind::Full, entries);
@@ -155,7 +157,7 @@
     let weighted = vec![ready(1), Entry { weight: 2.0, ..ready(2) }];
     let double = calls_to_second_server(weighted, |_| (Outcome::Served, 40 * MS));
     assert!((250..=290).contains(&double), "a server of twice the weight gets two thirds: {double}");
-    // Invalid weights count as 1.
+    // Weights that are not finite and positive count as 1.
     let two = || vec![ready(1), ready(2)];
     let invalid = vec![Entry { weight: f64::NAN, ..ready(1) }, Entry { weight: -3.0, ..ready(2) }];
     let equal = calls_to_second_server(invalid, |_| (Outcome::Served, 40 * MS));
@@ -167,14 +169,14 @@
 
 #[test]
 fn a_full_choice_is_redrawn_among_servers_with_room() {
-    // One of twenty servers has room; two random choices alone would rarely find it.
+    // At the last call only one of twenty servers is below its budget; two random draws would rarely find it.
     let mut proxy = Proxy::new(settings(Idempotency::NonIdempotent), 20);
     let servers: std::collections::BTreeSet<ServerId> = (0..20).map(|_| sent(&proxy.call().1)[0].1).collect();
     assert_eq!(servers.len(), 20, "a budget was exceeded while another server had room");
 }
 
-/// Number of calls that a new server is sent at once, the last as a trial, after seven calls of which one
-/// ended with `outcome`.
+/// Ends one of the first seven calls to a server with `outcome` and has the others served. Returns how many
+/// of the next calls are sent at once; the last of them is a trial.
 fn burst_size_after(outcome: Outcome) -> usize {
     let limits = Limits { max_attempts: 1, ..Settings::default().limits };
     let mut proxy =
@@ -196,7 +198,7 @@
     assert_eq!(burst_size_after(Outcome::Rejected), 7, "four fifths of seven calls, and a trial");
 }
 
-/// Sends calls until one is queued and has them served after 40 ms; returns how many were sent at once.
+/// Adds calls until one is queued, and ends those that were sent as served after 40 ms; returns their number.
 fn burst_size(proxy: &mut Proxy) -> usize {
     let mut calls = vec![proxy.call()];
     while !sent(&calls[calls.len() - 1].1).is_empty() {
@@ -283,7 +285,7 @@
 #[test]
 fn with_all_servers_ejected_calls_are_rejected_with_a_retry_delay() {
     let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 2);
-    // At most half of the servers may be ejected, so the list is reduced to the broken one.
+    // The balancer never ejects more than half of the servers, so that the list is reduced to the failed one.
     let (call, actions) = proxy.call();
     let failed_server = sent(&actions)[0].1;
     proxy.now += MS;
@@ -339,7 +341,7 @@
     };
     proxy.update_list(ListKind::Full, (1..=8).map(entry).collect());
     (0..100).for_each(|_| assert!(serve(&mut proxy) <= 8));
-    // New servers replace the known ones in each round, so only their model is known.
+    // Each round replaces all servers, so that the balancer knows only the latency of their models.
     let mut slow = 0;
     for round in 1..=40 {
         proxy.update_list(ListKind::Full, (1..=8).map(|i| entry(10 * round + i)).collect());
@@ -350,8 +352,8 @@
     assert!((65..=95).contains(&fast), "the slow model must keep a share: {fast} of 100");
 }
 
-/// Times at which a balancer with `known` cached servers subscribes: at start, and after each of four
-/// failures.
+/// Times, from its start, at which a balancer with `known` servers in the cached list subscribes: first, and
+/// after each of four failed subscriptions.
 fn subscribe_times(seed: u64, balancer_count: u32, known: u32) -> Vec<Micros> {
     let settings = Settings { subscribe: true, balancer_count, ..settings(Idempotency::Idempotent) };
     let mut balancer = Balancer::new(seed, settings);
@@ -371,8 +373,8 @@
     times
 }
 
-/// Discovery must have time for each balancer, but no delay may exceed the protocol's 6 s less one for the
-/// answer.
+/// Guards against a burst of subscriptions at discovery, and against delays longer than 5 s: changes of the
+/// list must arrive within 6 s, of which the answer takes up to one.
 #[test]
 fn balancers_that_start_together_spread_their_subscriptions_and_each_subscribes_in_time() {
     let of_hundred: Vec<_> = (0..100).map(|seed| subscribe_times(seed, 100, 5)).collect();
@@ -424,12 +426,12 @@
             (all, overloaded) = (all + 1, overloaded + u32::from(slow));
         }
     }
-    // Two random servers of eight are both among the five slow ones in 10 of 28 draws.
+    // Five of eight servers are overloaded. Of two random ones both are overloaded in 10 of 28 draws.
     assert!(overloaded * 10 <= all * 3, "{overloaded} of {all} to servers slower than the objective");
     assert!(overloaded > 0, "overloaded servers must be tried again");
 }
 
-/// A subset that widened with slow answers would open a connection for most calls.
+/// Guards against a subset that grows with slow answers: most calls would then open a new connection.
 #[test]
 fn in_a_large_group_slow_answers_do_not_widen_the_subset() {
     let mut proxy = Proxy::new(Settings { balancer_count: 300, ..settings(Idempotency::Idempotent) }, 100);
@@ -443,11 +445,11 @@
         used.extend(sent(&actions).into_iter().map(|(_, server)| server));
         out.push_back((proxy.now + 300 * MS, call));
     }
-    // Six calls are in flight at a time.
+    // With six calls in flight on average, a subset of 12 servers is expected.
     assert!((8..=20).contains(&used.len()), "{} of 100", used.len());
 }
 
-/// Servers of the local zone are preferred only while they answer well within the objective.
+/// Guards against a preference for the local zone that holds although its servers answer late.
 #[test]
 fn a_balancer_prefers_its_local_zone_while_it_answers_early() {
     let zoned = |i: u32| Entry { zone: ZoneId(i % 4), ..ready(i) };
--- a/policy/tests/common/mod.rs
+++ b/policy/tests/common/mod.rs
@@ -5,7 +5,7 @@
 
 pub const MS: Micros = 1_000;
 
-/// Proxy that records actions without executing them.
+/// Proxy with one balancer; records the balancer's actions without executing them.
 pub struct Proxy {
     pub balancer: Balancer,
     pub now: Micros,
@@ -40,7 +40,7 @@
         Proxy::seeded(7, settings, servers)
     }
 
-    /// As [`Proxy::new`], with a random seed.
+    /// As [`Proxy::new`], with `seed` for the balancer's random numbers.
     pub fn seeded(seed: u64, settings: Settings, servers: u32) -> Proxy {
         let mut proxy =
             Proxy { balancer: Balancer::new(seed, settings), now: 1_000_000, actions: Vec::new(), next: 0 };
@@ -90,7 +90,7 @@
         })
     }
 
-    /// Sends a call that is served after `elapsed`; returns its server.
+    /// Adds a call and has it served after `elapsed`; returns the server, or `None` if the call was not sent.
     pub fn serve(&mut self, elapsed: Micros) -> Option<ServerId> {
         let (call, actions) = self.call();
         let server = sent(&actions).first().map(|s| s.1);
@@ -99,7 +99,7 @@
         server
     }
 
-    /// Sends a call whose attempts each end after `elapsed` with the outcome that `end_at` gives for the
+    /// Adds a call whose attempts each end after `elapsed`, with the outcome that `end_at` gives for their
     /// server.
     pub fn run_call(&mut self, elapsed: Micros, mut end_at: impl FnMut(ServerId) -> Outcome) {
         let (call, mut actions) = self.call();
--- a/policy/tests/invariants.rs
+++ b/policy/tests/invariants.rs
@@ -1,4 +1,4 @@
-//! Invariants of the balancer, and regressions: each test guards against one failure.
+//! Invariants of the balancer, and regressions: each test guards against one error in its decisions.
 
 mod common;
 use common::*;
@@ -92,8 +92,8 @@
                         "retried outside its deduplication scope"
                     );
                 }
-                // The second attempt ends too late for a third; the call is rejected only if it may safely be
-                // repeated.
+                // No time is left for a third attempt: the call is rejected if the client may safely send it
+                // again, and fails otherwise.
                 proxy.now += 450 * MS;
                 let actions = proxy.end_attempt(call, 1, second, MS);
                 let is_repeatable = match idempotency {
@@ -178,8 +178,8 @@
 
 // Warming servers are not overloaded.
 
-/// Number of attempts, of 600 calls in six seconds, at a server that has just started and ends them with
-/// `outcome`.
+/// Runs 600 calls in six seconds at servers of which one has just started, or restarted, and ends its attempts
+/// with `outcome`; returns the number of these attempts.
 fn attempts_at_warming_server(outcome: Outcome, restart: bool) -> usize {
     let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 3);
     for _ in 0..200 {
@@ -207,15 +207,15 @@
     for outcome in [Outcome::Served, Outcome::Rejected, Outcome::Error, Outcome::NoConnection] {
         for restart in [false, true] {
             let count = attempts_at_warming_server(outcome, restart);
-            // The server's share grows from a tenth to a third of a warm one's beside two or three others.
-            // The limit is 2.5 times that share.
+            // A warming server's capacity grows here from a tenth to a third of a warm one's, beside two warm
+            // servers after its restart or three if it is new. `share` is its share of the 600 calls.
             let share = if restart { 62 } else { 43 };
             assert!((1..=share * 7 / 4).contains(&count), "{outcome:?} {restart}: {count}");
         }
     }
 }
 
-// Failures that occurred before.
+// Regressions.
 
 #[test]
 fn a_server_with_fast_errors_is_ejected() {
@@ -299,7 +299,7 @@
     }
     let mut to_rejecting = 0;
     for _ in 0..20 {
-        // Rounds of 2 ms: 40 ms in all, one mean latency.
+        // The 20 calls of 2 ms take 40 ms in all, which is one mean latency.
         proxy.run_call(2 * MS, |server| {
             let rejects = server == ServerId(1);
             to_rejecting += usize::from(rejects);
@@ -313,7 +313,7 @@
     assert!(to_rejecting <= 2, "{to_rejecting}");
 }
 
-/// Slow answers must not leave a busy proxy with the small budgets of one among a hundred.
+/// Guards against slow answers that reduce the budgets of a busy proxy, one of a hundred, until calls queue.
 #[test]
 fn a_busy_proxy_among_a_hundred_recovers_at_once_after_slow_answers() {
     let mut proxy = Proxy::new(Settings { balancer_count: 100, ..settings(Idempotency::Idempotent) }, 60);
@@ -383,11 +383,11 @@
     );
     let in_own_zone = |i| Entry { zone: ZoneId(i), ..ready(i) };
     proxy.update_list(ListKind::Full, vec![in_own_zone(1)]);
-    // The near server sets the latency of an unloaded answer.
+    // Answers of the near server alone set the class's unloaded latency: 2 ms.
     assert!((0..100).all(|_| proxy.serve(2 * MS) == Some(ServerId(1))));
     proxy.update_list(ListKind::Full, vec![in_own_zone(1), in_own_zone(2)]);
     for _ in 0..60 {
-        // Two calls at once, so that one goes to the far server.
+        // Two calls in flight, so that one goes to the far server.
         let mut out: Vec<_> = (0..2).flat_map(|_| sent(&proxy.call().1)).collect();
         assert_eq!(out.len(), 2, "both servers have room");
         out.sort_by_key(|s| s.1);
@@ -422,7 +422,7 @@
         let (class, tenant) = (ClassId(0), None);
         sent(&proxy.handle_event(Event::Request { call, class, tenant, time_left, resent: false }))
     };
-    // The near server's budget is three calls; by load alone the far server would get two of three.
+    // Three calls fit the near server's budget; by calls in flight alone, some would go to the far server.
     let hurried: Vec<_> = (0..3).flat_map(|number| request(number, 60 * MS)).map(|s| s.1).collect();
     assert_eq!(hurried, [ServerId(1); 3], "the far server cannot answer in time");
     assert_eq!(
@@ -439,7 +439,7 @@
     let mut proxy = Proxy::new(Settings { balancer_count: 1, ..settings(Idempotency::NonIdempotent) }, 3);
     let mut log = Vec::new();
     for _ in 0..30 {
-        // At each server the first call is answered and the others time out.
+        // At each server the first of the calls in flight is served and the others time out.
         let calls: Vec<(CallId, Vec<Action>)> = (0..9).map(|_| proxy.call()).collect();
         let at = |i: usize| sent(&calls[i].1).first().map(|s| s.1);
         let first = |i: usize| (0..i).all(|j| at(j) != at(i));
@@ -460,7 +460,8 @@
     assert_eq!(ejected, 0, "a slow server was ejected");
 }
 
-/// Whether a second call is sent as a trial after answers of 40 ms with this load report.
+/// Has calls served after 40 ms with the load report `load`; returns whether a call beyond the budget is then
+/// sent as a trial.
 fn trial_follows(load: LoadReport) -> bool {
     let mut proxy = Proxy::new(Settings { balancer_count: 12, ..settings(Idempotency::NonIdempotent) }, 1);
     for _ in 0..40 {
@@ -486,7 +487,7 @@
     assert!(!trial_follows(queued(5.5)), "more requests queued than running");
 }
 
-/// A thousand balancers that each serve few calls must not overload a new server together.
+/// Guards against a new server that a thousand balancers with few calls each overload together.
 #[test]
 fn a_thousand_balancers_stay_within_the_share_of_a_warming_server() {
     let (mut to_warming, mut all) = (0, 0);
@@ -504,11 +505,11 @@
             to_warming += usize::from(proxy.serve(40 * MS) == Some(ServerId(21)));
         }
     }
-    // Two seconds after its start the server has at most a fifth of its capacity, a twentieth of the fleet's.
+    // Within 2 s of its start the new server has at most a fifth of the capacity of each of 20 warm ones.
     assert!(to_warming * 20 <= all / 5, "{to_warming} of {all}");
 }
 
-/// Each balancer serves only thirty calls while the server warms up, fewer than it takes to earn one credit.
+/// Each balancer serves about thirty calls while the server warms up, fewer than earn one send credit.
 #[test]
 fn the_share_of_a_warming_server_grows_with_many_balancers() {
     let (mut to_warming, mut all) = (0, 0);
@@ -526,11 +527,11 @@
             }
         }
     }
-    // In the last third the server's share is 0.037 of all calls, and the limit is 2.5 times that.
+    // The server's mean capacity in the last third is 0.037 of the fleet's. The limit is 2.5 times that.
     assert!((all * 37 / 1_000..=all * 93 / 1_000).contains(&to_warming), "{to_warming} of {all}");
 }
 
-/// All balancers start with the same list, whose first servers are new, and each has one call.
+/// All balancers start with the same list of 20 servers, of which two are new, and each has one call.
 #[test]
 fn balancers_that_start_together_spread_their_first_calls() {
     let mut first_calls = [0; 20];
@@ -543,7 +544,7 @@
         let server = proxy.serve(40 * MS).expect("sent");
         first_calls[server.0 as usize - 1] += 1;
     }
-    // The share of each new server is one call in 182, and the limit is 2.5 times that.
+    // Each new server has a tenth of a warm one's capacity: one call in 182. The limit is 2.5 times that.
     assert!(first_calls[0] <= 14 && first_calls[1] <= 14, "{first_calls:?}");
 }
 
@@ -587,7 +588,7 @@
 
 #[test]
 fn a_failing_server_is_tried_by_fewer_calls_at_a_low_call_rate() {
-    // At one call a second a backoff by time alone would have passed before most calls.
+    // At one call a second, a backoff by time alone ends before most calls and would hardly spare the server.
     let limits = Limits { max_attempts: 1, ..Settings::default().limits };
     let mut proxy =
         Proxy::new(Settings { balancer_count: 1_000, limits, ..settings(Idempotency::Idempotent) }, 8);
@@ -604,7 +605,7 @@
     assert!(attempts < 25, "a healthy server would get an eighth of 200: {attempts}");
 }
 
-/// Six of ten servers are replaced.
+/// The fleet has 24 warm servers and 36 new ones.
 #[test]
 fn warming_servers_that_are_most_of_the_fleet_get_their_share() {
     let safety = SafetyLimits {
@@ -621,12 +622,12 @@
         proxy.advance(20 * MS);
         proxy.serve(40 * MS).is_some_and(|s| s.0 > 24)
     });
-    // The new servers have 9/33 of the capacity, and the limit is 2.5 times that share.
+    // The 36 new servers have a quarter of their capacity each: 9 of the fleet's 33.
     let to_warming = to_warming.count();
     assert!((2_000 * 9 / 33..=2_000 * 18 / 33).contains(&to_warming), "{to_warming} of 2000");
 }
 
-/// A call that cannot be answered in time would only add load.
+/// Guards against load by calls that cannot be answered in time.
 #[test]
 fn a_call_with_less_time_left_than_a_mean_latency_is_rejected_at_once() {
     for idempotency in [Idempotency::Idempotent, Idempotency::NonIdempotent] {
@@ -647,7 +648,7 @@
     }
 }
 
-/// Without timeouts in the mean, it would cover only calls answered in time.
+/// Guards against a mean latency that covers only calls answered in time.
 #[test]
 fn timeouts_at_rarely_used_servers_raise_the_mean_latency() {
     let mut proxy = Proxy::new(Settings { balancer_count: 300, ..settings(Idempotency::NonIdempotent) }, 5);
@@ -658,7 +659,7 @@
         let (call, class) = (CallId(call), ClassId(0));
         (call, proxy.handle_event(Event::Request { call, class, tenant: None, time_left, resent: true }))
     };
-    // No call is answered; a timeout shorter than the mean proves nothing.
+    // All calls time out, half of them after 1 ms: timeouts shorter than the mean must not lower it.
     for call in 1_000..1_080 {
         let (call, actions) = request(&mut proxy, call, 120 * MS);
         let spent = if call.0 % 2 == 0 { 120 * MS } else { MS };
@@ -673,8 +674,8 @@
     assert!(rejected(&actions, late), "the mean must include timeouts: {actions:?}");
 }
 
-/// An initial or outdated mean must not reject short calls: an application with no others would never be
-/// served.
+/// Guards against rejection by an initial or outdated mean latency: an application whose calls all have
+/// little time would never be served.
 #[test]
 fn a_call_with_little_time_left_is_sent_without_a_recent_mean_latency() {
     for (answers, pause) in [(0, 0), (200, 5_000 * MS)] {
@@ -689,7 +690,7 @@
     }
 }
 
-/// If slow answers rejected all calls, no answer could ever lower the mean again.
+/// Guards against a mean latency so high that all calls are rejected: no answer could lower it again.
 #[test]
 fn slow_answers_do_not_cause_calls_with_enough_time_to_be_rejected() {
     let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 5);
@@ -701,7 +702,8 @@
     assert_eq!(sent(&proxy.handle_event(event)).len(), 1, "seven tenths of the class's deadline are left");
 }
 
-/// Number of calls, of 800, at a warming server beside four warm ones that answers after `answers_after`.
+/// Runs 800 calls at four warm servers and one warming server that answers after `answers_after`; returns the
+/// number of calls to the warming server.
 fn calls_to_warming_server(balancer_count: u32, answers_after: Micros, overload_multiple: f64) -> usize {
     let safety = SafetyLimits {
         slow_start_ratio: 0.25,
@@ -728,15 +730,15 @@
 
 #[test]
 fn a_warming_server_that_answers_in_time_gets_up_to_half_more() {
-    // The server's share is one in seventeen, 47 of 800.
+    // The warming server has a quarter of a warm one's capacity: its share is 47 of 800 calls.
     let (fast, slow) = (calls_to_warming_server(3, 20 * MS, 2.5), calls_to_warming_server(3, 300 * MS, 2.5));
     assert!((64..=80).contains(&fast) && (40..=54).contains(&slow), "{fast} and {slow}");
-    // A balancer in a large group gets too few answers to see an overload in time.
+    // In a large group, where a balancer sees an overload too late, the server gets no more than its share.
     let in_large_group = calls_to_warming_server(300, 20 * MS, 2.5);
     assert!((40..=60).contains(&in_large_group), "{in_large_group}");
 }
 
-/// The overload multiple of the settings bounds the extra calls of a warming server.
+/// A warming server that answers fast gets more than its share only if the overload multiple allows it.
 #[test]
 fn the_overload_multiple_bounds_the_extra_share_of_a_warming_server() {
     let (low, high) = (calls_to_warming_server(3, 20 * MS, 1.5), calls_to_warming_server(3, 20 * MS, 9.0));
--- a/policy/tests/low_traffic.rs
+++ b/policy/tests/low_traffic.rs
@@ -1,5 +1,5 @@
-//! At a low call rate no call is in flight when a server is picked, so recent latency decides alone: it must
-//! not exclude a server for good.
+//! At a low call rate no call is in flight when a server is picked, so that recent latency alone decides. A
+//! server that was slow once must not be excluded for good.
 
 mod common;
 use common::*;
@@ -8,8 +8,8 @@
 const SLOW: Micros = 400 * MS;
 const FAST: Micros = 10 * MS;
 
-/// Sends single calls, a hundred a second, to two servers. Returns the calls of each, and the time of the
-/// first to server 1.
+/// Runs calls one after another, a hundred a second, at two servers. Returns the number of calls to each, and
+/// the time until the first call to server 1.
 fn run_single_calls(
     proxy: &mut Proxy,
     calls: usize,
@@ -31,7 +31,8 @@
     (counts, first)
 }
 
-/// Creates a proxy with two servers and ends `times` attempts at server 1 with `outcome`.
+/// Creates a proxy with two servers, and runs calls until `times` attempts at server 1 have ended with
+/// `outcome`; those at server 2 are served.
 fn proxy_after(
     settings: Settings,
     entries: Vec<Entry>,
--- a/policy/tests/random_events.rs
+++ b/policy/tests/random_events.rs
@@ -1,4 +1,4 @@
-//! Invariants checked on every action of long random event sequences.
+//! Checks the balancer's invariants on each action that it returns for long random sequences of events.
 
 mod common;
 use common::*;
@@ -90,7 +90,7 @@
             }
             8 if step % 31 == 0 => proxy.update_list(ListKind::Failed, vec![]),
             _ => {
-                // Deadlines that have passed come first, as from a real proxy.
+                // Attempts of calls past their deadline time out before the timer event, as at a real proxy.
                 let mut all = Vec::new();
                 let due: Vec<CallId> =
                     calls.iter().filter(|(_, c)| !c.ended && c.deadline <= proxy.now).map(|c| *c.0).collect();
@@ -112,7 +112,8 @@
         };
         check(&actions, &mut calls, &list, &known, &classes, hedging, proxy.now);
     }
-    // Time out all attempts in flight, three times: the client deadline of every call is then past.
+    // Time out all attempts in flight in three rounds of 700 ms: the deadline of every call, 1.2 s after its
+    // arrival, is then past, so that every call must have ended.
     for _ in 0..3 {
         proxy.now += 700 * MS;
         let actions = proxy.handle_event(Event::Timer);
--- a/policy/tests/slow_start.rs
+++ b/policy/tests/slow_start.rs
@@ -9,30 +9,30 @@
 const SECOND: Micros = 1_000_000;
 const START: Micros = 1_000 * SECOND;
 const DEADLINE: Micros = 1_200_000;
-/// Time of the burst.
+/// Period in which calls arrive `Scenario::burst` times as often.
 const BURST: std::ops::Range<Micros> = START + 6 * SECOND..START + 11 * SECOND;
-/// Network round-trip time.
+/// Network round-trip time between balancers and servers.
 const ROUND_TRIP: Micros = 2_000;
 /// Queue length above which a server rejects calls.
 const MAX_QUEUE_CALLS: f64 = 30.0;
 
-/// A fleet and the events on it.
+/// Size, load and changes of a simulated fleet.
 #[derive(Clone, Copy, Debug)]
 struct Scenario {
     balancers: u32,
     servers: u32,
-    /// Servers replaced, per mille, evenly over the duration `within`.
+    /// Servers per mille that are replaced by new ones, one after another over the duration `within`.
     replaced_per_mille: u32,
     within: Micros,
-    /// Balancers restarted in the middle of that, per mille.
+    /// Balancers per mille that restart in the middle of `within`.
     restarted_per_mille: u32,
-    /// Calls per second of a warm server.
+    /// Calls per second that a warm server can serve.
     calls_per_s: f64,
-    /// Calls relative to the capacity of all warm servers, and their multiple during the burst.
+    /// Call rate relative to the capacity of the fleet when warm, and the factor on it during [`BURST`].
     load: f64,
     burst: f64,
     slow_start: (f64, Micros),
-    /// Overload multiple and period.
+    /// Overload multiple, and period over which calls to a server are counted.
     overload: (f64, Micros),
 }
 
@@ -46,7 +46,7 @@
         elapsed: Micros,
     },
     Timer(usize),
-    /// Each balancer receives the list at a time of its own.
+    /// A balancer receives the endpoint list; each at another time.
     ListUpdate {
         balancer: usize,
         entries: Vec<Entry>,
@@ -54,14 +54,14 @@
     Restart(usize),
 }
 
-/// A server runs one call at a time, at the lowest speed that the slow start settings allow.
+/// A simulated server: runs one call at a time, at the lowest speed that the slow start settings allow.
 #[derive(Clone, Copy, Default)]
 struct Server {
     started_at: Micros,
     free_at: Micros,
 }
 
-/// A balancer, and for each call the start of each attempt in flight.
+/// A balancer, and for each of its calls the start time of each attempt; `None` once the attempt has ended.
 type BalancerState = (Balancer, BTreeMap<CallId, Vec<Option<Micros>>>);
 
 struct Fleet {
@@ -73,7 +73,7 @@
     events: BTreeMap<u64, SimEvent>,
     event_count: u64,
     rng_state: u64,
-    /// Times of the calls sent to each warming server.
+    /// Times at which calls were sent to each server that was warming up.
     sent: BTreeMap<ServerId, Vec<Micros>>,
     served: u64,
 }
@@ -148,7 +148,7 @@
         let attempt = attempts.len() as u32;
         attempts.push(Some(self.now));
         let Some(&server) = self.servers.get(&id) else {
-            // The server was removed before this balancer learned of it.
+            // The balancer has not yet learned that the server was removed.
             let end = SimEvent::End {
                 balancer,
                 call,
@@ -202,7 +202,7 @@
                 self.feed(balancer, event);
             }
             SimEvent::End { balancer, call, attempt, outcome, elapsed } => {
-                // A cancelled attempt, or one of a restarted balancer, ends at most once.
+                // Skips attempts that were cancelled, or whose balancer has restarted since.
                 let attempts = self.balancers[balancer].1.get_mut(&call);
                 if attempts.and_then(|all| all.get_mut(attempt as usize)?.take()).is_none() {
                     return;
@@ -279,7 +279,8 @@
                     fleet.schedule(arrives, SimEvent::ListUpdate { balancer, entries: fleet.list() });
                 }
             }
-            // List updates of a change are due after it; the time must not go back to events before it.
+            // A replacement is made at the next event, which may be later than the list updates that it causes:
+            // the time must not go back to them.
             fleet.now = fleet.now.max(at);
             if at > START + 30 * SECOND {
                 break;
@@ -291,8 +292,8 @@
         fleet
     }
 
-    /// Largest number of calls sent to a warming server within a period, relative to the limit, and the total
-    /// sent.
+    /// Largest number of calls sent to one warming server within the period of `Scenario::overload`, relative
+    /// to its limit; and the total number of calls sent to warming servers.
     fn largest_load(&self) -> (f64, usize) {
         let (multiple, time) = self.scenario.overload;
         let mut largest = 0.0_f64;
@@ -383,7 +384,7 @@
     });
 }
 
-/// A few dozen balancers, some restarted, with a burst and slow servers whose first calls are few.
+/// Few balancers, some of which restart, with a burst of calls and servers that can serve few calls at first.
 #[test]
 fn a_burst_with_restarted_balancers_does_not_overload_new_servers() {
     let with_burst = Scenario {
--- a/policy/tests/tree.rs
+++ b/policy/tests/tree.rs
@@ -1,8 +1,8 @@
-//! Limits on the size of the module's source.
+//! Limits on the size of the balancing module's source files, which `deploy/balancer.toml` lists.
 
 use std::path::Path;
 
-/// Files of the module that are not listed in the deploy file.
+/// Files of `policy/src/balance/` that the deploy file does not list.
 const UNLISTED: [&str; 1] = ["restore.rs"];
 
 #[test]
