--- a/adapter/src/error.rs
+++ b/adapter/src/error.rs
@@ -30,7 +30,7 @@
     UnknownProxy {
         /// Verb of the event for the unknown proxy.
         verb: String,
-        /// Id that no current proxy has.
+        /// Id given for the proxy.
         proxy: i64,
     },
     /// An update of the endpoint list has a scope that is not one of the four defined values.
@@ -44,7 +44,7 @@
     UnknownState {
         /// Id of the host that the entry describes.
         host: u32,
-        /// Number that stands for no state.
+        /// Value given as the state of that host.
         state: u32,
     },
     /// An event's verb is not one of the protocol's.
--- a/policy/src/api.rs
+++ b/policy/src/api.rs
@@ -26,7 +26,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ModelId(pub u32);
 
-/// Id of a zone, assigned by the proxy.
+/// Id of a zone (a group of servers near each other), assigned by the proxy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ZoneId(pub u32);
 
@@ -49,7 +49,7 @@
 /// Whether a call of a class may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Idempotency {
-    /// Repeats are safe on all servers.
+    /// Repeats are safe on all servers: the call has the same effect however often it runs.
     Idempotent,
     /// Repeats are safe, thanks to an idempotency key, on the servers of `scope` and within `window` of the
     /// first attempt that may have run.
@@ -91,7 +91,7 @@
     }
 }
 
-/// Quota of a tenant: calls beyond it are rejected at a shorter queue.
+/// Quota of a tenant: calls beyond it are rejected sooner while calls are queued.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Tenant {
     /// Fraction of the balancer's calls to which the tenant is entitled, 0 to 1.
@@ -109,7 +109,7 @@
     pub hedging: bool,
     /// Maximum number of attempts of a call, including the first.
     pub max_attempts: u32,
-    /// Longest Retry-After that is sent to a client; 0 for none.
+    /// Longest Retry-After delay that is sent to a client; at 0 all delays are 0.
     pub max_retry_after: Micros,
 }
 
@@ -118,11 +118,11 @@
 pub struct SafetyLimits {
     /// Least fraction, 0 to 1, of its full capacity that a server has when it starts.
     pub slow_start_ratio: f64,
-    /// Time after which a started server has its full capacity.
+    /// Time from a server's start after which it has its full capacity.
     pub slow_start_window: Micros,
     /// Longest time between two polls of the endpoint list.
     pub max_poll_interval: Micros,
-    /// Multiple of a warming server's present capacity above which the site counts it as overloaded.
+    /// Call rate, as a multiple of its present capacity, above which a warming server counts as overloaded.
     pub overload_multiple: f64,
 }
 
@@ -147,13 +147,13 @@
     pub clock_tick: Micros,
     /// Whether the balancer has to subscribe to the endpoint list; otherwise updates are pushed.
     pub subscribe: bool,
-    /// Classes of calls.
+    /// Classes of calls; a [`ClassId`] is an index in them.
     pub classes: Vec<Class>,
-    /// Tenants; empty if calls are not assigned to tenants.
+    /// Tenants, indexed by [`TenantId`]; empty if calls are not assigned to tenants.
     pub tenants: Vec<Tenant>,
     /// Features that the site allows the balancer to use.
     pub limits: Limits,
-    /// Limits on the load of starting servers and on the age of the endpoint list.
+    /// Slow start of servers, and polling of the endpoint list.
     pub safety: SafetyLimits,
     /// Weights of all calls and of the worst class in the site's score.
     pub score_weights: ScoreWeights,
@@ -257,7 +257,7 @@
     NoConnection,
     /// The connection broke while the attempt was in flight.
     Reset,
-    /// Cancelled by this balancer.
+    /// Cancelled by [`Action::Cancel`].
     Cancelled,
     /// No byte of the attempt was sent.
     NotSent,
@@ -286,7 +286,7 @@
 /// Input of the balancer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Event {
-    /// The proxy has started. Its cached endpoint list, if any, follows.
+    /// The proxy has started. Its cached endpoint list, if any, follows as [`Event::Members`].
     Start,
     /// Update of the endpoint list.
     Members {
--- a/policy/src/balance.rs
+++ b/policy/src/balance.rs
@@ -1,9 +1,9 @@
 //! Balancing decisions. The interface (settings, events, actions) is `src/api.rs`; the design is in
 //! `docs/architecture.md`.
 //!
-//! A call goes to the less loaded of two random servers below their in-flight budget, which is the most calls
-//! that this balancer has in flight at a server, or is queued if there is none. One call beyond the budget, a
-//! trial, raises it if served. Calls are rejected while all servers are ejected.
+//! A server's in-flight budget is the most calls that this balancer has in flight there. A call goes to the
+//! less loaded of two random servers below their budgets. If there is none, it is sent beyond a budget as a
+//! trial, which raises the budget if served, or queued. Calls are rejected while all servers are ejected.
 
 mod balancer;
 mod budget;
--- a/policy/src/balance/calls.rs
+++ b/policy/src/balance/calls.rs
@@ -8,12 +8,13 @@
 }
 
 impl Call {
+    /// Time until which an answer has value: the objective, or the deadline if late answers count.
     pub(super) fn useful_until(&self) -> Micros {
         let useful_for = if self.class.late_ratio > 0.0 { self.class.deadline } else { self.class.objective };
         self.deadline.min(self.arrived_at.saturating_add(useful_for))
     }
 
-    /// Whether idempotency allows the call at `server`, given the earlier attempts that may have run.
+    /// Whether idempotency allows sending the call to `server`, given the attempts that may have run.
     pub(super) fn may_go_to(&self, now: Micros, server: &Server, clock_tick: Micros) -> bool {
         match (self.first_run(), self.class.idempotency) {
             (None, _) | (_, Idempotency::Idempotent) => true,
@@ -78,13 +79,13 @@
         let send_by = call.send_by(self.settings.clock_tick);
         call.attempts.push(Attempt { server, started_at, zone, cell, class_id, sent_at, kind, outcome });
         let attempt_count = call.attempts.len();
-        // An answer after the objective has little value, so the attempt ends then if one is likely before.
+        // The attempt times out when an answer loses its value, unless one is unlikely to come before that.
         let (useful_until, arrived_at) = (call.useful_until(), call.arrived_at);
         let (latest, mean) = (call.deadline, self.mean_latency(class_id, self.calls[&id].class.objective));
         let deadline =
             (useful_until < latest && useful_until as f64 > now as f64 + mean).then_some(useful_until);
         actions.push(Action::Send { call: id, server, deadline, send_by });
-        // A hedge is sent as late as its answer can be in time, but not before 1.5 mean latencies.
+        // A hedge is sent as late as its answer can be in time, but not within 1.5 mean latencies.
         let hedge_at = (useful_until as f64 - SPARE_LATENCY_RATIO * mean).max(arrived_at as f64 + 1.5 * mean);
         // A balancer of a large group cannot tell a stalled server from a long call: hedges only add load.
         let may_hedge = attempt_count == 1 && self.settings.limits.hedging && self.large_group.is_none();
--- a/policy/src/balance/latency.rs
+++ b/policy/src/balance/latency.rs
@@ -9,7 +9,7 @@
     (EVIDENCE_RATIO * max_objective).min(MAX_EVIDENCE_AGE_US)
 }
 
-/// Part, 0 to 1, of its gap to the current latency by which a lowest latency rises since `updated_at`.
+/// Part, 0 to 1, of the gap to the current latency by which a minimum has risen since `updated_at`.
 pub(super) fn drift_ratio(now: Micros, updated_at: Micros) -> f64 {
     (now.saturating_sub(updated_at) as f64 / BASELINE_DRIFT_US).min(1.0)
 }
--- a/policy/src/balance/learn.rs
+++ b/policy/src/balance/learn.rs
@@ -19,7 +19,7 @@
             if reported_ratio.is_finite() { reported_ratio.clamp(0.0, 4.0) } else { 0.0 };
     }
 
-    /// Updates all estimates and budgets from an attempt that has ended; `took` is its duration by the proxy.
+    /// Updates all estimates and budgets after an attempt has ended; `took` is the proxy's measurement.
     pub(super) fn learn(&mut self, now: Micros, attempt: Attempt, took: Micros, actions: &mut Actions) {
         let Attempt { server: id, zone, started_at, class_id, sent_at, kind, outcome, .. } = attempt;
         let Some(outcome) = outcome else { return };
--- a/policy/src/balance/list.rs
+++ b/policy/src/balance/list.rs
@@ -10,14 +10,13 @@
 impl Balancer {
     pub(super) fn start(&mut self, now: Micros) {
         self.credits_updated_at = now;
-        // Balancers may start together, so each delays its first subscription by a random time.
+        // Balancers may start together, so each delays its first subscription by a random time of its own.
         if self.settings.subscribe {
             self.subscribe_at = now + self.random_below(subscribe_spread(&self.settings));
         }
     }
 
-    /// Delay before a new subscription to the endpoint list after one has failed: exponential backoff with
-    /// jitter, short enough for a change of the list to arrive within 6 s.
+    /// Delay after a failed subscription: exponential backoff with jitter, but changes must arrive in 6 s.
     fn subscribe_delay(&mut self, now: Micros) -> Micros {
         let initial = (self.settings.safety.max_poll_interval / 32).max(subscribe_spread(&self.settings));
         let backoff = initial << self.subscribe_failures.min(MAX_SUBSCRIBE_DOUBLINGS);
--- a/policy/src/balance/pick.rs
+++ b/policy/src/balance/pick.rs
@@ -1,6 +1,6 @@
 //! Server selection in five steps, each of which narrows the candidates of the step before.
 //!
-//! 1. Eligible: listed, neither ejected nor paused, in no zone that backs off, and safe for a retried call.
+//! 1. Eligible: listed, not ejected or paused, in no zone that backs off, and allowed by idempotency.
 //! 2. Slow start: a warming server with a send credit and no call in flight is preferred to all others.
 //! 3. Subset: the next servers, by id, from this balancer's position, as many as its traffic needs.
 //! 4. In time: servers that can answer in time, and among them those of the local zone while they are fast.
--- a/policy/src/balance/queue.rs
+++ b/policy/src/balance/queue.rs
@@ -1,13 +1,13 @@
-//! Queue of calls: admission, order and time limits.
+//! Queue of calls that no server has room for: admission, order and time limits.
 
 use super::{balancer::*, latency::evidence_lifetime};
 
 impl Balancer {
-    /// Queues a new call, or rejects it if it would wait too long.
+    /// Queues a new call; rejects it if it has too little time left or the queue's wait is too long.
     pub(super) fn admit(&mut self, now: Micros, id: CallId, tenant: Option<TenantId>, actions: &mut Actions) {
         let over_share = tenant.is_some_and(|tenant| self.over_share(tenant));
         let head_wait = self.queue.front().map_or(0, |head| now.saturating_sub(self.calls[head].arrived_at));
-        // A call with less time left than a recent mean latency would only add load.
+        // A call with less time left than its class's recent mean latency would only add load.
         let call = &self.calls[&id];
         let max_age = evidence_lifetime(self.max_objective());
         let is_recent =
@@ -37,7 +37,8 @@
         limit.min(useful_for - mean).max(0.0) as Micros
     }
 
-    /// Whether a call may queue longer: its class's value per work exceeds the mean by a factor of the score.
+    /// Whether the call is protected and may queue longer: its class has so much priority weight per unit of
+    /// work, relative to all calls, that the site's score gains by it.
     fn is_protected(&self, call: &Call) -> bool {
         let pairs = self.latencies.iter().zip(&self.settings.classes);
         let (total_weight, total_work) = pairs.fold((0.0, 0.0), |(weight, work), (c, spec)| {
--- a/policy/src/balance/restore.rs
+++ b/policy/src/balance/restore.rs
@@ -5,7 +5,7 @@
 use crate::bounds::{MAX_DURATION_US, MAX_TIMESTAMP_US};
 use std::collections::BTreeSet;
 
-/// Bound of counters that a running balancer increments one by one.
+/// Upper bound of counters, which a running balancer increments one by one and never brings so far.
 const MAX_COUNT: u32 = 1 << 30;
 
 /// Reason for which a serialized state is rejected: it is damaged, or belongs to other settings.
--- a/policy/src/balance/server.rs
+++ b/policy/src/balance/server.rs
@@ -35,7 +35,7 @@
     pub(super) failure_ratio: f64,
     /// Time until which the server is paused after a rejection.
     pub(super) not_before: Micros,
-    /// Value of `Balancer::served_count` until which the server is paused after a rejection or ejection.
+    /// In a large group: `Balancer::served_count` until which a rejection or ejection pauses the server.
     pub(super) resume_at_count: u64,
     /// Calls that a warming server may be sent; `earn_send_credits` adds to it, each call sent takes one.
     pub(super) send_credits: f64,
--- a/policy/tests/invariants.rs
+++ b/policy/tests/invariants.rs
@@ -178,8 +178,8 @@
 
 // Warming servers are not overloaded.
 
-/// Runs 600 calls in six seconds at servers of which one has just started, or restarted, and ends its attempts
-/// with `outcome`; returns the number of these attempts.
+/// Runs 600 calls in six seconds at servers of which one has just started, or restarted, and ends its
+/// attempts with `outcome`; returns the number of these attempts.
 fn attempts_at_warming_server(outcome: Outcome, restart: bool) -> usize {
     let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 3);
     for _ in 0..200 {
--- a/policy/tests/slow_start.rs
+++ b/policy/tests/slow_start.rs
@@ -279,8 +279,8 @@
                     fleet.schedule(arrives, SimEvent::ListUpdate { balancer, entries: fleet.list() });
                 }
             }
-            // A replacement is made at the next event, which may be later than the list updates that it causes:
-            // the time must not go back to them.
+            // A replacement is made at the next event, which may be later than its list updates: the time
+            // must not go back to them.
             fleet.now = fleet.now.max(at);
             if at > START + 30 * SECOND {
                 break;
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -119,7 +119,7 @@
 ///
 /// # Errors
 ///
-/// If a required key (the number of balancers, the classes, the limits or the invariants) is missing, or a
+/// If a required key is missing (`balancers`, `classes`, `limits`, `invariants`, or one within them), or a
 /// value has the wrong type.
 pub fn parse(json: &Value) -> Result<(Settings, Vec<String>, Vec<String>), SettingsError> {
     let site = SiteSettings::deserialize(json)?;
