--- a/adapter/src/error.rs
+++ b/adapter/src/error.rs
@@ -22,7 +22,7 @@
         /// Key of the field in the JSON object.
         field: &'static str,
     },
-    /// The settings of a proxy are invalid.
+    /// The key `facts` of a CREATE event holds invalid settings.
     #[error("invalid facts: {0}")]
     InvalidSettings(#[from] flaxhead_settings::SettingsError),
     /// An event is for a proxy that no CREATE event made, or that was detached.
@@ -30,7 +30,7 @@
     UnknownProxy {
         /// Verb of the event for the unknown proxy.
         verb: String,
-        /// Id given for the proxy.
+        /// Value of the event's key `proxy`.
         proxy: i64,
     },
     /// An update of the endpoint list has a scope that is not one of the four defined values.
@@ -47,7 +47,7 @@
         /// Value given as the state of that host.
         state: u32,
     },
-    /// An event's verb is not one of the protocol's.
+    /// An event has a verb, given as received, that the adapter does not handle.
     #[error("unknown verb {0}")]
     UnknownVerb(String),
 }
--- a/policy/src/api.rs
+++ b/policy/src/api.rs
@@ -242,7 +242,7 @@
     Failed,
 }
 
-/// Result of an attempt.
+/// Result of an attempt or of a health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Outcome {
     /// Answered successfully.
@@ -325,7 +325,7 @@
     },
     /// The response of an attempt has begun; the call can no longer be retried.
     Streaming {
-        /// Call to which the response belongs.
+        /// Call that can no longer be retried.
         call: CallId,
         /// Number, within the call and from 0, of the attempt that is answered.
         attempt: u32,
@@ -365,7 +365,7 @@
     },
     /// Reject the call; the client may safely retry it.
     Reject {
-        /// Call to reject.
+        /// Call that has not run, or that may safely be repeated.
         call: CallId,
         /// Delay, to be sent as Retry-After, after which the client may retry.
         retry_after: Micros,
--- a/policy/src/balance/constants.rs
+++ b/policy/src/balance/constants.rs
@@ -77,5 +77,5 @@
 pub(super) const LARGE_GROUP_LOCAL_RATIO: f64 = 0.35;
 /// In a small group: latency up to which a local server is preferred, as a part of the latency limit.
 pub(super) const LOCAL_RATIO: f64 = 0.4;
-/// Cost, relative to the first of two servers with equally many calls, below which the second is picked.
+/// Ratio of a second server's cost to a first's below which, at equal calls in flight, it is picked.
 pub(super) const TIE_RATIO: f64 = 0.93;
--- a/policy/src/balance/queue.rs
+++ b/policy/src/balance/queue.rs
@@ -64,7 +64,7 @@
     pub(super) fn enqueue(&mut self, now: Micros, id: CallId, retried: bool) {
         let Some(call) = self.calls.get_mut(&id) else { return };
         call.queued = true;
-        // Ends the call when an answer of mean latency would be late, or a tick before the client's deadline.
+        // Ends the call once an answer of mean latency would be useless, or a clock tick before the deadline.
         let (class_id, objective, last_moment) =
             (call.class_id, call.class.objective, call.deadline.saturating_sub(self.settings.clock_tick));
         let due_at =
@@ -77,7 +77,7 @@
         let scanned = if self.ejected_count > 0 && !self.queue.is_empty() { self.servers.len() } else { 0 };
         for server_index in 0..scanned {
             if self.servers[server_index].may_recover(now, self.served_count, &self.settings.safety) {
-                // Only a call not sent before is used: a retry may be restricted to other servers.
+                // Tries the ejected server with a call not sent before: a retry may not be allowed there.
                 let mut queued = self.queue.iter().take(MAX_SCAN_COUNT);
                 if let Some(index) = queued.position(|id| self.calls[id].attempts.is_empty()) {
                     let id = self.queue[index];
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -160,7 +160,7 @@
             probes: limits.probes,
             hedging: limits.second_copies,
             max_attempts: limits.max_attempts,
-            // Also used if the site's clients ignore Retry-After: every rejection has to carry one.
+            // Applies whether or not the site's clients heed Retry-After: every rejection has to carry it.
             max_retry_after: limits.max_retry_after_us,
         },
         safety: SafetyLimits {
