--- a/policy/src/api.rs
+++ b/policy/src/api.rs
@@ -1,82 +1,85 @@
-//! The interface of the decision module: settings, events, actions. Times are whole microseconds.
+//! Interface of the balancer: settings, events and actions. Each proxy runs one balancer. Times are in whole
+//! microseconds.
 
 use serde::{Deserialize, Serialize};
 
-/// A moment or a span, in microseconds.
+/// Timestamp or duration in microseconds.
 pub type Micros = u64;
 
-/// A call (one try of a client), as the proxy numbers it; no number returns.
+/// Id of a call, which is one request of a client; assigned by the proxy and never reused.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CallId(pub u64);
 
-/// A server (a process's place); it keeps its number when the process restarts.
+/// Id of a server; unchanged when its process restarts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ServerId(pub u32);
 
-/// Place of a class in [`Settings::classes`].
+/// Index of a class in [`Settings::classes`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ClassId(pub usize);
 
-/// Place of a tenant in [`Settings::tenants`].
+/// Index of a tenant in [`Settings::tenants`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TenantId(pub usize);
 
-/// A model of server: those of one are about as fast.
+/// Id of a server model; servers of one model are about equally fast.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ModelId(pub u32);
 
-/// A zone, numbered by the proxy.
+/// Id of a zone (a group of servers near each other), assigned by the proxy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ZoneId(pub u32);
 
-/// A cell of servers that drop each other's repeats.
+/// Id of a cell: a group of servers that deduplicate calls with an idempotency key among themselves.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CellId(pub u32);
 
-/// Which servers drop repeats of a guarded call.
+/// Set of servers, relative to the server of the first attempt, that deduplicate a call with an idempotency
+/// key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DedupScope {
-    /// All of them.
+    /// All servers.
     All,
-    /// Those of one zone.
+    /// Servers in the zone of the first attempt's server.
     Zone,
-    /// Those of one cell.
+    /// Servers in the cell of the first attempt's server.
     Cell,
 }
 
-/// Whether a call of a class may run again.
+/// Whether a call of a class may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Idempotency {
-    /// Harmless.
+    /// Repeats are safe on all servers: the call has the same effect however often it runs.
     Idempotent,
-    /// Harmless on the servers of `scope`, within `window` of the first attempt that may have run.
+    /// Repeats are safe, thanks to an idempotency key, on the servers of `scope` and within `window` of the
+    /// first attempt that may have run.
     Keyed {
-        /// Who drops repeats.
+        /// Servers that deduplicate the call.
         scope: DedupScope,
-        /// For how long.
+        /// Duration, from that attempt, for which these servers remember the key.
         window: Micros,
     },
-    /// Never.
+    /// Repeats are unsafe: a call is sent again only if no earlier attempt has run.
     NonIdempotent,
 }
 
-/// What is asked of a class of calls.
+/// Latency objective, weight and idempotency of a class of calls.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Class {
-    /// An answer within this time earns the full worth.
+    /// Latency objective: an answer within this time earns the full priority weight.
     pub objective: Micros,
-    /// How long a client waits in all.
+    /// Longest time that a client waits for an answer.
     pub deadline: Micros,
-    /// Worth of an answer in time.
+    /// Value of an answer within the objective, relative to other classes.
     pub priority_weight: f64,
-    /// Share of the worth for an answer between aim and deadline.
+    /// Fraction of the priority weight that an answer between objective and deadline earns, 0 to 1.
     pub late_ratio: f64,
-    /// Whether it may run again.
+    /// Whether calls of the class may run more than once.
     pub idempotency: Idempotency,
 }
 
 impl Default for Class {
-    /// Never repeated, without a time or a worth.
+    /// Non-idempotent, with no objective and no priority weight.
     fn default() -> Self {
         Class {
             objective: 0,
@@ -88,77 +91,78 @@
     }
 }
 
-/// A tenant's part of the service.
+/// Quota of a tenant: calls beyond it are rejected sooner while calls are queued.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Tenant {
-    /// Share of the service, 0 to 1.
+    /// Fraction of the balancer's calls to which the tenant is entitled, 0 to 1.
     pub share: f64,
 }
 
-/// What the site allows.
+/// Features that the site allows the balancer to use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Limits {
-    /// Attempts may be called off.
+    /// Attempts in flight may be cancelled.
     pub cancel: bool,
-    /// Servers may be probed.
+    /// Servers may be sent health checks.
     pub probes: bool,
-    /// A call may have two attempts out at once.
+    /// A call may have a hedged request: a second attempt while the first is in flight.
     pub hedging: bool,
-    /// Most attempts for a call.
+    /// Maximum number of attempts of a call, including the first.
     pub max_attempts: u32,
-    /// Longest advice that a client heeds; 0: it is given none.
+    /// Longest Retry-After delay that is sent to a client; at 0 all delays are 0.
     pub max_retry_after: Micros,
 }
 
-/// Figures of the rules that must hold.
+/// Limits on the load of starting servers and on the age of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SafetyLimits {
-    /// A server starts at this share of its capacity or more.
+    /// Least fraction, 0 to 1, of its full capacity that a server has when it starts.
     pub slow_start_ratio: f64,
-    /// And is warm after this at the latest.
+    /// Time from a server's start after which it has its full capacity.
     pub slow_start_window: Micros,
-    /// Longest that a proxy may go without asking for the list.
+    /// Longest time between two polls of the endpoint list.
     pub max_poll_interval: Micros,
-    /// A cold server falls over that is sent more than this many times what it can do.
+    /// Call rate, as a multiple of its present capacity, above which a warming server counts as overloaded.
     pub overload_multiple: f64,
 }
 
-/// Weights of the parts of the goal.
+/// Weights with which a site combines the service of all calls and of its worst class into one score. They
+/// decide how much longer calls of valuable classes may queue.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ScoreWeights {
-    /// All calls together.
+    /// Weight of the service of all calls.
     pub overall: f64,
-    /// The worst-served class.
+    /// Weight of the service of the worst-served class.
     pub worst_class: f64,
 }
 
-/// What a balancer is told at start, for good.
+/// Settings of a balancer, fixed at its creation.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Settings {
-    /// How many balancers send to these servers, this one included.
+    /// Number of balancers that send to the same servers, including this one.
     pub balancer_count: u32,
-    /// This balancer's number among them, from 0.
+    /// Index of this balancer among the `balancer_count`, from 0; selects the servers that it uses.
     pub balancer_index: u32,
-    /// Smallest step of the proxy's clock.
+    /// Resolution of the proxy's clock.
     pub clock_tick: Micros,
-    /// Whether news of the server list must be asked for.
+    /// Whether the balancer has to subscribe to the endpoint list; otherwise updates are pushed.
     pub subscribe: bool,
-    /// Classes of calls.
+    /// Classes of calls; a [`ClassId`] is an index in them.
     pub classes: Vec<Class>,
-    /// Tenants, if there are any.
+    /// Tenants, indexed by [`TenantId`]; empty if calls are not assigned to tenants.
     pub tenants: Vec<Tenant>,
-    /// What the site allows.
+    /// Features that the site allows the balancer to use.
     pub limits: Limits,
-    /// Figures of the rules.
+    /// Slow start of servers, and polling of the endpoint list.
     pub safety: SafetyLimits,
-    /// Weights of the goal.
+    /// Weights of all calls and of the worst class in the site's score.
     pub score_weights: ScoreWeights,
-    /// This balancer's own zone, where calls that leave theirs have a price.
+    /// Zone of this balancer, if calls to other zones have a cost; otherwise `None`.
     pub local_zone: Option<ZoneId>,
 }
 
 impl Default for Settings {
-    /// One balancer, a pushed list, one class of calls that are wanted in half a second and never repeated.
+    /// One balancer with a pushed endpoint list and one non-idempotent class with an objective of 500 ms.
     fn default() -> Self {
         let idempotency = Idempotency::NonIdempotent;
         Settings {
@@ -193,205 +197,206 @@
     }
 }
 
-/// What the list says of a server.
+/// State of a server in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum State {
-    /// It takes calls.
+    /// Accepts calls.
     #[default]
     Ready,
-    /// It finishes its work and takes no more.
+    /// Finishes its calls and accepts no more.
     Draining,
-    /// It has been removed.
+    /// Removed from the fleet.
     Removed,
 }
 
-/// An entry of the server list.
+/// Entry of the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Which server.
+    /// Server that the entry describes.
     pub server: ServerId,
-    /// What it does.
+    /// Whether the server accepts calls.
     pub state: State,
-    /// Its zone.
+    /// Zone in which the server runs.
     pub zone: ZoneId,
-    /// Its model.
+    /// Hardware model of the server.
     pub model: ModelId,
-    /// Its cell.
+    /// Cell in which the server deduplicates calls.
     pub cell: CellId,
-    /// When it last started; 0: long ago.
+    /// Start time of the server's process; 0 if it started long ago.
     pub started_at: Micros,
-    /// Its size beside the others', without a unit; what is not above 0 or not finite counts as 1.
+    /// Capacity of the server relative to others, without a unit; a value that is not finite and positive
+    /// counts as 1.
     pub weight: f64,
 }
 
-/// How much of the list a piece of news holds.
+/// Kind of an update of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ListKind {
-    /// Changed entries only.
+    /// Only entries that have changed.
     Delta,
     /// The whole list.
     Full,
-    /// The whole list as the proxy last had it, maybe old.
+    /// The whole list as cached by the proxy, possibly outdated.
     Cached,
-    /// None: asking failed or the subscription broke.
+    /// No entries: the subscription failed or broke.
     Failed,
 }
 
-/// How an attempt ended.
+/// Result of an attempt or of a health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Outcome {
-    /// Served.
+    /// Answered successfully.
     Served,
-    /// The server answered with an error.
+    /// Answered with an error.
     Error,
-    /// Turned away unseen: full or draining.
+    /// Rejected by the server without being run: it is full or draining.
     Rejected,
-    /// No answer in time.
+    /// Not answered before its deadline.
     TimedOut,
-    /// No connection could be made.
+    /// The connection could not be established.
     NoConnection,
-    /// The connection broke while the attempt was out.
+    /// The connection broke while the attempt was in flight.
     Reset,
-    /// Called off by this balancer.
+    /// Cancelled by [`Action::Cancel`].
     Cancelled,
-    /// Never sent.
+    /// No byte of the attempt was sent.
     NotSent,
-    /// Anything else; it may have run.
+    /// Any other result; the attempt may have run.
     Unknown,
 }
 
 impl Outcome {
-    /// Whether this proves that the attempt never ran.
+    /// Whether the outcome proves that the attempt did not run.
     pub fn never_ran(self) -> bool {
         matches!(self, Outcome::Rejected | Outcome::NoConnection | Outcome::NotSent)
     }
 }
 
-/// A server's word on its load; what it does not report is absent.
+/// Load report of a server; values that it does not report are `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Requests in hand.
+    /// Requests that the server is processing or has queued.
     pub active_requests: Option<f64>,
-    /// Requests waiting.
+    /// Those of `active_requests` that are queued.
     pub queued_requests: Option<f64>,
-    /// Share of its cores that is busy.
+    /// Fraction of the server's CPU time that is used, 0 to 1.
     pub cpu_utilization: Option<f64>,
 }
 
-/// What the proxy tells the balancer.
+/// Input of the balancer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Event {
-    /// The proxy comes up. Its saved list, if any, comes next.
+    /// The proxy has started. Its cached endpoint list, if any, follows as [`Event::Members`].
     Start,
-    /// News of the server list.
+    /// Update of the endpoint list.
     Members {
-        /// How much of it.
+        /// Whether the update holds changes, the whole list, or nothing.
         kind: ListKind,
-        /// The entries.
+        /// Entries of the list; empty for [`ListKind::Failed`].
         entries: Vec<Entry>,
     },
-    /// A call has come in.
+    /// A call has arrived.
     Request {
-        /// Which.
+        /// New id for the call.
         call: CallId,
-        /// Its class.
+        /// Class of the call; one that the settings do not contain counts as non-idempotent.
         class: ClassId,
-        /// Whose it is.
+        /// Tenant that sent the call; `None` if it is not assigned to one.
         tenant: Option<TenantId>,
-        /// How long the client still waits.
+        /// Time until the client's deadline.
         time_left: Micros,
-        /// The client says that it has tried before.
+        /// Whether the client has sent this request before.
         resent: bool,
     },
-    /// An attempt is over.
+    /// An attempt has ended.
     Outcome {
-        /// Of which call.
+        /// Call to which the attempt belongs.
         call: CallId,
-        /// Which attempt, from 0.
+        /// Number of the attempt within the call, from 0.
         attempt: u32,
-        /// How it ended.
+        /// Result of the attempt.
         outcome: Outcome,
-        /// How long it took.
+        /// Time from sending the attempt to its end.
         elapsed: Micros,
-        /// Nothing more is owed for the call.
+        /// Whether the call has ended with this attempt: the client needs no further answer.
         complete: bool,
-        /// The server's report.
+        /// Load report that came with the answer.
         load: LoadReport,
     },
-    /// The answer of an attempt has begun to flow; the call is bound to it.
+    /// The response of an attempt has begun; the call can no longer be retried.
     Streaming {
-        /// Which call.
+        /// Call that can no longer be retried.
         call: CallId,
-        /// Which attempt.
+        /// Number, within the call and from 0, of the attempt that is answered.
         attempt: u32,
     },
-    /// A probe was answered.
+    /// A health check has ended.
     Probed {
-        /// By which server.
+        /// Server that was checked.
         server: ServerId,
-        /// How it ended.
+        /// Result of the health check.
         outcome: Outcome,
-        /// The server's report.
+        /// Load report that came with the answer.
         load: LoadReport,
     },
-    /// Nobody waits for this call any more.
+    /// The client has cancelled the call.
     ClientCancelled {
-        /// Which.
+        /// Call that was cancelled.
         call: CallId,
     },
-    /// A time asked for by [`Action::Wake`] has come.
+    /// The time requested by [`Action::Wake`] has passed.
     Timer,
 }
 
-/// What the balancer tells the proxy to do.
+/// Instruction to the proxy.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Action {
-    /// Pass the call to a server; the first pass is attempt 0, the next 1, and so on.
+    /// Send an attempt of a call; attempts of a call are numbered from 0.
     Send {
-        /// Which call.
+        /// Call of which an attempt is sent.
         call: CallId,
-        /// To which server.
+        /// Server to send the attempt to.
         server: ServerId,
-        /// When the attempt times out (a moment); `None`: with the client's patience.
+        /// Time at which the attempt times out; `None` for the deadline of the client.
         deadline: Option<Micros>,
-        /// The moment from which on none of it may be written any more, where none is by then: the window in which the
-        /// call may go again is over. Such an attempt was never sent. `None`: it may be written for as long as it is out.
+        /// Time by which the first byte must be written, because the deduplication window ends; an attempt
+        /// that misses it counts as [`Outcome::NotSent`]. `None` for no limit.
         send_by: Option<Micros>,
     },
-    /// End the call unserved; it may safely come again.
+    /// Reject the call; the client may safely retry it.
     Reject {
-        /// Which call.
+        /// Call that has not run, or that may safely be repeated.
         call: CallId,
-        /// Advice when.
+        /// Delay, to be sent as Retry-After, after which the client may retry.
         retry_after: Micros,
     },
-    /// End the call with an error that promises nothing.
+    /// Fail the call with an error; an attempt may have run.
     Fail {
-        /// Which call.
+        /// Call to fail.
         call: CallId,
     },
-    /// Call off an attempt.
+    /// Cancel an attempt.
     Cancel {
-        /// Of which call.
+        /// Call to which the attempt belongs.
         call: CallId,
-        /// Which attempt.
+        /// Number, within the call and from 0, of the attempt to cancel.
         attempt: u32,
     },
-    /// Send a health check.
+    /// Send a health check; [`Event::Probed`] reports its result.
     Probe {
-        /// To which server.
+        /// Server to check.
         server: ServerId,
     },
-    /// Send [`Event::Timer`] after this time.
+    /// Send [`Event::Timer`] after a delay.
     Wake {
-        /// How long from now.
+        /// Time from now until the event is due.
         after: Micros,
     },
-    /// Subscribe to the server list.
+    /// Subscribe to the endpoint list; updates arrive as [`Event::Members`].
     Subscribe,
-    /// A line for whoever is on call.
+    /// Write a log line.
     Log {
-        /// The line.
+        /// Text of the line, without a line break.
         text: String,
     },
 }
