--- a/discovery/src/error.rs
+++ b/discovery/src/error.rs
@@ -12,10 +12,10 @@
     Connect(#[from] io::Error),
     /// There was no connection, or no response, in time.
     #[error("no answer within {0:?}; discovery is down or cut off, and the list in hand goes on")]
-    Unanswered(Duration),
+    ResponseTimeout(Duration),
     /// The connection broke, or what came is not HTTP.
     #[error("the watch broke: {0}; it is opened again")]
-    Broken(#[from] hyper::Error),
+    Connection(#[from] hyper::Error),
     /// The address cannot be named in a request.
     #[error("the request cannot be made: {0}; check the configuration's discovery")]
     Request(#[from] hyper::http::Error),
@@ -24,7 +24,7 @@
     Status(StatusCode),
     /// Nothing came on the watch for this time.
     #[error("the watch fell silent for {0:?}; it is opened again")]
-    Silent(Duration),
+    IdleTimeout(Duration),
     /// The other side ended the watch.
     #[error("the watch ended; it is opened again")]
     Ended,
@@ -41,11 +41,11 @@
     TooLong(usize),
     /// Something stands where an object should begin.
     #[error("byte {0:#04x} stands where an object should begin")]
-    NoObject(u8),
+    UnexpectedByte(u8),
     /// A line ends within a string, or an empty one comes within an object: a piece is missing.
     #[error("it breaks off")]
-    Torn,
+    Truncated,
     /// It is not JSON, or not a list.
     #[error("{0}")]
-    Unreadable(#[from] serde_json::Error),
+    Invalid(#[from] serde_json::Error),
 }
--- a/discovery/src/json_stream.rs
+++ b/discovery/src/json_stream.rs
@@ -49,20 +49,20 @@
     fn ends_with(&mut self, byte: u8) -> Result<bool, ListError> {
         if let Some(escaped) = self.string {
             self.string = match byte {
-                b'\n' => return Err(ListError::Torn),
+                b'\n' => return Err(ListError::Truncated),
                 b'"' if !escaped => None,
                 _ => Some(byte == b'\\' && !escaped),
             };
             return Ok(false);
         }
         if self.depth == 0 && byte != b'{' {
-            return Err(ListError::NoObject(byte));
+            return Err(ListError::UnexpectedByte(byte));
         }
         let blank = self.blank;
         self.blank = byte == b'\n' || blank && byte.is_ascii_whitespace();
         match byte {
             // Indented JSON has no empty lines: one is a keep-alive, and the rest of the object got lost.
-            b'\n' if blank => return Err(ListError::Torn),
+            b'\n' if blank => return Err(ListError::Truncated),
             b'"' => self.string = Some(false),
             b'{' | b'[' => self.depth += 1,
             b'}' | b']' => self.depth -= 1,
--- a/discovery/src/lib.rs
+++ b/discovery/src/lib.rs
@@ -8,7 +8,7 @@
 mod error;
 mod json_stream;
 mod poll_backoff;
-mod polls;
+mod poll_set;
 mod watch;
 
 pub use error::{ListError, WatchError};
@@ -19,7 +19,7 @@
 
 /// Who serves the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum ListOwner {
+enum Deployment {
     /// One server for all proxies.
     Shared,
     /// An agent on this proxy's own machine.
@@ -30,7 +30,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Discovery {
     address: SocketAddr,
-    owner: ListOwner,
+    deployment: Deployment,
     seed: u64,
 }
 
@@ -38,20 +38,20 @@
     /// Discovery that all proxies share: a watch that breaks ends, and the caller says when the next one begins. The seed,
     /// one for each proxy, keeps those whose watches fall silent together from polling together.
     pub fn shared(address: SocketAddr, seed: u64) -> Discovery {
-        Discovery { address, owner: ListOwner::Shared, seed }
+        Discovery { address, deployment: Deployment::Shared, seed }
     }
 
     /// An agent on the proxy's own machine, to which lists are pushed: it responds at no cost, and a watch goes on until it
     /// is dropped, however often its connection breaks.
     pub fn local_agent(address: SocketAddr, seed: u64) -> Discovery {
-        Discovery { address, owner: ListOwner::LocalAgent, seed }
+        Discovery { address, deployment: Deployment::LocalAgent, seed }
     }
 }
 
 impl ListSource for Discovery {
     fn watch(&self, since: Option<u64>, mut handler: ListHandler) -> WatchFuture {
-        let Discovery { address, owner, seed } = *self;
-        let backoff = PollBackoff::new(owner, seed);
+        let Discovery { address, deployment, seed } = *self;
+        let backoff = PollBackoff::new(deployment, seed);
         Box::pin(async move { watch::watch(address, backoff, since, &mut handler).await.into() })
     }
 }
--- a/discovery/src/poll_backoff/tests.rs
+++ b/discovery/src/poll_backoff/tests.rs
@@ -4,8 +4,8 @@
 
 #[test]
 fn an_agent_is_polled_again_soon_for_good_and_shared_discovery_once_after_silence() {
-    let silent = WatchError::Silent(MIN_SILENCE);
-    let mut agent = PollBackoff::new(ListOwner::LocalAgent, 7);
+    let silent = WatchError::IdleTimeout(MIN_IDLE_TIMEOUT);
+    let mut agent = PollBackoff::new(Deployment::LocalAgent, 7);
     for failure in 0..1_000 {
         let delay = agent.next_delay(if failure % 3 == 0 { &silent } else { &WatchError::Ended });
         assert!(delay.is_some_and(|delay| delay <= Duration::from_millis(200)), "{delay:?}");
@@ -13,12 +13,12 @@
     assert_eq!(agent.response_timeout(), Duration::from_secs(2));
     agent.record_success();
     assert_eq!(agent.response_timeout(), AGENT_RESPONSE_TIMEOUT);
-    let mut shared = PollBackoff::new(ListOwner::Shared, 7);
+    let mut shared = PollBackoff::new(Deployment::Shared, 7);
     for _ in 0..2 {
         assert_eq!(shared.next_delay(&silent), Some(Duration::ZERO));
         assert_eq!(shared.next_delay(&silent), None);
         shared.record_success();
     }
     assert_eq!(shared.next_delay(&WatchError::Ended), None);
-    assert_eq!(shared.next_delay(&WatchError::Unanswered(RESPONSE_TIMEOUT)), Some(Duration::ZERO));
+    assert_eq!(shared.next_delay(&WatchError::ResponseTimeout(RESPONSE_TIMEOUT)), Some(Duration::ZERO));
 }
--- a/discovery/src/polls.rs
+++ b/discovery/src/poll_set.rs
@@ -1,4 +1,4 @@
-//! Polls of discovery that wait for their response. One that is slow may still be answered, and one that was lost never
+//! PollSet of discovery that wait for their response. One that is slow may still be answered, and one that was lost never
 //! will be: the next goes out beside those that wait, and the first response counts.
 
 use crate::error::WatchError;
@@ -21,34 +21,34 @@
 const MAX_PENDING: usize = 3;
 
 /// A poll that was answered.
-pub(crate) struct PollResult {
+pub(crate) struct PollResponse {
     /// The response's body, on which lists come.
     pub(crate) body: Incoming,
     /// Its connection, which is open for as long as this is kept.
     pub(crate) _connection: Task,
 }
 
-type PendingPoll = Pin<Box<dyn Future<Output = Result<PollResult, WatchError>>>>;
+type PendingPoll = Pin<Box<dyn Future<Output = Result<PollResponse, WatchError>>>>;
 
 /// The polls of one watch.
-pub(crate) struct Polls {
+pub(crate) struct PollSet {
     discovery: SocketAddr,
     pending: VecDeque<PendingPoll>,
 }
 
-impl Polls {
+impl PollSet {
     /// None so far.
-    pub(crate) fn new(discovery: SocketAddr) -> Polls {
-        Polls { discovery, pending: VecDeque::new() }
+    pub(crate) fn new(discovery: SocketAddr) -> PollSet {
+        PollSet { discovery, pending: VecDeque::new() }
     }
 
-    /// Polls once more, beside those that wait, and waits at most so long for a response to any. After one, good or bad,
+    /// PollSet once more, beside those that wait, and waits at most so long for a response to any. After one, good or bad,
     /// none waits any more.
     pub(crate) async fn poll(
         &mut self,
         since: Option<u64>,
         response_timeout: Duration,
-    ) -> Result<PollResult, WatchError> {
+    ) -> Result<PollResponse, WatchError> {
         if self.pending.len() == MAX_PENDING {
             self.pending.pop_front();
         }
@@ -58,13 +58,13 @@
             results.find(Poll::is_ready).unwrap_or(Poll::Pending)
         });
         let first = timeout(response_timeout, first).await;
-        let first = first.map_err(|_| WatchError::Unanswered(response_timeout))?;
+        let first = first.map_err(|_| WatchError::ResponseTimeout(response_timeout))?;
         self.pending.clear();
         first
     }
 }
 
-async fn request_list(discovery: SocketAddr, since: Option<u64>) -> Result<PollResult, WatchError> {
+async fn request_list(discovery: SocketAddr, since: Option<u64>) -> Result<PollResponse, WatchError> {
     let stream = TcpStream::connect(discovery).await?;
     stream.set_nodelay(true)?;
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
@@ -75,7 +75,7 @@
         .body(Empty::<Bytes>::new())?;
     let response: Response<Incoming> = sender.send_request(request).await?;
     match response.status() {
-        StatusCode::OK => Ok(PollResult { body: response.into_body(), _connection: connection }),
+        StatusCode::OK => Ok(PollResponse { body: response.into_body(), _connection: connection }),
         status => Err(WatchError::Status(status)),
     }
 }
--- a/discovery/src/watch.rs
+++ b/discovery/src/watch.rs
@@ -3,7 +3,7 @@
 use crate::error::WatchError;
 use crate::json_stream::JsonStream;
 use crate::poll_backoff::PollBackoff;
-use crate::polls::{PollResult, Polls};
+use crate::poll_set::{PollResponse, PollSet};
 use flaxhead_engine::EndpointList;
 use http_body_util::BodyExt;
 use std::convert::Infallible;
@@ -18,7 +18,7 @@
     mut since: Option<u64>,
     handler: &mut dyn FnMut(EndpointList),
 ) -> WatchError {
-    let mut polls = Polls::new(discovery);
+    let mut polls = PollSet::new(discovery);
     loop {
         let Err(error) = follow(&mut polls, &mut backoff, &mut since, handler).await;
         let Some(delay) = backoff.next_delay(&error) else { return error };
@@ -31,18 +31,18 @@
 
 /// Watches on the connection that is answered first; `since` follows the lists that came.
 async fn follow(
-    polls: &mut Polls,
+    polls: &mut PollSet,
     backoff: &mut PollBackoff,
     since: &mut Option<u64>,
     handler: &mut dyn FnMut(EndpointList),
 ) -> Result<Infallible, WatchError> {
     let response_timeout = backoff.response_timeout();
-    let silence_timeout = backoff.silence_timeout();
-    let PollResult { mut body, _connection } = polls.poll(*since, response_timeout).await?;
+    let idle_timeout = backoff.idle_timeout();
+    let PollResponse { mut body, _connection } = polls.poll(*since, response_timeout).await?;
     let mut stream = JsonStream::default();
     loop {
-        let frame = timeout(silence_timeout, body.frame()).await;
-        let frame = frame.map_err(|_| WatchError::Silent(silence_timeout))?;
+        let frame = timeout(idle_timeout, body.frame()).await;
+        let frame = frame.map_err(|_| WatchError::IdleTimeout(idle_timeout))?;
         let Ok(data) = frame.ok_or(WatchError::Ended)??.into_data() else { continue };
         stream.feed(&data, |list| {
             *since = Some(list.seq);
--- a/engine/src/call.rs
+++ b/engine/src/call.rs
@@ -48,7 +48,7 @@
     /// Attempts of which at least one byte may have been sent.
     pub attempts: u32,
     /// Whether one of them may have run, or may still run.
-    pub may_run: bool,
+    pub may_have_run: bool,
 }
 
 /// A call's end.
@@ -86,10 +86,10 @@
     pub(crate) request: Rc<T::Request>,
     pub(crate) class: ClassId,
     /// It must never run twice.
-    pub(crate) single_shot: bool,
+    pub(crate) non_idempotent: bool,
     pub(crate) deadline: Instant,
     /// `None` once the call has its response, or its client has gone.
-    pub(crate) reply: Option<oneshot::Sender<FinalResponse<T::Answer>>>,
+    pub(crate) reply: Option<oneshot::Sender<FinalResponse<T::Response>>>,
     /// By attempt number; `None` once that attempt has ended.
     pub(crate) attempts: Vec<Option<Attempt>>,
     /// What hosts may have seen of the attempts that have ended.
@@ -122,7 +122,7 @@
     /// The call ends.
     Exhausted {
         /// Whether one of its attempts may have run.
-        may_run: bool,
+        may_have_run: bool,
     },
 }
 
@@ -130,7 +130,7 @@
     fn record(&mut self, attempt: &Attempt, outcome: Outcome) {
         let seen = attempt.may_have_been_seen();
         self.attempts += u32::from(seen);
-        self.may_run |= seen && !outcome.never_ran();
+        self.may_have_run |= seen && !outcome.never_ran();
     }
 }
 
@@ -146,7 +146,7 @@
         let seen = u32::try_from(seen.count()).unwrap_or(u32::MAX);
         AttemptTrace {
             attempts: self.ended_trace.attempts.saturating_add(seen),
-            may_run: self.ended_trace.may_run || seen > 0,
+            may_have_run: self.ended_trace.may_have_run || seen > 0,
         }
     }
 
@@ -177,14 +177,14 @@
         retries: Option<&mut (dyn RetryLimiter + 'static)>,
         now: Micros,
     ) -> Permission {
-        let AttemptTrace { attempts, may_run } = self.trace();
+        let AttemptTrace { attempts, may_have_run } = self.trace();
         let may_go = match attempts {
             0 => true,
             attempts if attempts >= self.max_attempts => false,
             _ => retries.is_none_or(|retries| retries.try_acquire(now)),
         };
         if !may_go {
-            return Permission::Exhausted { may_run };
+            return Permission::Exhausted { may_have_run };
         }
         match self.may_add_attempt() {
             true => Permission::Granted,
--- a/engine/src/engine/attempts.rs
+++ b/engine/src/engine/attempts.rs
@@ -3,7 +3,7 @@
 use super::{Engine, Inner};
 use crate::call::{outcome_event, Attempt, Permission, Reply};
 use crate::task::spawn;
-use crate::transport::{run_until, AttemptTarget, Transport, WriteMeter};
+use crate::transport::{run_attempt, AttemptTarget, Transport, WriteMeter};
 use flaxhead_policy::{CallId, Micros, Outcome, ServerId};
 use std::time::Duration;
 use tokio::time::Instant;
@@ -23,30 +23,30 @@
         let now = Instant::now();
         let Inner { calls, hosts, retries, transport, clock, counts, events, .. } = self;
         let Some(call) = calls.get_mut(&id) else { return };
-        let until = window.deadline.map_or(call.deadline, |at| clock.instant(at).min(call.deadline));
+        let deadline = window.deadline.map_or(call.deadline, |at| clock.instant(at).min(call.deadline));
         let host = hosts.get(&server).filter(|host| host.is_available());
-        let Some(host) = host.filter(|_| call.is_pending() && now < until) else {
+        let Some(host) = host.filter(|_| call.is_pending() && now < deadline) else {
             return events.push_back(call.skip_attempt(id, !call.is_pending()));
         };
         match call.permission(retries.as_deref_mut(), clock.at(now)) {
             Permission::Granted => {}
             Permission::Denied => return events.push_back(call.skip_attempt(id, false)),
-            Permission::Exhausted { may_run } => {
+            Permission::Exhausted { may_have_run } => {
                 events.push_back(call.skip_attempt(id, true));
-                let reply = if may_run { Reply::Failed } else { Reply::Rejected(Duration::ZERO) };
+                let reply = if may_have_run { Reply::Failed } else { Reply::Rejected(Duration::ZERO) };
                 return self.answer(id, reply);
             }
         }
         let address = host.address;
         let send_by = window.send_by.map(|at| clock.instant(at));
         let meter = WriteMeter::new(host.cutoff.clone(), send_by);
-        let target = AttemptTarget { server, address, single_shot: call.single_shot, until };
+        let target = AttemptTarget { server, address, non_idempotent: call.non_idempotent, deadline };
         let sending = transport.send(target, &call.request, &meter);
         let attempt = call.next_attempt();
         let task = {
             let (engine, meter) = (engine.clone(), meter.clone());
             spawn(async move {
-                let result = run_until(sending, &meter, until, send_by).await;
+                let result = run_attempt(sending, &meter, deadline, send_by).await;
                 engine.finish_attempt(id, attempt, result);
             })
         };
--- a/engine/src/engine/calls.rs
+++ b/engine/src/engine/calls.rs
@@ -27,12 +27,13 @@
         let CallSpec { class, tenant, deadline, resent, max_attempts } = spec;
         let time_left = micros(deadline.saturating_duration_since(Instant::now()));
         let class_settings = inner.settings.classes.get(class.0);
-        let single_shot = class_settings.is_none_or(|class| class.idempotency == Idempotency::NonIdempotent);
+        let non_idempotent =
+            class_settings.is_none_or(|class| class.idempotency == Idempotency::NonIdempotent);
         inner.notify(|| EngineEvent::CallReceived { call, class, request: &request });
         let in_flight = Call {
             request: Rc::new(request),
             class,
-            single_shot,
+            non_idempotent,
             deadline,
             reply: Some(sender),
             attempts: Vec::new(),
@@ -63,30 +64,30 @@
 
     /// Answers all pending calls at once: rejected where nothing can have run, otherwise failed. What comes after that is
     /// left to the front.
-    pub fn answer_all(&self) {
+    pub fn complete_all_calls(&self) {
         let mut inner = self.0.borrow_mut();
         let pending: Vec<CallId> =
             inner.calls.iter().filter(|(_, call)| call.is_pending()).map(|(&id, _)| id).collect();
         for id in pending {
-            let may_run = inner.calls.get(&id).is_some_and(|call| call.trace().may_run);
+            let may_have_run = inner.calls.get(&id).is_some_and(|call| call.trace().may_have_run);
             // As where a client goes: the module hears of that before it hears of what is withdrawn.
             inner.events.push_back(Event::ClientCancelled { call: id });
-            inner.answer(id, if may_run { Reply::Failed } else { Reply::Rejected(Duration::ZERO) });
+            inner.answer(id, if may_have_run { Reply::Failed } else { Reply::Rejected(Duration::ZERO) });
         }
         drop(inner);
         self.run([]);
     }
 
     /// Takes in how an attempt ended.
-    pub(super) fn finish_attempt(&self, id: CallId, attempt: u32, result: AttemptResult<T::Answer>) {
+    pub(super) fn finish_attempt(&self, id: CallId, attempt: u32, result: AttemptResult<T::Response>) {
         let mut inner = self.0.borrow_mut();
         let Some(call) = inner.calls.get_mut(&id) else { return };
-        let AttemptResult { outcome, load, answer } = result;
+        let AttemptResult { outcome, load, response } = result;
         let Some(ended) = call.take_attempt(attempt, outcome) else { return };
         let elapsed = micros(ended.sent.elapsed());
-        let complete = answer.is_some() || !call.is_pending();
-        if let Some(answer) = answer {
-            inner.respond(id, Reply::Served(answer));
+        let complete = response.is_some() || !call.is_pending();
+        if let Some(response) = response {
+            inner.respond(id, Reply::Served(response));
         }
         inner.events.push_back(Event::Outcome { call: id, attempt, outcome, elapsed, complete, load });
         inner.remove_if_finished(id);
@@ -102,17 +103,17 @@
 
 impl<T: Transport> Inner<T> {
     /// Gives a call its response, and removes it if nothing of it is left.
-    pub(super) fn answer(&mut self, id: CallId, reply: Reply<T::Answer>) {
+    pub(super) fn answer(&mut self, id: CallId, reply: Reply<T::Response>) {
         self.respond(id, reply);
         self.remove_if_finished(id);
     }
 
     /// Gives a call its response, unless it has one.
-    fn respond(&mut self, id: CallId, reply: Reply<T::Answer>) {
+    fn respond(&mut self, id: CallId, reply: Reply<T::Response>) {
         let Some(call) = self.calls.get_mut(&id) else { return };
         let Some(sender) = call.reply.take() else { return };
         let trace = call.trace();
-        self.notify(|| EngineEvent::CallAnswered { call: id, reply: &reply });
+        self.notify(|| EngineEvent::CallCompleted { call: id, reply: &reply });
         // A client that has just gone has no use for it.
         let _ = sender.send(FinalResponse { reply, trace });
     }
--- a/engine/src/engine/endpoints.rs
+++ b/engine/src/engine/endpoints.rs
@@ -19,7 +19,7 @@
 
 impl<T: Transport> Engine<T> {
     /// Watches the list at this source from now on, from the version in hand.
-    pub fn watch_at(&self, source: Rc<dyn ListSource>) {
+    pub fn set_list_source(&self, source: Rc<dyn ListSource>) {
         let mut inner = self.0.borrow_mut();
         inner.source = source;
         inner.subscribe(self);
@@ -55,7 +55,7 @@
 
     /// Excludes these hosts, each from its moment on, and no others: nothing new is sent there, and what runs there ends
     /// by itself. The list still applies to all others.
-    pub fn exclude(&self, hosts: impl IntoIterator<Item = (String, Instant)>) {
+    pub fn set_excluded_hosts(&self, hosts: impl IntoIterator<Item = (String, Instant)>) {
         let mut inner = self.0.borrow_mut();
         inner.excluded = hosts.into_iter().collect();
         let Inner { names, hosts, excluded, .. } = &mut *inner;
--- a/engine/src/engine/mod.rs
+++ b/engine/src/engine/mod.rs
@@ -38,7 +38,7 @@
     /// The decision module's settings.
     pub settings: Settings,
     /// The endpoint list as this proxy last had it; it may be outdated.
-    pub known: Option<EndpointList>,
+    pub cached_list: Option<EndpointList>,
 }
 
 /// Statistics for the log, which shows them by these names.
@@ -90,7 +90,7 @@
         observers: Vec<Box<dyn Observer<T>>>,
         retries: Option<Box<dyn RetryLimiter>>,
     ) -> Engine<T> {
-        let EngineConfig { seed, settings, known } = config;
+        let EngineConfig { seed, settings, cached_list } = config;
         let list_is_pushed = !settings.subscribe;
         let inner = Inner {
             clock: Clock::new(),
@@ -103,7 +103,7 @@
             names: HashMap::new(),
             excluded: HashMap::new(),
             // Set before the start: the module subscribes at once, from the version of the list that it is given next.
-            list_seq: known.as_ref().map(|known| known.seq),
+            list_seq: cached_list.as_ref().map(|cached_list| cached_list.seq),
             has_list: false,
             source,
             watch: None,
@@ -114,8 +114,8 @@
         };
         let engine = Engine(Rc::new(RefCell::new(inner)));
         engine.run([Event::Start]);
-        match known {
-            Some(known) => engine.apply_list(&known, true),
+        match cached_list {
+            Some(cached_list) => engine.apply_list(&cached_list, true),
             None => engine.run([Event::Members { kind: ListKind::Cached, entries: Vec::new() }]),
         }
         if list_is_pushed {
@@ -182,7 +182,7 @@
                 inner.notify(|| EngineEvent::PolicyAction(&action));
                 inner.execute(self, action);
             }
-            inner.notify(|| EngineEvent::PolicyStepped);
+            inner.notify(|| EngineEvent::PolicyStepEnded);
         }
     }
 
--- a/engine/src/engine/pending_call.rs
+++ b/engine/src/engine/pending_call.rs
@@ -10,19 +10,20 @@
 pub struct PendingCall<T: Transport> {
     pub(super) engine: Engine<T>,
     pub(super) call: CallId,
-    pub(super) reply: oneshot::Receiver<FinalResponse<T::Answer>>,
+    pub(super) reply: oneshot::Receiver<FinalResponse<T::Response>>,
 }
 
 impl<T: Transport> PendingCall<T> {
     /// The call's final response.
-    pub async fn reply(mut self) -> Reply<T::Answer> {
+    pub async fn reply(mut self) -> Reply<T::Response> {
         self.final_response().await.reply
     }
 
     /// The call's final response, with what hosts may have seen of the call.
-    pub async fn final_response(&mut self) -> FinalResponse<T::Answer> {
+    pub async fn final_response(&mut self) -> FinalResponse<T::Response> {
         // The sender is only ever dropped with the call, after a response or with the process.
-        let lost = FinalResponse { reply: Reply::Failed, trace: AttemptTrace { attempts: 0, may_run: true } };
+        let lost =
+            FinalResponse { reply: Reply::Failed, trace: AttemptTrace { attempts: 0, may_have_run: true } };
         (&mut self.reply).await.unwrap_or(lost)
     }
 
--- a/engine/src/event.rs
+++ b/engine/src/event.rs
@@ -38,7 +38,7 @@
     /// The module replied with this action.
     PolicyAction(&'a Action),
     /// The module has given all actions of one event, and all of them are executed.
-    PolicyStepped,
+    PolicyStepEnded,
     /// An attempt at a listed host has ended.
     AttemptEnded {
         /// The host's number.
@@ -47,11 +47,11 @@
         outcome: Outcome,
     },
     /// A call has its final response.
-    CallAnswered {
+    CallCompleted {
         /// The call's number.
         call: CallId,
         /// The response.
-        reply: &'a Reply<T::Answer>,
+        reply: &'a Reply<T::Response>,
     },
 }
 
--- a/engine/src/lib.rs
+++ b/engine/src/lib.rs
@@ -26,4 +26,4 @@
 pub use list_source::{BoxError, ListHandler, ListSource, WatchFuture};
 pub use task::{spawn, Task};
 pub use transport::{AttemptResult, AttemptTarget, Transport, WriteMeter};
-pub use view::{EngineView, HostView, OpenCall};
+pub use view::{CallView, EngineView, HostView};
--- a/engine/src/transport.rs
+++ b/engine/src/transport.rs
@@ -17,7 +17,7 @@
 pub struct WriteMeter {
     state: Rc<Cell<WriteState>>,
     cutoff: SendCutoff,
-    begin_by: Option<Instant>,
+    send_by: Option<Instant>,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -27,9 +27,9 @@
 }
 
 impl WriteMeter {
-    /// For an attempt at a host with this cutoff, which must not begin from `begin_by` on.
-    pub(crate) fn new(cutoff: SendCutoff, begin_by: Option<Instant>) -> WriteMeter {
-        WriteMeter { state: Rc::default(), cutoff, begin_by }
+    /// For an attempt at a host with this cutoff, which must not begin from `send_by` on.
+    pub(crate) fn new(cutoff: SendCutoff, send_by: Option<Instant>) -> WriteMeter {
+        WriteMeter { state: Rc::default(), cutoff, send_by }
     }
 
     /// The number of bytes that were written.
@@ -45,11 +45,11 @@
     /// Whether nothing more may be written. An attempt that has begun goes on: only a new one can come too late.
     pub fn is_withdrawn(&self) -> bool {
         let WriteState { bytes, withdrawn } = self.state.get();
-        withdrawn || bytes == 0 && self.is_too_late_to_begin()
+        withdrawn || bytes == 0 && self.is_too_late_to_send()
     }
 
-    fn is_too_late_to_begin(&self) -> bool {
-        self.cutoff.has_passed() || self.begin_by.is_some_and(|by| Instant::now() >= by)
+    fn is_too_late_to_send(&self) -> bool {
+        self.cutoff.has_passed() || self.send_by.is_some_and(|by| Instant::now() >= by)
     }
 
     /// Withdraws the attempt: nothing is written for it from now on.
@@ -66,32 +66,32 @@
     /// The address where it listens.
     pub address: SocketAddr,
     /// Whether the request must not run twice.
-    pub single_shot: bool,
+    pub non_idempotent: bool,
     /// When the attempt is given up.
-    pub until: Instant,
+    pub deadline: Instant,
 }
 
-/// Runs an attempt to its end or its deadline `until`; with nothing written yet, not past `begin_by`.
-pub(crate) async fn run_until<A>(
+/// Runs an attempt to its end or its deadline `until`; with nothing written yet, not past `send_by`.
+pub(crate) async fn run_attempt<A>(
     sending: impl Future<Output = AttemptResult<A>>,
     meter: &WriteMeter,
-    until: Instant,
-    begin_by: Option<Instant>,
+    deadline: Instant,
+    send_by: Option<Instant>,
 ) -> AttemptResult<A> {
     let mut sending = pin!(sending);
-    if let Some(by) = begin_by.filter(|by| *by < until) {
+    if let Some(by) = send_by.filter(|by| *by < deadline) {
         match timeout_at(by, sending.as_mut()).await {
             Ok(result) => return result,
-            Err(_) if meter.bytes_written() == 0 => return AttemptResult::without_answer(Outcome::NotSent),
+            Err(_) if meter.bytes_written() == 0 => return AttemptResult::without_response(Outcome::NotSent),
             Err(_) => {}
         }
     }
     // It is over then whatever happens.
     let timed_out = |_| match meter.bytes_written() {
-        0 => AttemptResult::without_answer(Outcome::NoConnection),
-        _ => AttemptResult::without_answer(Outcome::TimedOut),
+        0 => AttemptResult::without_response(Outcome::NoConnection),
+        _ => AttemptResult::without_response(Outcome::TimedOut),
     };
-    timeout_at(until, sending).await.unwrap_or_else(timed_out)
+    timeout_at(deadline, sending).await.unwrap_or_else(timed_out)
 }
 
 /// How an attempt ended.
@@ -103,13 +103,13 @@
     pub load: LoadReport,
     /// The response to forward. With one the call is over, also where the outcome is a failure: the host's response is
     /// final then.
-    pub answer: Option<A>,
+    pub response: Option<A>,
 }
 
 impl<A> AttemptResult<A> {
     /// An end without a response to forward.
-    pub fn without_answer(outcome: Outcome) -> AttemptResult<A> {
-        AttemptResult { outcome, load: LoadReport::default(), answer: None }
+    pub fn without_response(outcome: Outcome) -> AttemptResult<A> {
+        AttemptResult { outcome, load: LoadReport::default(), response: None }
     }
 }
 
@@ -118,7 +118,7 @@
     /// What a front passes for a call; it is sent once for each attempt.
     type Request: 'static;
     /// A host's response.
-    type Answer: 'static;
+    type Response: 'static;
 
     /// Something new may be sent to a host at this address from now on; `None`: nothing may, and idle connections to it
     /// are closed. `restarted`: idle connections lead to a process that has gone.
@@ -135,7 +135,7 @@
         target: AttemptTarget,
         request: &Rc<Self::Request>,
         meter: &WriteMeter,
-    ) -> impl Future<Output = AttemptResult<Self::Answer>> + use<Self> + 'static;
+    ) -> impl Future<Output = AttemptResult<Self::Response>> + use<Self> + 'static;
 
     /// Called once a second, to close connections that were idle for too long.
     fn sweep(&self) {}
--- a/engine/src/view.rs
+++ b/engine/src/view.rs
@@ -28,13 +28,13 @@
     /// The host's number.
     pub server: ServerId,
     /// The address where it listens.
-    pub dial: SocketAddr,
+    pub address: SocketAddr,
     /// Its health according to the list.
     pub health: Health,
 }
 
 /// A call in flight.
-pub struct OpenCall<'a, T: Transport> {
+pub struct CallView<'a, T: Transport> {
     /// The call's number.
     pub call: CallId,
     /// The call's class.
@@ -42,7 +42,7 @@
     /// The request as the front passed it.
     pub request: &'a T::Request,
     /// Whether it still has no response; otherwise only attempts of it are left.
-    pub waits: bool,
+    pub is_pending: bool,
 }
 
 impl<'a, T: Transport> EngineView<'a, T> {
@@ -71,7 +71,7 @@
         let hosts = self.hosts;
         self.names.iter().filter_map(move |(name, &server)| {
             let host = hosts.get(&server)?;
-            Some(HostView { name, server, dial: host.address, health: host.health })
+            Some(HostView { name, server, address: host.address, health: host.health })
         })
     }
 
@@ -89,12 +89,12 @@
     }
 
     /// The calls in flight, by number.
-    pub fn calls(&self) -> impl Iterator<Item = OpenCall<'a, T>> + use<'a, T> {
-        self.calls.iter().map(|(&id, call)| OpenCall {
+    pub fn calls(&self) -> impl Iterator<Item = CallView<'a, T>> + use<'a, T> {
+        self.calls.iter().map(|(&id, call)| CallView {
             call: id,
             class: call.class,
             request: &*call.request,
-            waits: call.is_pending(),
+            is_pending: call.is_pending(),
         })
     }
 }
--- a/engine/tests/calls.rs
+++ b/engine/tests/calls.rs
@@ -41,7 +41,7 @@
 
 impl Transport for Scripted {
     type Request = &'static str;
-    type Answer = &'static str;
+    type Response = &'static str;
 
     fn set_endpoint(&self, server: ServerId, dial: Option<SocketAddr>, _: bool) {
         self.0.borrow_mut().seats.push((server, dial));
@@ -68,8 +68,8 @@
                 }
                 meter.set_bytes_written(1);
                 return AttemptResult {
-                    answer: Some(request),
-                    ..AttemptResult::without_answer(Outcome::Served)
+                    response: Some(request),
+                    ..AttemptResult::without_response(Outcome::Served)
                 };
             }
             if !matches!(act, Act::Wait) {
@@ -77,8 +77,8 @@
             }
             let Act::End(outcome, after) = act else { return std::future::pending().await };
             sleep(Duration::from_millis(after)).await;
-            let answer = (outcome == Outcome::Served).then_some(request);
-            AttemptResult { answer, ..AttemptResult::without_answer(outcome) }
+            let response = (outcome == Outcome::Served).then_some(request);
+            AttemptResult { response, ..AttemptResult::without_response(outcome) }
         }
     }
 
@@ -142,15 +142,18 @@
             late_ratio: 0.5,
             idempotency,
         }];
-        let known = Some(list(&[("a", Health::Ready), ("b", Health::Ready)]));
+        let cached_list = Some(list(&[("a", Health::Ready), ("b", Health::Ready)]));
         let limits = Limits {
             cancel: idempotency == Idempotency::Idempotent,
             hedging: true,
             max_attempts: 3,
             ..Settings::default().limits
         };
-        let setup =
-            EngineConfig { seed: 7, settings: Settings { classes, limits, ..Settings::default() }, known };
+        let setup = EngineConfig {
+            seed: 7,
+            settings: Settings { classes, limits, ..Settings::default() },
+            cached_list,
+        };
         let source = Rc::new(Told(RefCell::new(Some(told))));
         let engine = Engine::start(setup, transport.clone(), source, observers, retries);
         Rig { engine, transport, lists }
@@ -199,11 +202,11 @@
         let rig = Rig::new(Idempotency::NonIdempotent, &[TURNED_AWAY, SERVED]);
         let FinalResponse { reply, trace } = rig.ask(CallSpec::UNBOUNDED).final_response().await;
         assert!(matches!(reply, Reply::Served("pay")), "{reply:?}");
-        assert_eq!(trace, AttemptTrace { attempts: 2, may_run: true });
+        assert_eq!(trace, AttemptTrace { attempts: 2, may_have_run: true });
         let rig = Rig::new(Idempotency::NonIdempotent, &[Act::End(Outcome::Reset, 1), SERVED]);
         let FinalResponse { reply, trace } = rig.ask(CallSpec::UNBOUNDED).final_response().await;
         assert!(matches!(reply, Reply::Failed) && rig.sent() == 1, "{reply:?}");
-        assert_eq!(trace, AttemptTrace { attempts: 1, may_run: true });
+        assert_eq!(trace, AttemptTrace { attempts: 1, may_have_run: true });
     });
 }
 
@@ -218,7 +221,7 @@
             let FinalResponse { reply, trace } = rig.ask(CallSpec::UNBOUNDED).final_response().await;
             assert_eq!(rig.sent(), 2, "it was decided within the window");
             assert_eq!(matches!(reply, Reply::Served(_)), in_time, "{reply:?}");
-            assert_eq!(trace, AttemptTrace { attempts: 1 + u32::from(in_time), may_run: true });
+            assert_eq!(trace, AttemptTrace { attempts: 1 + u32::from(in_time), may_have_run: true });
             assert!(began.elapsed() <= Duration::from_millis(701), "{:?}", began.elapsed());
         });
     }
@@ -230,11 +233,11 @@
         let rig = Rig::new(Idempotency::Idempotent, &[TURNED_AWAY, TURNED_AWAY, SERVED]);
         let FinalResponse { reply, trace } = rig.ask(1).final_response().await;
         assert!(matches!(reply, Reply::Rejected(_)), "{reply:?}: it never ran");
-        assert_eq!((trace, rig.sent()), (AttemptTrace { attempts: 1, may_run: false }, 1));
+        assert_eq!((trace, rig.sent()), (AttemptTrace { attempts: 1, may_have_run: false }, 1));
         let rig = Rig::new(Idempotency::Idempotent, &[Act::End(Outcome::Error, 1), SERVED]);
         let FinalResponse { reply, trace } = rig.ask(1).final_response().await;
         assert!(matches!(reply, Reply::Failed), "{reply:?}: it may have run");
-        assert_eq!((trace, rig.sent()), (AttemptTrace { attempts: 1, may_run: true }, 1));
+        assert_eq!((trace, rig.sent()), (AttemptTrace { attempts: 1, may_have_run: true }, 1));
     });
 }
 
@@ -273,7 +276,7 @@
         assert!(matches!(reply, Reply::Served("pay")), "{reply:?}");
         assert_eq!(
             trace,
-            AttemptTrace { attempts: 1, may_run: true },
+            AttemptTrace { attempts: 1, may_have_run: true },
             "the one that was taken back was never seen"
         );
         let script = rig.transport.0.borrow();
@@ -306,10 +309,10 @@
         let rig = Rig::new(Idempotency::NonIdempotent, &[Act::Stall, Act::Wait]);
         let (mut stalled, mut unsent) = (rig.ask(CallSpec::UNBOUNDED), rig.ask(CallSpec::UNBOUNDED));
         sleep(Duration::from_millis(5)).await;
-        rig.engine.answer_all();
+        rig.engine.complete_all_calls();
         let (stalled, unsent) = (stalled.final_response().await, unsent.final_response().await);
-        assert!(matches!(stalled.reply, Reply::Failed) && stalled.trace.may_run, "{stalled:?}");
-        assert!(matches!(unsent.reply, Reply::Rejected(_)) && !unsent.trace.may_run, "{unsent:?}");
+        assert!(matches!(stalled.reply, Reply::Failed) && stalled.trace.may_have_run, "{stalled:?}");
+        assert!(matches!(unsent.reply, Reply::Rejected(_)) && !unsent.trace.may_have_run, "{unsent:?}");
     });
 }
 
@@ -319,9 +322,9 @@
         let rig = Rig::new(Idempotency::Idempotent, &[Act::Stall, Act::Wait]);
         let (stalled, unsent) = (rig.ask(CallSpec::UNBOUNDED), rig.ask(CallSpec::UNBOUNDED));
         sleep(Duration::from_millis(5)).await;
-        assert_eq!(stalled.abandon(), AttemptTrace { attempts: 1, may_run: true });
+        assert_eq!(stalled.abandon(), AttemptTrace { attempts: 1, may_have_run: true });
         assert_eq!(unsent.abandon(), AttemptTrace::default());
-        rig.engine.view(|view| assert!(view.calls().all(|call| !call.waits)));
+        rig.engine.view(|view| assert!(view.calls().all(|call| !call.is_pending)));
     });
 }
 
@@ -335,11 +338,11 @@
             EngineEvent::PolicyInput(event) => {
                 format!("{event:?}").split([' ', '{']).next().unwrap_or_default().to_owned()
             }
-            EngineEvent::PolicyStepped => return,
+            EngineEvent::PolicyStepEnded => return,
             EngineEvent::PolicyAction(action) => {
                 format!("{action:?}").split([' ', '{']).next().unwrap_or_default().to_owned()
             }
-            EngineEvent::CallAnswered { call, .. } => format!("answered {}", call.0),
+            EngineEvent::CallCompleted { call, .. } => format!("answered {}", call.0),
             EngineEvent::AttemptEnded { outcome, .. } => format!("ended {outcome:?}"),
             EngineEvent::ListReceived { list, .. } => format!("listed {}", list.hosts.len()),
             EngineEvent::HealthChanged { host, health, .. } => {
--- a/limits/src/idempotency_cache.rs
+++ b/limits/src/idempotency_cache.rs
@@ -16,25 +16,25 @@
     /// Most entries.
     pub max_entries: usize,
     /// For how long a call that may have run is kept after its end, in microseconds.
-    pub keep: Micros,
+    pub retention: Micros,
 }
 
 impl Default for IdempotencyCacheConfig {
     /// A million calls, ten minutes.
     fn default() -> Self {
-        IdempotencyCacheConfig { max_entries: 1 << 20, keep: 600_000_000 }
+        IdempotencyCacheConfig { max_entries: 1 << 20, retention: 600_000_000 }
     }
 }
 
 /// Attempts that layers above say they have made before, as in `grpc-previous-rpc-attempts` (gRFC A6).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct AttemptCount(pub u32);
+pub struct PreviousAttempts(pub u32);
 
 /// What a call may still do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Allowed {
+pub struct Allowance {
     /// Most attempts that may reach a server.
-    pub attempts: u32,
+    pub remaining_attempts: u32,
     /// It has been attempted before: it costs of the retry budget.
     pub is_retry: bool,
 }
@@ -43,25 +43,25 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rejection {
     /// One with the same id or key is in flight.
-    Open,
+    InFlight,
     /// One with the same id or key may have run, and this must not run twice.
     MayHaveRun,
     /// It has been attempted before, by its own account, and nothing is known of that attempt.
-    Unknown,
+    UnknownAttempt,
     /// All attempts that its class allows have been made.
     Exhausted,
     /// No more calls can be kept.
-    Full,
+    CacheFull,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Entry {
     attempts: u32,
-    may_run: bool,
+    may_have_run: bool,
     /// Whether the call is in flight.
-    open: bool,
-    /// When the entry expires, unless its call is in flight then.
-    expires: Micros,
+    in_flight: bool,
+    /// When the entry expires_at, unless its call is in flight then.
+    expires_at: Micros,
 }
 
 /// An expiry of an entry, as it was when a call ended.
@@ -98,45 +98,46 @@
         key: &K,
         idempotency: Idempotency,
         max_attempts: u32,
-        previous: AttemptCount,
-    ) -> Result<Allowed, Rejection> {
+        previous: PreviousAttempts,
+    ) -> Result<Allowance, Rejection> {
         self.evict_expired(now);
         let known = self.entries.get(key).copied();
         let made = match known {
-            Some(Entry { open: true, .. }) => return Err(Rejection::Open),
-            Some(entry) if entry.may_run && idempotency == Idempotency::NonIdempotent => {
+            Some(Entry { in_flight: true, .. }) => return Err(Rejection::InFlight),
+            Some(entry) if entry.may_have_run && idempotency == Idempotency::NonIdempotent => {
                 return Err(Rejection::MayHaveRun)
             }
             Some(entry) => entry.attempts,
             // Whoever attempted it did so elsewhere: through another proxy, or this one before a restart.
             None if previous.0 > 0 && idempotency == Idempotency::NonIdempotent => {
-                return Err(Rejection::Unknown)
+                return Err(Rejection::UnknownAttempt)
             }
             None => previous.0,
         };
-        let left = max_attempts.saturating_sub(made);
-        if left == 0 {
+        let remaining = max_attempts.saturating_sub(made);
+        if remaining == 0 {
             return Err(Rejection::Exhausted);
         }
         if known.is_none() && self.entries.len() >= self.config.max_entries {
-            return Err(Rejection::Full);
+            return Err(Rejection::CacheFull);
         }
-        let (may_run, expires) = known.map_or((false, 0), |entry| (entry.may_run, entry.expires));
-        self.entries.insert(key.clone(), Entry { attempts: made, may_run, open: true, expires });
-        Ok(Allowed { attempts: left, is_retry: known.is_some() || previous.0 > 0 })
+        let (may_have_run, expires_at) =
+            known.map_or((false, 0), |entry| (entry.may_have_run, entry.expires_at));
+        self.entries.insert(key.clone(), Entry { attempts: made, may_have_run, in_flight: true, expires_at });
+        Ok(Allowance { remaining_attempts: remaining, is_retry: known.is_some() || previous.0 > 0 })
     }
 
     /// A call has ended: so many of its attempts reached a server, and one may have run.
-    pub fn end(&mut self, now: Micros, key: &K, attempts: u32, may_run: bool) {
+    pub fn end(&mut self, now: Micros, key: &K, attempts: u32, may_have_run: bool) {
         let Some(entry) = self.entries.get_mut(key) else { return };
-        debug_assert!(entry.open, "a call ends once");
-        entry.open = false;
-        if attempts > 0 || may_run {
+        debug_assert!(entry.in_flight, "a call ends once");
+        entry.in_flight = false;
+        if attempts > 0 || may_have_run {
             entry.attempts = entry.attempts.saturating_add(attempts);
-            entry.may_run |= may_run;
-            entry.expires = now.saturating_add(self.config.keep);
-            self.expiries.push_back(Expiry { at: entry.expires, key: key.clone() });
-        } else if entry.expires <= now {
+            entry.may_have_run |= may_have_run;
+            entry.expires_at = now.saturating_add(self.config.retention);
+            self.expiries.push_back(Expiry { at: entry.expires_at, key: key.clone() });
+        } else if entry.expires_at <= now {
             self.entries.remove(key);
         }
     }
@@ -154,7 +155,7 @@
     fn evict_expired(&mut self, now: Micros) {
         while self.expiries.front().is_some_and(|expiry| expiry.at <= now) {
             let Some(Expiry { at, key }) = self.expiries.pop_front() else { return };
-            if self.entries.get(&key).is_some_and(|entry| !entry.open && entry.expires == at) {
+            if self.entries.get(&key).is_some_and(|entry| !entry.in_flight && entry.expires_at == at) {
                 self.entries.remove(&key);
             }
         }
--- a/limits/src/lib.rs
+++ b/limits/src/lib.rs
@@ -5,5 +5,7 @@
 mod idempotency_cache;
 mod retry_budget;
 
-pub use idempotency_cache::{Allowed, AttemptCount, IdempotencyCache, IdempotencyCacheConfig, Rejection};
+pub use idempotency_cache::{
+    Allowance, IdempotencyCache, IdempotencyCacheConfig, PreviousAttempts, Rejection,
+};
 pub use retry_budget::{RetryBudget, RetryBudgetConfig};
--- a/proxy/src/features/capture/watch.rs
+++ b/proxy/src/features/capture/watch.rs
@@ -36,7 +36,7 @@
         }
         if ring.is_due(now) {
             let host = |host: HostView| {
-                let (name, server, dial) = (host.name.to_owned().into(), host.server, host.dial);
+                let (name, server, dial) = (host.name.to_owned().into(), host.server, host.address);
                 Item::Host { server, host: name, dial }
             };
             let calls = view.calls().map(|open| {
@@ -59,8 +59,8 @@
             }
             EngineEvent::PolicyInput(event) => ring.begin(now, event),
             EngineEvent::PolicyAction(action) => ring.put(now, Item::Did(Cow::Borrowed(action))),
-            EngineEvent::PolicyStepped => ring.end(),
-            EngineEvent::CallAnswered { call, reply } => {
+            EngineEvent::PolicyStepEnded => ring.end(),
+            EngineEvent::CallCompleted { call, reply } => {
                 ring.put(now, Item::Answered { call, code: code(reply).as_u16() });
             }
             EngineEvent::HealthChanged { .. } | EngineEvent::AttemptEnded { .. } => {}
--- a/proxy/src/features/maintenance/engine_hosts.rs
+++ b/proxy/src/features/maintenance/engine_hosts.rs
@@ -74,7 +74,7 @@
     }
 
     fn exclude(&self, hosts: Vec<ExcludedUntilNotice>) {
-        self.engine.exclude(hosts.into_iter().map(|excluded| (excluded.host, excluded.from)));
+        self.engine.set_excluded_hosts(hosts.into_iter().map(|excluded| (excluded.host, excluded.from)));
     }
 
     fn event(&self, event: &DrainEvent) {
--- a/proxy/src/features/status/view.rs
+++ b/proxy/src/features/status/view.rs
@@ -75,7 +75,7 @@
         engine.view(|view| {
             let host = |host: HostView| HostSummary {
                 host: host.name.to_owned(),
-                dial: host.dial,
+                dial: host.address,
                 health: host.health,
                 last_errors: records.errors(host.server),
             };
@@ -83,7 +83,7 @@
             hosts.sort_by(|one, other| one.host.cmp(&other.host));
             let load = classes.iter().enumerate().map(|(class, name)| ClassLoad {
                 class: name.clone(),
-                in_flight: view.calls().filter(|call| call.waits && call.class.0 == class).count(),
+                in_flight: view.calls().filter(|call| call.is_pending && call.class.0 == class).count(),
                 requests: records.requests(ClassId(class)),
                 per_second: 0.0,
             });
--- a/proxy/src/http/exchange.rs
+++ b/proxy/src/http/exchange.rs
@@ -69,15 +69,15 @@
     /// The host's report on its load.
     pub load: LoadReport,
     /// The answer to pass on, where it served.
-    pub answer: Option<Response<Bytes>>,
+    pub response: Option<Response<Bytes>>,
     /// The connection, if it can be used again.
     pub connection: Option<Connection>,
 }
 
 impl Exchanged {
     /// One without an answer.
-    pub fn without_answer(outcome: Outcome) -> Exchanged {
-        Exchanged { outcome, load: LoadReport::default(), answer: None, connection: None }
+    pub fn without_response(outcome: Outcome) -> Exchanged {
+        Exchanged { outcome, load: LoadReport::default(), response: None, connection: None }
     }
 }
 
@@ -92,7 +92,7 @@
     let response = match connection.sender.send_request(request).await {
         Ok(response) => response,
         Err(_) if meter.bytes_written() == 0 => return None,
-        Err(error) => return Some(Exchanged::without_answer(outcome_of_error(&error))),
+        Err(error) => return Some(Exchanged::without_response(outcome_of_error(&error))),
     };
     let (head, body) = response.into_parts();
     let load = head
@@ -102,7 +102,7 @@
         .map(flaxhead_settings::parse_load_report)
         .unwrap_or_default();
     let body = Limited::new(body, MAX_BODY_BYTES).collect();
-    let (outcome, answer, whole) = if head.status == StatusCode::OK {
+    let (outcome, response, whole) = if head.status == StatusCode::OK {
         match body.await {
             Ok(body) => (Outcome::Served, Some(Response::from_parts(head, body.to_bytes())), true),
             // It has run, and what it said is lost.
@@ -118,7 +118,7 @@
     };
     // Ready again before the outcome is told: else the next request would find no idle connection.
     let again = whole && matches!(timeout(DRAIN_TIMEOUT, connection.sender.ready()).await, Ok(Ok(())));
-    Some(Exchanged { outcome, load, answer, connection: again.then_some(connection) })
+    Some(Exchanged { outcome, load, response, connection: again.then_some(connection) })
 }
 
 /// What an exchange proves that broke after writing. An answer that cannot be read is no reset, but the request
--- a/proxy/src/http/front/mod.rs
+++ b/proxy/src/http/front/mod.rs
@@ -102,7 +102,7 @@
     // Nothing that was taken goes without an answer, also where its client would wait for longer than the process lives.
     if timeout_at(told + longest + STOP_ANSWER_DELAY, clients.wait_for_all_closed()).await.is_err() {
         clients.stage.send_replace(ShutdownStage::Answered);
-        engine.answer_all();
+        engine.complete_all_calls();
         // Whoever has sent half a request by then, or does not read its answer, must not keep the process.
         let _ = timeout(STOP_FLUSH_TIMEOUT, clients.wait_for_all_closed()).await;
     }
--- a/proxy/src/http/transport.rs
+++ b/proxy/src/http/transport.rs
@@ -102,7 +102,7 @@
         meter: WriteMeter,
     ) -> Exchanged {
         if let Some((idle, connection)) = kept {
-            let done = exchange(connection, forward.request(target.until), &meter).await;
+            let done = exchange(connection, forward.request(target.deadline), &meter).await;
             let broken = done.as_ref().is_none_or(|done| done.outcome == Outcome::Reset);
             let mut pools = self.0.borrow_mut();
             pools.counts.broken_reuse += u64::from(broken);
@@ -116,23 +116,23 @@
             let mut pools = self.0.borrow_mut();
             (pools.slot(), pools.connect_timeout)
         };
-        let Some(slot) = slot else { return Exchanged::without_answer(Outcome::NotSent) };
+        let Some(slot) = slot else { return Exchanged::without_response(Outcome::NotSent) };
         let opened = Connection::open(target.address, limit, slot).await;
         {
             let counts = &mut self.0.borrow_mut().counts;
             *if opened.is_ok() { &mut counts.opened } else { &mut counts.open_failed } += 1;
         }
         let done = match opened {
-            Ok(connection) => exchange(connection, forward.request(target.until), &meter).await,
+            Ok(connection) => exchange(connection, forward.request(target.deadline), &meter).await,
             Err(_) => None,
         };
-        done.unwrap_or_else(|| Exchanged::without_answer(Outcome::NoConnection))
+        done.unwrap_or_else(|| Exchanged::without_response(Outcome::NoConnection))
     }
 }
 
 impl Transport for Http {
     type Request = Forward;
-    type Answer = Response<Bytes>;
+    type Response = Response<Bytes>;
 
     fn set_endpoint(&self, server: ServerId, dial: Option<SocketAddr>, restarted: bool) {
         let mut pools = self.0.borrow_mut();
@@ -156,13 +156,13 @@
         let kept = self.0.borrow_mut().take_idle(&target);
         let (http, forward, meter) = (self.clone(), forward.clone(), meter.clone());
         async move {
-            let Exchanged { outcome, load, answer, connection } =
+            let Exchanged { outcome, load, response, connection } =
                 http.clone().attempt(target, kept, forward, meter).await;
             // Back before the outcome is told: else the call that it lets go would open another.
             if let Some(connection) = connection {
                 http.0.borrow_mut().put_idle(&target, connection);
             }
-            AttemptResult { outcome, load, answer }
+            AttemptResult { outcome, load, response }
         }
     }
 
@@ -204,7 +204,7 @@
         // Old ones and those closed meanwhile are passed over.
         idle.retain(|(since, connection)| since.elapsed() < *max_idle && connection.is_ready());
         // A request that must not go again goes on no connection that may have been dropped without a sign.
-        let fit = |since: &Instant| !target.single_shot || !reuse.is_stale(since.elapsed());
+        let fit = |since: &Instant| !target.non_idempotent || !reuse.is_stale(since.elapsed());
         let (since, connection) = idle.pop_if(|(since, _)| fit(since))?;
         Some((since.elapsed(), connection))
     }
--- a/proxy/src/lib.rs
+++ b/proxy/src/lib.rs
@@ -108,12 +108,12 @@
 fn start_engine(config: &Config, features: &EnabledFeatures, sources: &ListSources) -> Engine<Http> {
     let transport = Http::new(config.connections_each_way(), config.connect_timeout, config.conn_idle);
     // Behind a gate the source has the known list, and the engine starts without one.
-    let (gated, known) = match sources.gate {
+    let (gated, cached_list) = match sources.gate {
         Some(_) => (config.known.clone(), None),
         None => (None, config.known.clone()),
     };
     let source = sources.source(config.discovery, gated);
-    let setup = EngineConfig { seed: config.seed, settings: config.settings.clone(), known };
+    let setup = EngineConfig { seed: config.seed, settings: config.settings.clone(), cached_list };
     Engine::start(setup, transport, source, features.observers(), None)
 }
 
@@ -159,7 +159,7 @@
         if let Some(snapshot) = &snapshot {
             snapshot.set_discovery(address);
         }
-        engine.watch_at(sources.source(address, None));
+        engine.set_list_source(sources.source(address, None));
     }
 }
 
--- a/proxy/tests/crossing.rs
+++ b/proxy/tests/crossing.rs
@@ -45,8 +45,12 @@
     let http = Http::new(8, Duration::from_secs(5), Duration::from_secs(60));
     let server = ServerId(1);
     http.set_endpoint(server, Some(address), false);
-    let target =
-        AttemptTarget { server, address, single_shot: true, until: Instant::now() + Duration::from_secs(30) };
+    let target = AttemptTarget {
+        server,
+        address,
+        non_idempotent: true,
+        deadline: Instant::now() + Duration::from_secs(30),
+    };
     let accepts = listener.try_clone().expect("a listener");
     let answering = spawn_blocking(move || {
         let (mut stream, _) = accepts.accept().expect("a connection");
@@ -70,7 +74,7 @@
     drop(TcpStream::connect(address).map(|mut stream| stream.write_all(b"GET / HTTP/1.1\r\n\r\n")));
     let _connection = fresh.await;
     let second = second.expect("an end");
-    (second.outcome, second.answer.map(hyper::Response::into_body))
+    (second.outcome, second.response.map(hyper::Response::into_body))
 }
 
 fn served_anew() -> (Outcome, Option<Bytes>) {
--- a/proxy/tests/fleet.rs
+++ b/proxy/tests/fleet.rs
@@ -226,7 +226,8 @@
                     subscribe: true,
                     ..Settings::default()
                 };
-                let setup = EngineConfig { seed: balancer_index.into(), settings, known: Some(old.clone()) };
+                let setup =
+                    EngineConfig { seed: balancer_index.into(), settings, cached_list: Some(old.clone()) };
                 let transport = Http::new(8, Duration::from_secs(1), Duration::from_secs(60));
                 let source = Rc::new(flaxhead_discovery::Discovery::shared(address, balancer_index.into()));
                 Engine::start(setup, transport, source, Vec::new(), None)
@@ -265,7 +266,8 @@
             configuration(discovery.address, &[], |config| config["known"]["hosts"] = generation(0).into());
         let mut config = flaxhead_proxy::config::Config::parse(&config).expect("good");
         config.discovery = discovery.address;
-        let setup = EngineConfig { seed: 7, settings: config.settings.clone(), known: config.known.clone() };
+        let setup =
+            EngineConfig { seed: 7, settings: config.settings.clone(), cached_list: config.known.clone() };
         let transport = Http::new(64, Duration::from_secs(1), Duration::from_secs(60));
         let source = Rc::new(flaxhead_discovery::Discovery::shared(discovery.address, 7));
         let engine = Engine::start(setup, transport, source, Vec::new(), None);
--- a/proxy/tests/told.rs
+++ b/proxy/tests/told.rs
@@ -100,7 +100,7 @@
         subscribe,
         ..Settings::default()
     };
-    let setup = EngineConfig { seed: balancer_index.into(), settings, known: Some(old.clone()) };
+    let setup = EngineConfig { seed: balancer_index.into(), settings, cached_list: Some(old.clone()) };
     let transport = Http::new(8, Duration::from_secs(1), Duration::from_secs(60));
     Engine::start(setup, transport, Rc::new(watched), Vec::new(), None)
 }
@@ -163,7 +163,7 @@
                 after.mended.set(true);
                 let engine = engine(0, watched(before.address, 7), ask, &old);
                 eventually("the old one is asked", || before.asks.get() >= 1).await;
-                engine.watch_at(Rc::new(watched(after.address, 7)));
+                engine.set_list_source(Rc::new(watched(after.address, 7)));
                 let knows = || engine.view(|view| view.hosts().any(|host| host.name == "new"));
                 eventually("the new one is heard", knows).await;
                 assert_eq!(after.asks.get(), 1);
--- a/proxy/tests/withdrawn.rs
+++ b/proxy/tests/withdrawn.rs
@@ -62,7 +62,7 @@
             idempotency: Idempotency::NonIdempotent,
         };
         let settings = Settings { classes: vec![class], ..Settings::default() };
-        let setup = EngineConfig { seed: 7, settings, known: Some(only("old", old.address)) };
+        let setup = EngineConfig { seed: 7, settings, cached_list: Some(only("old", old.address)) };
         let transport = Http::new(8, Duration::from_secs(1), Duration::from_secs(60));
         let told = Rc::new(Told::default());
         let engine = Engine::start(setup, transport, told.clone(), Vec::new(), None);
--- a/rpc/src/front.rs
+++ b/rpc/src/front.rs
@@ -6,7 +6,7 @@
 use crate::slot::Filler;
 use bytes::Bytes;
 use flaxhead_engine::{AttemptTrace, CallSpec, Engine, FinalResponse, Reply, RetryLimiter};
-use flaxhead_limits::{Allowed, AttemptCount, IdempotencyCache, Rejection, RetryBudget};
+use flaxhead_limits::{Allowance, IdempotencyCache, PreviousAttempts, Rejection, RetryBudget};
 use flaxhead_policy::{ClassId, Idempotency, Micros, TenantId};
 use http::uri::PathAndQuery;
 use http::{HeaderMap, HeaderName};
@@ -106,7 +106,7 @@
                     return self.ends(name, trace);
                 };
                 let ran = matches!(reply, Reply::Served(_));
-                self.ends(name, AttemptTrace { may_run: trace.may_run || ran, ..trace });
+                self.ends(name, AttemptTrace { may_have_run: trace.may_have_run || ran, ..trace });
                 self.answer(reply, last.take(), idempotency, ask.deadline)
             }
         };
@@ -115,9 +115,9 @@
         filler.fill(answer);
     }
 
-    fn ends(&self, name: Option<Name>, AttemptTrace { attempts, may_run }: AttemptTrace) {
+    fn ends(&self, name: Option<Name>, AttemptTrace { attempts, may_have_run }: AttemptTrace) {
         if let Some(name) = name {
-            self.memory.borrow_mut().end(self.now(), &name, attempts, may_run);
+            self.memory.borrow_mut().end(self.now(), &name, attempts, may_have_run);
         }
     }
 
@@ -145,8 +145,8 @@
         let patience = asked.min(method.timeout);
         let deadline = arrived + patience - WAY_BACK.min(patience / 10);
         let tries = match single(&headers, &grpc::PREVIOUS_ATTEMPTS)? {
-            None => AttemptCount(0),
-            Some(text) => AttemptCount(
+            None => PreviousAttempts(0),
+            Some(text) => PreviousAttempts(
                 text.parse().map_err(|_| bad("grpc-previous-rpc-attempts cannot be read".to_owned()))?,
             ),
         };
@@ -166,7 +166,7 @@
             tenant,
             deadline,
             resent: allowed.is_retry,
-            max_attempts: allowed.attempts,
+            max_attempts: allowed.remaining_attempts,
         };
         let forward = Forward {
             path,
@@ -185,23 +185,23 @@
         name: Option<Name>,
         idempotency: Idempotency,
         attempts_most: u32,
-        tries: AttemptCount,
-    ) -> Result<(Allowed, Option<Name>), Refused> {
+        tries: PreviousAttempts,
+    ) -> Result<(Allowance, Option<Name>), Refused> {
         let now = self.now();
         let refuse =
             |code, reason, pushback| Err(Box::new(Answer::of(code, reason, Some(NEVER_RAN), pushback)));
         let begun = match &name {
             Some(name) => self.memory.borrow_mut().begin(now, name, idempotency, attempts_most, tries),
             None if tries.0 >= attempts_most => Err(Rejection::Exhausted),
-            None => Ok(Allowed { attempts: attempts_most - tries.0, is_retry: tries.0 > 0 }),
+            None => Ok(Allowance { remaining_attempts: attempts_most - tries.0, is_retry: tries.0 > 0 }),
         };
         let (allowed, name) = match begun {
             Ok(allowed) => (allowed, name),
             // Harmless beside its like; whose attempts are not known before it ends.
-            Err(Rejection::Open) if idempotency == Idempotency::Idempotent => {
-                (Allowed { attempts: 1, is_retry: true }, None)
+            Err(Rejection::InFlight) if idempotency == Idempotency::Idempotent => {
+                (Allowance { remaining_attempts: 1, is_retry: true }, None)
             }
-            Err(Rejection::Open) => {
+            Err(Rejection::InFlight) => {
                 let reason = "one with the same id or key is open";
                 return refuse(
                     Code::FailedPrecondition,
@@ -221,7 +221,7 @@
                     Pushback::Never,
                 )));
             }
-            Err(Rejection::Unknown) => {
+            Err(Rejection::UnknownAttempt) => {
                 let reason = "it has been tried before, nothing is known of that, and it must not run twice";
                 return Err(Box::new(Answer::of(
                     Code::FailedPrecondition,
@@ -234,7 +234,7 @@
                 let reason = "all attempts that its class allows have been made";
                 return refuse(Code::Unavailable, reason, Pushback::Never);
             }
-            Err(Rejection::Full) => {
+            Err(Rejection::CacheFull) => {
                 let reason = "no more calls can be remembered";
                 return refuse(Code::ResourceExhausted, reason, Pushback::After(Duration::from_secs(1)));
             }
--- a/rpc/src/http2/transport.rs
+++ b/rpc/src/http2/transport.rs
@@ -269,18 +269,18 @@
             // Without a lease there is no connection, and none is coming.
             let Ok(lease) = (&mut queued.1).await else { break };
             if meter.is_withdrawn() {
-                return AttemptResult::without_answer(Outcome::NotSent);
+                return AttemptResult::without_response(Outcome::NotSent);
             }
             let mut sender = lease.wire.sender.clone();
             let Ok(request) = forward.request(&target) else {
-                return AttemptResult::without_answer(Outcome::NotSent);
+                return AttemptResult::without_response(Outcome::NotSent);
             };
             // Written to a buffer here, and to the socket in this same step or a later one.
             meter.set_bytes_written(1);
             match sender.send_request(request, forward.body.is_empty()) {
                 Ok((response, mut stream)) => {
                     forward.tries.set(forward.tries.get() + 1);
-                    lease.due.set(Some(target.until));
+                    lease.due.set(Some(target.deadline));
                     if !forward.body.is_empty() {
                         // Where the stream has been reset, the response says so.
                         let _ = stream.send_data(forward.body.clone(), true);
@@ -301,7 +301,7 @@
                 }
             }
         }
-        AttemptResult::without_answer(Outcome::NoConnection)
+        AttemptResult::without_response(Outcome::NoConnection)
     }
 
     async fn exchange(
@@ -314,7 +314,7 @@
             Ok(response) => response.into_parts(),
             Err(error) => {
                 lease.due.set(None);
-                return AttemptResult::without_answer(self.broken(&error, true));
+                return AttemptResult::without_response(self.broken(&error, true));
             }
         };
         let most = self.0.borrow().spec.answer_most;
@@ -323,15 +323,15 @@
             Err(error) => {
                 lease.due.set(None);
                 let outcome = error.map_or(Outcome::Unknown, |error| self.broken(&error, false));
-                return AttemptResult::without_answer(outcome);
+                return AttemptResult::without_response(outcome);
             }
         };
         lease.due.set(None);
         let mut answer = Answer { headers: parts.headers, body, trailers };
         let load = report(&answer);
         let (outcome, last) = grpc::verdict(parts.status, &mut answer, forward.retryable.as_deref());
-        let answer = if last { Some(answer) } else { forward.last.replace(Some(answer)).and(None) };
-        AttemptResult { outcome, load, answer }
+        let response = if last { Some(answer) } else { forward.last.replace(Some(answer)).and(None) };
+        AttemptResult { outcome, load, response }
     }
 
     /// What a broken exchange proves. That it never ran a peer says by REFUSED_STREAM, or by a GOAWAY with a last
@@ -386,7 +386,7 @@
         let mut request =
             Request::builder().method(Method::POST).uri(uri).version(Version::HTTP_2).body(())?;
         let mut headers = self.headers.clone();
-        let left = target.until.saturating_duration_since(Instant::now());
+        let left = target.deadline.saturating_duration_since(Instant::now());
         headers.insert(grpc::TIMEOUT, grpc::timeout_value(left));
         match self.tries.get() {
             0 => drop(headers.remove(grpc::PREVIOUS_ATTEMPTS)),
@@ -399,7 +399,7 @@
 
 impl Transport for Http2 {
     type Request = Forward;
-    type Answer = Answer;
+    type Response = Answer;
 
     fn set_endpoint(&self, server: ServerId, dial: Option<SocketAddr>, restarted: bool) {
         let mut state = self.0.borrow_mut();
--- a/rpc/src/plugin.rs
+++ b/rpc/src/plugin.rs
@@ -167,7 +167,7 @@
         connect_timeout: config.connect_timeout,
         answer_most: config.message_most,
     });
-    let (known, source): (Option<EndpointList>, Rc<dyn ListSource>) = match hosts {
+    let (cached_list, source): (Option<EndpointList>, Rc<dyn ListSource>) = match hosts {
         Hosts::Fixed(list) => (Some(list.clone()), Rc::new(Watched(watch::Sender::new(list).subscribe()))),
         Hosts::Watched(lists) => {
             let known = lists.borrow().clone();
@@ -191,7 +191,7 @@
         Err(error) => return drop(started.send(Err(error))),
     };
     let taking_part = peers.clone().map(|peers| spawn_local(async move { peers.serve().await }));
-    let setup = EngineConfig { seed, settings: config.settings.clone(), known };
+    let setup = EngineConfig { seed, settings: config.settings.clone(), cached_list };
     let engine = Engine::start(setup, transport, source, Vec::new(), retries);
     let front = Front::new(engine.clone(), config, budget);
     if started.send(Ok(())).is_err() {
@@ -214,7 +214,7 @@
     while orders.try_recv().is_ok() {}
     let until = Instant::now() + UNLOAD_MOST;
     while !calls.is_empty() && Instant::now() < until {
-        engine.answer_all();
+        engine.complete_all_calls();
         tokio::select! {
             _ = calls.join_next() => {}
             () = sleep(LOOK) => {}
--- a/rpc/src/service.rs
+++ b/rpc/src/service.rs
@@ -220,8 +220,8 @@
         let wanted = bound("connectionScaling.maxConnectionsPerSubchannel", wanted, 1, 1..=usize::MAX)?;
         let default = IdempotencyCacheConfig::default();
         let entries = bound("flaxhead.memory.entries", own.memory.entries, default.max_entries, 1..=1 << 24)?;
-        let keep = match &own.memory.keep {
-            None => default.keep,
+        let retention = match &own.memory.keep {
+            None => default.retention,
             Some(text) => duration("flaxhead.memory.keep", text)?.as_micros() as u64,
         };
         let connect_timeout = match &own.connect_timeout {
@@ -235,7 +235,7 @@
         };
         let mut config = ServiceConfig {
             budget,
-            memory: IdempotencyCacheConfig { max_entries: entries, keep },
+            memory: IdempotencyCacheConfig { max_entries: entries, retention },
             connections_most: wanted.min(clamp),
             connect_timeout,
             open_most: bound("flaxhead.maxOpenCalls", own.max_open_calls, 16_384, 1..=1 << 20)?,
