--- a/discovery/src/error.rs
+++ b/discovery/src/error.rs
@@ -1,51 +1,53 @@
-//! Why a watch ended.
+//! Errors of a watch.
 
 use hyper::StatusCode;
 use std::io;
 use std::time::Duration;
 
-/// Why a watch ended.
+/// Reason for which a watch ended.
 #[derive(Debug, thiserror::Error)]
 pub enum WatchError {
-    /// The connection cannot be opened.
-    #[error("no connection: {0}; check that discovery runs at the configuration's address")]
+    /// Failure to open the connection.
+    #[error("cannot connect: {0}; check that the discovery server runs at the configured address")]
     Connect(#[from] io::Error),
-    /// There was no connection, or no response, in time.
-    #[error("no answer within {0:?}; discovery is down or cut off, and the list in hand goes on")]
+    /// No response within this time, including the time to connect.
+    #[error(
+        "no response within {0:?}; the server is down or unreachable; the last endpoint list stays in use"
+    )]
     ResponseTimeout(Duration),
-    /// The connection broke, or what came is not HTTP.
-    #[error("the watch broke: {0}; it is opened again")]
+    /// Failure of the connection, or a response that is not HTTP.
+    #[error("connection failed: {0}; the watch will be reopened")]
     Connection(#[from] hyper::Error),
-    /// The address cannot be named in a request.
-    #[error("the request cannot be made: {0}; check the configuration's discovery")]
+    /// Failure to build the request, as for an address that is not valid in it.
+    #[error("cannot build the request: {0}; check the configured discovery address")]
     Request(#[from] hyper::http::Error),
-    /// The response has a status other than 200.
-    #[error("discovery answered {0}; it is asked again later")]
+    /// Response with a status other than 200.
+    #[error("the discovery server responded with status {0}; it will be polled again")]
     Status(StatusCode),
-    /// Nothing came on the watch for this time.
-    #[error("the watch fell silent for {0:?}; it is opened again")]
+    /// No data, nor a keep-alive, for this time.
+    #[error("no data or keep-alive for {0:?}; the watch will be reopened")]
     IdleTimeout(Duration),
-    /// The other side ended the watch.
-    #[error("the watch ended; it is opened again")]
+    /// End of the response by the server.
+    #[error("the discovery server ended the watch; it will be reopened")]
     Ended,
-    /// What came is not a list.
-    #[error("a list cannot be read: {0}; the list in hand stays")]
+    /// Data that is not an endpoint list.
+    #[error("invalid endpoint list: {0}; the last valid list stays in use")]
     List(#[from] ListError),
 }
 
-/// Why a list cannot be read.
+/// Reason for which an endpoint list is invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum ListError {
-    /// It is longer than the list of any fleet that one proxy serves.
-    #[error("it passes {0} bytes; no fleet that one proxy serves has so long a list")]
+    /// List longer than this number of bytes.
+    #[error("it is longer than the limit of {0} bytes")]
     TooLong(usize),
-    /// Something stands where an object should begin.
-    #[error("byte {0:#04x} stands where an object should begin")]
+    /// Byte in place of the start of a JSON object.
+    #[error("found byte {0:#04x} in place of the start of a JSON object")]
     UnexpectedByte(u8),
-    /// A line ends within a string, or an empty one comes within an object: a piece is missing.
-    #[error("it breaks off")]
+    /// Line that ends within a string, or empty line within an object, which means that data was lost.
+    #[error("a JSON object is incomplete")]
     Truncated,
-    /// It is not JSON, or not a list.
+    /// Invalid JSON, or JSON of another form.
     #[error("{0}")]
     Invalid(#[from] serde_json::Error),
 }
--- a/discovery/src/json_stream.rs
+++ b/discovery/src/json_stream.rs
@@ -1,28 +1,29 @@
-//! Splits a watch into its JSON objects, each on a line or, indented, over several; empty lines stand between them.
+//! Incremental parser of a watch: JSON objects on one line each or indented, separated by line breaks and
+//! empty lines.
 //!
-//! `serde_json` reads a stream of values only from a reader that waits, so the end of each object is found here by
-//! depth, and the object is parsed once it is complete.
+//! `serde_json` parses a stream of values only from a blocking reader. This parser therefore finds the end of
+//! each object by counting brackets, and passes complete objects to `serde_json`.
 
 use crate::error::ListError;
 use flaxhead_engine::EndpointList;
 
-/// Most bytes of a list: a longer one is not the list of any fleet that one proxy serves.
+/// Maximum size of a list, to bound the memory that a faulty server can use; far above any real list.
 const MAX_LIST_BYTES: usize = 4 << 20;
 
-/// The JSON object that is being received.
+/// Parser state, with the bytes received of the current JSON object.
 #[derive(Debug, Default)]
 pub(crate) struct JsonStream {
-    text: Vec<u8>,
-    /// Objects and arrays that are open.
+    buffer: Vec<u8>,
+    /// Number of objects and arrays that are open at the current position.
     depth: usize,
-    /// `Some` within a string: whether the next character is escaped.
-    string: Option<bool>,
-    /// Whether there was only white space since the line began.
-    blank: bool,
+    /// `Some` within a string: true if the next byte is escaped. `None` outside of strings.
+    string_escape: Option<bool>,
+    /// True if the current line of the object contains only white space so far.
+    line_is_blank: bool,
 }
 
 impl JsonStream {
-    /// Takes the bytes that came next and passes each list that they complete to the handler.
+    /// Parses the next bytes of the watch, and passes each list that they complete to the handler.
     pub(crate) fn feed(
         &mut self,
         data: &[u8],
@@ -32,23 +33,23 @@
             if self.depth == 0 && byte.is_ascii_whitespace() {
                 continue;
             }
-            if self.text.len() >= MAX_LIST_BYTES {
+            if self.buffer.len() >= MAX_LIST_BYTES {
                 return Err(ListError::TooLong(MAX_LIST_BYTES));
             }
-            self.text.push(byte);
-            if self.ends_with(byte)? {
-                let list = serde_json::from_slice(&self.text)?;
-                self.text.clear();
+            self.buffer.push(byte);
+            if self.advance(byte)? {
+                let list = serde_json::from_slice(&self.buffer)?;
+                self.buffer.clear();
                 handler(list);
             }
         }
         Ok(())
     }
 
-    /// Whether the object ends with this byte.
-    fn ends_with(&mut self, byte: u8) -> Result<bool, ListError> {
-        if let Some(escaped) = self.string {
-            self.string = match byte {
+    /// Updates the state with the next byte. Returns whether it completes the object.
+    fn advance(&mut self, byte: u8) -> Result<bool, ListError> {
+        if let Some(escaped) = self.string_escape {
+            self.string_escape = match byte {
                 b'\n' => return Err(ListError::Truncated),
                 b'"' if !escaped => None,
                 _ => Some(byte == b'\\' && !escaped),
@@ -58,12 +59,13 @@
         if self.depth == 0 && byte != b'{' {
             return Err(ListError::UnexpectedByte(byte));
         }
-        let blank = self.blank;
-        self.blank = byte == b'\n' || blank && byte.is_ascii_whitespace();
+        let was_blank = self.line_is_blank;
+        self.line_is_blank = byte == b'\n' || was_blank && byte.is_ascii_whitespace();
         match byte {
-            // Indented JSON has no empty lines: one is a keep-alive, and the rest of the object got lost.
-            b'\n' if blank => return Err(ListError::Truncated),
-            b'"' => self.string = Some(false),
+            // Indented JSON has no empty lines, so this one is a keep-alive, and the rest of the object was
+            // lost.
+            b'\n' if was_blank => return Err(ListError::Truncated),
+            b'"' => self.string_escape = Some(false),
             b'{' | b'[' => self.depth += 1,
             b'}' | b']' => self.depth -= 1,
             _ => {}
--- a/discovery/src/json_stream/tests.rs
+++ b/discovery/src/json_stream/tests.rs
@@ -2,34 +2,34 @@
 
 use super::*;
 
-fn taken(pieces: &[&str]) -> (Vec<u64>, Result<(), ListError>) {
+fn feed_pieces(pieces: &[&str]) -> (Vec<u64>, Result<(), ListError>) {
     let (mut stream, mut versions) = (JsonStream::default(), Vec::new());
-    let all =
+    let result =
         pieces.iter().try_for_each(|piece| stream.feed(piece.as_bytes(), |list| versions.push(list.seq)));
-    (versions, all)
+    (versions, result)
 }
 
 const HOST: &str = r#"{"host":"a}\"{\\","dial":"127.0.0.1:1","health":"Ready","share":1.0}"#;
 
 #[test]
-fn lists_are_found_on_a_line_and_over_several_wherever_they_are_cut() {
+fn lists_are_parsed_on_one_line_or_indented_and_split_at_any_byte() {
     let plain = format!("{{\"seq\":1,\"whole\":true,\"hosts\":[{HOST}]}}\n\n");
     let value: serde_json::Value = serde_json::from_str(&plain.replace(":1,", ":2,")).expect("JSON");
     let indented = serde_json::to_string_pretty(&value).expect("JSON");
-    let all = format!("\n{plain}{indented}\n\n{}\r\n{plain}", indented.replace('\n', "\r\n"));
-    for cut in 0..all.len() {
-        let (versions, read) = taken(&[&all[..cut], &all[cut..]]);
-        assert!(read.is_ok() && versions == [1, 2, 2, 1], "{cut}: {versions:?} {read:?}");
+    let stream_text = format!("\n{plain}{indented}\n\n{}\r\n{plain}", indented.replace('\n', "\r\n"));
+    for cut in 0..stream_text.len() {
+        let (versions, result) = feed_pieces(&[&stream_text[..cut], &stream_text[cut..]]);
+        assert!(result.is_ok() && versions == [1, 2, 2, 1], "{cut}: {versions:?} {result:?}");
     }
 }
 
 #[test]
-fn what_is_damaged_is_told_by_the_next_line_at_the_latest() {
+fn damaged_lists_are_rejected_by_the_end_of_the_next_line() {
     let good = format!("{{\"seq\":1,\"whole\":true,\"hosts\":[{HOST}]}}\n");
     for bad in ["{\"seq\":\n\n", "x", "{\"se\n", "}", "{\"seq\":1}\n", &good.replace("}]", "]")] {
-        let (versions, read) = taken(&[&good, bad, "\n"]);
-        assert!(read.is_err() && versions == [1], "{bad:?}: {versions:?}");
+        let (versions, result) = feed_pieces(&[&good, bad, "\n"]);
+        assert!(result.is_err() && versions == [1], "{bad:?}: {versions:?}");
     }
-    let endless = format!("{{\"seq\":[{}", "1,".repeat(MAX_LIST_BYTES));
-    assert!(matches!(taken(&[&endless]).1, Err(ListError::TooLong(_))));
+    let too_long = format!("{{\"seq\":[{}", "1,".repeat(MAX_LIST_BYTES));
+    assert!(matches!(feed_pieces(&[&too_long]).1, Err(ListError::TooLong(_))));
 }
--- a/discovery/src/lib.rs
+++ b/discovery/src/lib.rs
@@ -1,9 +1,13 @@
-//! Watches a fleet's endpoint list over the platform's HTTP protocol: one long response, a JSON object for each list.
+//! Client of the platform's discovery protocol, which delivers the endpoint list over HTTP.
 //!
-//! A watch that has fallen silent is broken, and what it misses counts as known to the proxy 6 s later: it is opened anew
-//! before that, each proxy at a moment of its own. What else ends a watch depends on who serves the list. An agent on the
-//! proxy's own machine, which pushes the list, is polled again within a fraction of a second, as what it has counts as known
-//! to the proxy. Discovery that all proxies share is left to the decision module, which spreads their polls.
+//! A poll is an HTTP request for the list. Its response stays open as a watch: the server sends a JSON object
+//! for each list or change, and an empty line every 2 s as a keep-alive. Proxies are required to follow a
+//! change of the list within 6 s, so a watch that is idle for too long is closed and reopened within that
+//! time, after a delay that is random for each proxy.
+//!
+//! The handling of other failures depends on the server of the list. An agent on the proxy's own machine is
+//! polled again within a fraction of a second. For a server that all proxies share, the watch ends with the
+//! error, and the policy decides when to poll again, so that proxies do not all poll at the same time.
 
 mod error;
 mod json_stream;
@@ -17,16 +21,16 @@
 use poll_backoff::PollBackoff;
 use std::net::SocketAddr;
 
-/// Who serves the list.
+/// Kind of server that delivers the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Deployment {
-    /// One server for all proxies.
+    /// Server that all proxies share.
     Shared,
-    /// An agent on this proxy's own machine.
+    /// Agent on the proxy's own machine.
     LocalAgent,
 }
 
-/// Discovery at an address.
+/// Discovery server at an address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Discovery {
     address: SocketAddr,
@@ -35,14 +39,15 @@
 }
 
 impl Discovery {
-    /// Discovery that all proxies share: a watch that breaks ends, and the caller says when the next one begins. The seed,
-    /// one for each proxy, keeps those whose watches fall silent together from polling together.
+    /// Creates a client of a server that all proxies share. A failed watch ends, and the caller decides when
+    /// to open the next one. `seed` must differ between proxies, to spread the polls of those whose watches
+    /// become idle at the same time.
     pub fn shared(address: SocketAddr, seed: u64) -> Discovery {
         Discovery { address, deployment: Deployment::Shared, seed }
     }
 
-    /// An agent on the proxy's own machine, to which lists are pushed: it responds at no cost, and a watch goes on until it
-    /// is dropped, however often its connection breaks.
+    /// Creates a client of an agent on the proxy's own machine. A watch reconnects after any failure until it
+    /// is dropped. `seed` must differ between proxies.
     pub fn local_agent(address: SocketAddr, seed: u64) -> Discovery {
         Discovery { address, deployment: Deployment::LocalAgent, seed }
     }
--- a/discovery/src/poll_backoff.rs
+++ b/discovery/src/poll_backoff.rs
@@ -1,4 +1,4 @@
-//! When a watch counts as silent, and when the next one begins. Without I/O or a clock: only random draws.
+//! Timeouts of a watch and delays between watches. Performs no I/O and reads no clock.
 
 use crate::error::WatchError;
 use crate::Deployment;
@@ -6,85 +6,95 @@
 use rand_pcg::Pcg32;
 use std::time::Duration;
 
-/// An empty line comes every 2 s, and what a silent watch misses counts as known 6 s after it fell silent. A watch is given
-/// up between these from its last byte on: more than one line must be missing, and a response must fit into the rest.
-/// Proxies whose watches fall silent together draw over all of it.
+/// Minimum idle time after which a watch is closed: longer than the 2 s between keep-alives, so that one late
+/// keep-alive does not close it.
 const MIN_IDLE_TIMEOUT: Duration = Duration::from_millis(3_200);
+/// Maximum random addition to the idle timeout, which spreads the polls of proxies whose watches become idle
+/// together. The sum leaves time for a response within the 6 s in which a change of the list must be
+/// followed.
 const IDLE_TIMEOUT_JITTER: Duration = Duration::from_millis(2_200);
-/// After so long without a response there is another poll beside the one that waits, where discovery is shared.
+/// Time to wait for a response of a shared server before another poll is sent in parallel.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(4);
-/// The same where a watch fell silent before, which has used up a part of the time after which the list counts as known.
+/// Response timeout of a shared server after a failure, shorter because the failure has used part of the 6 s
+/// in which a change of the list must be followed.
 const RESPONSE_TIMEOUT_AFTER_FAILURE: Duration = Duration::from_secs(2);
-/// The same for an agent, which responds at once or is silent: doubled with each failure in a row, so that one on a machine
-/// that stands still is not polled for ever without being waited for.
+/// Response timeout of a local agent before it is doubled. It doubles with each consecutive failure, so that
+/// an agent on a stalled machine has time to respond.
 const AGENT_RESPONSE_TIMEOUT: Duration = Duration::from_millis(500);
+/// Maximum number of times the agent's response timeout is doubled.
 const MAX_AGENT_TIMEOUT_DOUBLINGS: u32 = 2;
-/// Delay before an agent is polled again, from a half to all of it, doubled with each failure in a row: what the agent has
-/// counts as known, so the longest stays well under the times in which proxies must follow the list.
+/// Maximum delay before the first retry of a local agent; the actual delay is random between half of it and
+/// all of it. It doubles with each consecutive failure, and stays well below the time in which a change of
+/// the list must be followed.
 const AGENT_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Maximum number of times the delay before a retry of the agent is doubled.
 const MAX_AGENT_DELAY_DOUBLINGS: u32 = 1;
 
-/// Timeouts and delays of one watch.
+/// Timeouts and retry delays of one watch.
 #[derive(Debug)]
 pub(crate) struct PollBackoff {
     deployment: Deployment,
     random: Pcg32,
-    /// Failures since the last success.
-    failures: u32,
+    /// Number of failures since data was last received.
+    consecutive_failures: u32,
 }
 
 impl PollBackoff {
-    /// Without failures; draws by this seed.
+    /// Creates the state of a watch without failures; `seed` is that of the random delays.
     pub(crate) fn new(deployment: Deployment, seed: u64) -> PollBackoff {
-        PollBackoff { deployment, random: Pcg32::new(seed, 0), failures: 0 }
+        PollBackoff { deployment, random: Pcg32::new(seed, 0), consecutive_failures: 0 }
     }
 
-    /// A uniformly drawn part of a span.
+    /// Returns a uniformly distributed duration of at most `span`.
     fn jitter(&mut self, span: Duration) -> Duration {
         span.mul_f64(f64::from(self.random.next_u32()) / f64::from(u32::MAX))
     }
 
-    /// How long the next response is waited for.
+    /// Returns the time to wait for the next response.
     pub(crate) fn response_timeout(&self) -> Duration {
         match self.deployment {
-            Deployment::Shared if self.failures > 0 => RESPONSE_TIMEOUT_AFTER_FAILURE,
+            Deployment::Shared if self.consecutive_failures > 0 => RESPONSE_TIMEOUT_AFTER_FAILURE,
             Deployment::Shared => RESPONSE_TIMEOUT,
             Deployment::LocalAgent => {
-                AGENT_RESPONSE_TIMEOUT * (1 << self.failures.min(MAX_AGENT_TIMEOUT_DOUBLINGS))
+                AGENT_RESPONSE_TIMEOUT * (1 << self.consecutive_failures.min(MAX_AGENT_TIMEOUT_DOUBLINGS))
             }
         }
     }
 
-    /// How long the next watch may say nothing.
+    /// Returns the idle time after which the next watch is closed, drawn anew for each watch.
     pub(crate) fn idle_timeout(&mut self) -> Duration {
         MIN_IDLE_TIMEOUT + self.jitter(IDLE_TIMEOUT_JITTER)
     }
 
-    /// Something came on the watch.
+    /// Records that data was received on the watch.
     pub(crate) fn record_success(&mut self) {
-        self.failures = 0;
+        self.consecutive_failures = 0;
     }
 
-    /// The delay before the next watch; `None`: that is for the caller to say.
+    /// Records a failure. Returns the delay before the next poll; `None` if the caller decides when to open a
+    /// new watch.
     pub(crate) fn next_delay(&mut self, error: &WatchError) -> Option<Duration> {
-        self.failures = self.failures.saturating_add(1);
+        self.consecutive_failures = self.consecutive_failures.saturating_add(1);
         match (self.deployment, error) {
-            // Waiting was the delay. Discovery that is silent again does not bear a second poll beside all others'.
-            (_, WatchError::IdleTimeout(_)) if self.failures == 1 => Some(Duration::ZERO),
-            // Waiting was the delay here too, and goes on beside the next poll.
+            // The idle timeout has spread the polls already. A second one in a row is left to the policy, as
+            // immediate polls of all proxies would overload a shared server.
+            (_, WatchError::IdleTimeout(_)) if self.consecutive_failures == 1 => Some(Duration::ZERO),
+            // The response timeout has passed already, and earlier polls stay pending in parallel with the
+            // next one.
             (_, WatchError::ResponseTimeout(_)) => Some(Duration::ZERO),
             (Deployment::Shared, _) => None,
             (Deployment::LocalAgent, WatchError::IdleTimeout(_)) => Some(Duration::ZERO),
             (Deployment::LocalAgent, _) => {
-                let longest = AGENT_RETRY_DELAY * (1 << (self.failures - 1).min(MAX_AGENT_DELAY_DOUBLINGS));
+                let longest =
+                    AGENT_RETRY_DELAY * (1 << (self.consecutive_failures - 1).min(MAX_AGENT_DELAY_DOUBLINGS));
                 Some(longest / 2 + self.jitter(longest / 2))
             }
         }
     }
 
-    /// Whether this failure deserves a line of the log: the first in a row, and ever fewer of those that follow.
+    /// Returns whether to log the current failure: the 1st, 2nd, 4th, 8th and so on of consecutive failures.
     pub(crate) fn should_log(&self) -> bool {
-        self.failures.is_power_of_two()
+        self.consecutive_failures.is_power_of_two()
     }
 }
 
--- a/discovery/src/poll_set.rs
+++ b/discovery/src/poll_set.rs
@@ -1,5 +1,5 @@
-//! PollSet of discovery that wait for their response. One that is slow may still be answered, and one that was lost never
-//! will be: the next goes out beside those that wait, and the first response counts.
+//! Polls of the discovery server that are waiting for a response. A poll that timed out may be slow rather than
+//! lost, so it stays pending in parallel with the next one; the first response of any is used.
 
 use crate::error::WatchError;
 use flaxhead_engine::{spawn, Task};
@@ -17,39 +17,40 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Most polls that wait at a time: the oldest is given up for a further one.
-const MAX_PENDING: usize = 3;
+/// Maximum number of polls in parallel; a further poll replaces the oldest.
+const MAX_PENDING_POLLS: usize = 3;
 
-/// A poll that was answered.
+/// Response to a poll.
 pub(crate) struct PollResponse {
-    /// The response's body, on which lists come.
+    /// Body of the response, on which the server sends lists.
     pub(crate) body: Incoming,
-    /// Its connection, which is open for as long as this is kept.
+    /// Task that drives the connection; dropping it closes the connection.
     pub(crate) _connection: Task,
 }
 
 type PendingPoll = Pin<Box<dyn Future<Output = Result<PollResponse, WatchError>>>>;
 
-/// The polls of one watch.
+/// Pending polls of one watch.
 pub(crate) struct PollSet {
     discovery: SocketAddr,
     pending: VecDeque<PendingPoll>,
 }
 
 impl PollSet {
-    /// None so far.
+    /// Creates an empty set for the server at this address.
     pub(crate) fn new(discovery: SocketAddr) -> PollSet {
         PollSet { discovery, pending: VecDeque::new() }
     }
 
-    /// PollSet once more, beside those that wait, and waits at most so long for a response to any. After one, good or bad,
-    /// none waits any more.
+    /// Sends another poll and waits up to `response_timeout` for the first result of any pending poll, which
+    /// also ends all others. After a timeout the polls stay pending. `since` is the version of the list to
+    /// continue from; `None` requests the full list.
     pub(crate) async fn poll(
         &mut self,
         since: Option<u64>,
         response_timeout: Duration,
     ) -> Result<PollResponse, WatchError> {
-        if self.pending.len() == MAX_PENDING {
+        if self.pending.len() == MAX_PENDING_POLLS {
             self.pending.pop_front();
         }
         self.pending.push_back(Box::pin(request_list(self.discovery, since)));
--- a/discovery/src/watch.rs
+++ b/discovery/src/watch.rs
@@ -1,4 +1,5 @@
-//! The watch: one poll after the other, each followed for as long as lists come.
+//! Watch of the endpoint list: polls the discovery server and receives lists until the connection fails,
+//! repeatedly.
 
 use crate::error::WatchError;
 use crate::json_stream::JsonStream;
@@ -10,8 +11,8 @@
 use std::net::SocketAddr;
 use tokio::time::{sleep, timeout};
 
-/// Watches the list from version `since` on and passes what comes to the handler, on one connection after the other, for as
-/// long as the backoff has a next one. Returns why the last one ended.
+/// Watches the list from version `since` on and passes each list to the handler. Reconnects after a failure
+/// for as long as `backoff` gives a delay, then returns the last error.
 pub(crate) async fn watch(
     discovery: SocketAddr,
     mut backoff: PollBackoff,
@@ -20,7 +21,7 @@
 ) -> WatchError {
     let mut polls = PollSet::new(discovery);
     loop {
-        let Err(error) = follow(&mut polls, &mut backoff, &mut since, handler).await;
+        let Err(error) = receive_lists(&mut polls, &mut backoff, &mut since, handler).await;
         let Some(delay) = backoff.next_delay(&error) else { return error };
         if backoff.should_log() {
             tracing::info!("discovery: {error}");
@@ -29,8 +30,8 @@
     }
 }
 
-/// Watches on the connection that is answered first; `since` follows the lists that came.
-async fn follow(
+/// Polls the server and receives lists on the first response until it fails. Updates `since` with each list.
+async fn receive_lists(
     polls: &mut PollSet,
     backoff: &mut PollBackoff,
     since: &mut Option<u64>,
--- a/engine/src/call.rs
+++ b/engine/src/call.rs
@@ -1,4 +1,4 @@
-//! A call, from its request until it has its response and none of its attempts is in flight.
+//! State of a call, kept until the client has its response and none of its attempts is in flight.
 
 use crate::clock::micros;
 use crate::task::Task;
@@ -11,142 +11,146 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// What the decision module is given of a request.
+/// Properties of a call that the policy needs.
 #[derive(Clone, Copy, Debug)]
 pub struct CallSpec {
-    /// Its class, which has its deadline, its priority weight and its idempotency.
+    /// Class of the call; its settings hold the priority weight and the idempotency.
     pub class: ClassId,
-    /// The tenant that makes the call, where it names one.
+    /// Tenant that makes the call; `None` if the client names none.
     pub tenant: Option<TenantId>,
-    /// Until when the client is to have its response.
+    /// Time by which the client needs the response.
     pub deadline: Instant,
-    /// Whether the client says that it has tried before.
+    /// True if the client marks the call as a retry of its own.
     pub resent: bool,
-    /// Most attempts that may reach a host, whatever the module's own limit; [`CallSpec::UNBOUNDED`]: that alone counts.
+    /// Maximum number of attempts that may reach a host, in addition to the policy's limit;
+    /// [`CallSpec::UNBOUNDED`] applies the policy's limit alone.
     pub max_attempts: u32,
 }
 
 impl CallSpec {
-    /// No limit on attempts beside the module's.
+    /// Value of `max_attempts` that adds no limit to the policy's.
     pub const UNBOUNDED: u32 = u32::MAX;
 }
 
-/// The one final response of a call.
+/// Final result of a call for its client.
 #[derive(Debug)]
 pub enum Reply<A> {
-    /// A host's response.
+    /// Response of a host.
     Served(A),
-    /// Rejected before it can have run; the client may retry after this time.
+    /// Rejection of a call that no host has run; the client may retry after this time.
     Rejected(Duration),
-    /// Failed; it may have run.
+    /// Failure of a call that a host may have run.
     Failed,
 }
 
-/// What hosts may have seen of a call.
+/// Attempts of a call that may have reached a host.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AttemptTrace {
-    /// Attempts of which at least one byte may have been sent.
+    /// Number of attempts of which at least one byte may have been written.
     pub attempts: u32,
-    /// Whether one of them may have run, or may still run.
+    /// True if a host may have run one of these attempts, or may still be running it.
     pub may_have_run: bool,
 }
 
-/// A call's end.
+/// Result of a call, with its attempts.
 #[derive(Debug)]
 pub struct FinalResponse<A> {
-    /// The response for the client.
+    /// Result for the client.
     pub reply: Reply<A>,
-    /// What hosts may have seen of the call.
+    /// Attempts that may have reached a host.
     pub trace: AttemptTrace,
 }
 
-/// Limits retries beyond what the module decides, across all calls that share it. It must not block.
+/// Limit on retries, shared by several calls and applied in addition to the policy's. Methods must not block.
 pub trait RetryLimiter {
-    /// Whether a further attempt may go out for a call of which hosts may have seen one; `false` ends the call. `now` is
-    /// the engine's clock.
+    /// Returns whether to send another attempt of a call of which an attempt may have reached a host; `false`
+    /// ends the call. `now` is a reading of the engine's clock.
     fn try_acquire(&mut self, now: Micros) -> bool;
 }
 
-/// What a call holds until it has its response and none of its attempts is in flight, also where its client has gone
-/// before. It is dropped then. It must not block, nor call the engine.
+/// Permit that a call holds until it has its response and none of its attempts is in flight, even if its
+/// client disconnects earlier. The engine drops it at that time. Methods must not block and must not call the
+/// engine.
 pub trait CallPermit {
-    /// Whether one more attempt may go out beside one that is in flight; `false`: the call goes on without it.
+    /// Acquires capacity for an attempt that runs in parallel with one in flight. Returns `false` if there is
+    /// none: the call then continues with the attempts it has.
     fn acquire_extra(&mut self) -> bool;
 
-    /// One of several attempts that were in flight has ended.
+    /// Releases the capacity of one parallel attempt; called when one of several attempts in flight has
+    /// ended.
     fn release_extra(&mut self);
 
-    /// An attempt that may have reached its host was given up, so the host may work on for a moment. Called before the
-    /// attempt counts as ended.
+    /// Reports that an attempt was cancelled or timed out after it may have reached its host, which may
+    /// therefore still be working on it. Called before `release_extra` and before the permit is dropped.
     fn attempt_abandoned(&mut self);
 }
 
-/// A call in flight.
+/// Call in flight.
 pub(crate) struct Call<T: Transport> {
     pub(crate) request: Rc<T::Request>,
     pub(crate) class: ClassId,
-    /// It must never run twice.
+    /// True if the call must not run twice.
     pub(crate) non_idempotent: bool,
     pub(crate) deadline: Instant,
-    /// `None` once the call has its response, or its client has gone.
+    /// Channel to the client; `None` once the response is sent or the client has disconnected.
     pub(crate) reply: Option<oneshot::Sender<FinalResponse<T::Response>>>,
-    /// By attempt number; `None` once that attempt has ended.
+    /// Attempts by number; `None` for those that have ended.
     pub(crate) attempts: Vec<Option<Attempt>>,
-    /// What hosts may have seen of the attempts that have ended.
+    /// Summary of the attempts that have ended.
     pub(crate) ended_trace: AttemptTrace,
     pub(crate) max_attempts: u32,
     pub(crate) permit: Option<Box<dyn CallPermit>>,
 }
 
-/// An attempt in flight.
+/// Attempt in flight.
 pub(crate) struct Attempt {
     pub(crate) server: ServerId,
     pub(crate) address: SocketAddr,
-    pub(crate) sent: Instant,
+    pub(crate) sent_at: Instant,
     pub(crate) meter: WriteMeter,
-    /// Cancels the attempt when dropped.
+    /// Task that runs the attempt; dropping it cancels the attempt.
     pub(crate) _task: Task,
 }
 
 impl Attempt {
-    fn may_have_been_seen(&self) -> bool {
+    fn may_have_reached_host(&self) -> bool {
         self.meter.bytes_written() > 0
     }
 }
 
-/// Whether a call may have a further attempt.
+/// Decision on whether a call may have another attempt.
 pub(crate) enum Permission {
     Granted,
-    /// The call goes on with the attempts that it has.
+    /// No capacity for a parallel attempt: the call continues with the attempts it has.
     Denied,
-    /// The call ends.
+    /// A limit on attempts or retries is reached: the call ends.
     Exhausted {
-        /// Whether one of its attempts may have run.
+        /// True if a host may have run one of the call's attempts.
         may_have_run: bool,
     },
 }
 
 impl AttemptTrace {
     fn record(&mut self, attempt: &Attempt, outcome: Outcome) {
-        let seen = attempt.may_have_been_seen();
-        self.attempts += u32::from(seen);
-        self.may_have_run |= seen && !outcome.never_ran();
+        let reached = attempt.may_have_reached_host();
+        self.attempts += u32::from(reached);
+        self.may_have_run |= reached && !outcome.never_ran();
     }
 }
 
 impl<T: Transport> Call<T> {
-    /// Whether its client still waits.
+    /// Returns whether the client is still waiting for the response.
     pub(crate) fn is_pending(&self) -> bool {
         self.reply.is_some()
     }
 
-    /// What hosts may have seen of it so far.
+    /// Returns the attempts that may have reached a host so far.
     pub(crate) fn trace(&self) -> AttemptTrace {
-        let seen = self.in_flight().filter(|attempt| attempt.may_have_been_seen());
-        let seen = u32::try_from(seen.count()).unwrap_or(u32::MAX);
+        let reached = self.in_flight().filter(|attempt| attempt.may_have_reached_host());
+        let reached = u32::try_from(reached.count()).unwrap_or(u32::MAX);
         AttemptTrace {
-            attempts: self.ended_trace.attempts.saturating_add(seen),
-            may_have_run: self.ended_trace.may_have_run || seen > 0,
+            attempts: self.ended_trace.attempts.saturating_add(reached),
+            may_have_run: self.ended_trace.may_have_run || reached > 0,
         }
     }
 
@@ -154,53 +158,55 @@
         self.attempts.iter().flatten()
     }
 
-    /// The number of the next attempt.
+    /// Returns the number that the next attempt will have.
     pub(crate) fn next_attempt(&self) -> u32 {
         u32::try_from(self.attempts.len()).unwrap_or(u32::MAX)
     }
 
-    /// Removes an attempt from those in flight, as it has ended so.
+    /// Removes an attempt that has ended with this outcome from those in flight. Returns `None` if it is not
+    /// in flight.
     pub(crate) fn take_attempt(&mut self, attempt: u32, outcome: Outcome) -> Option<Attempt> {
         let ended = self.attempts.get_mut(attempt as usize)?.take()?;
         self.ended_trace.record(&ended, outcome);
         let abandoned = matches!(outcome, Outcome::Cancelled | Outcome::TimedOut);
-        if let Some(permit) = self.permit.as_mut().filter(|_| abandoned && ended.may_have_been_seen()) {
+        if let Some(permit) = self.permit.as_mut().filter(|_| abandoned && ended.may_have_reached_host()) {
             permit.attempt_abandoned();
         }
         self.release_extra_permits(1);
         Some(ended)
     }
 
-    /// Whether it may have a further attempt now.
+    /// Checks the limits on attempts and retries, and acquires capacity if the attempt runs in parallel.
     pub(crate) fn permission(
         &mut self,
-        retries: Option<&mut (dyn RetryLimiter + 'static)>,
+        retry_limiter: Option<&mut (dyn RetryLimiter + 'static)>,
         now: Micros,
     ) -> Permission {
         let AttemptTrace { attempts, may_have_run } = self.trace();
-        let may_go = match attempts {
+        let is_allowed = match attempts {
             0 => true,
             attempts if attempts >= self.max_attempts => false,
-            _ => retries.is_none_or(|retries| retries.try_acquire(now)),
+            _ => retry_limiter.is_none_or(|retry_limiter| retry_limiter.try_acquire(now)),
         };
-        if !may_go {
+        if !is_allowed {
             return Permission::Exhausted { may_have_run };
         }
-        match self.may_add_attempt() {
+        match self.acquire_extra_permit() {
             true => Permission::Granted,
             false => Permission::Denied,
         }
     }
 
-    /// Counts an attempt that is not sent. Returns its outcome for the module.
-    pub(crate) fn skip_attempt(&mut self, id: CallId, complete: bool) -> Event {
+    /// Numbers an attempt that the policy requested but that is not sent. Returns its outcome for the policy.
+    pub(crate) fn record_unsent_attempt(&mut self, id: CallId, complete: bool) -> Event {
         let attempt = self.next_attempt();
         self.attempts.push(None);
         outcome_event(id, attempt, Outcome::NotSent, Duration::ZERO, complete)
     }
 
-    /// Whether one more attempt may go out now, by the call's permit.
-    fn may_add_attempt(&mut self) -> bool {
+    /// Acquires capacity from the permit if another attempt is in flight. Returns whether an attempt can be
+    /// sent.
+    fn acquire_extra_permit(&mut self) -> bool {
         let is_extra = self.in_flight().next().is_some();
         match &mut self.permit {
             Some(permit) if is_extra => permit.acquire_extra(),
@@ -208,7 +214,8 @@
         }
     }
 
-    /// Releases the permits of attempts that have ended. The call's last attempt uses the call's own permit.
+    /// Releases the capacity of this number of attempts that have ended. The call's last attempt in flight
+    /// needs no extra capacity: it runs under the permit itself.
     fn release_extra_permits(&mut self, ended: usize) {
         let is_last = self.in_flight().next().is_none();
         let extra = if is_last { ended.saturating_sub(1) } else { ended };
@@ -217,19 +224,19 @@
         }
     }
 
-    /// Ends the attempts that are unwanted and of which nothing is written yet. Unlike one that is cancelled, such an
-    /// attempt surely never ran.
+    /// Withdraws the attempts selected by `should_withdraw` of which nothing is written yet. Unlike a
+    /// cancelled attempt, a withdrawn one cannot have run.
     pub(crate) fn withdraw(
         &mut self,
         id: CallId,
         events: &mut VecDeque<Event>,
-        is_unwanted: impl Fn(&Attempt) -> bool,
+        should_withdraw: impl Fn(&Attempt) -> bool,
     ) {
         let complete = !self.is_pending();
         let mut ended = 0;
         for (attempt, slot) in (0..).zip(&mut self.attempts) {
             if let Some(unsent) =
-                slot.take_if(|attempt| !attempt.may_have_been_seen() && is_unwanted(attempt))
+                slot.take_if(|attempt| !attempt.may_have_reached_host() && should_withdraw(attempt))
             {
                 unsent.meter.withdraw();
                 ended += 1;
@@ -237,7 +244,7 @@
                     id,
                     attempt,
                     Outcome::NotSent,
-                    unsent.sent.elapsed(),
+                    unsent.sent_at.elapsed(),
                     complete,
                 ));
             }
@@ -246,7 +253,7 @@
     }
 }
 
-/// The module's event for an attempt that the engine itself has ended.
+/// Creates the policy's event for an attempt that the engine itself has ended.
 pub(crate) fn outcome_event(
     call: CallId,
     attempt: u32,
--- a/engine/src/endpoint_list.rs
+++ b/engine/src/endpoint_list.rs
@@ -1,78 +1,78 @@
-//! The endpoint list, in the platform's JSON form: field names are its keys.
+//! Endpoint list, as the platform's JSON encodes it: field names are the JSON keys.
 
 use flaxhead_policy::ServerId;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// A full endpoint list, or the endpoints that changed.
+/// Full endpoint list, or the endpoints that changed.
 #[derive(Clone, Debug, Deserialize)]
 pub struct EndpointList {
     /// Version of the list.
     pub seq: u64,
-    /// Whether this is the full list.
+    /// True for the full list, false for changed endpoints only.
     pub whole: bool,
-    /// The endpoints.
+    /// Endpoints of the full list, or those that changed.
     pub hosts: Vec<Endpoint>,
 }
 
-/// One host of the endpoint list.
+/// Host in the endpoint list.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Endpoint {
-    /// The host's name, the same for every proxy.
+    /// Name of the host, the same at every proxy.
     pub host: String,
-    /// The address where it listens.
+    /// Address at which the host accepts connections.
     pub dial: SocketAddr,
-    /// Its zone.
+    /// Zone of the host; empty if unknown.
     #[serde(default)]
     pub site: String,
-    /// Its hardware model; hosts of one model have much the same capacity.
+    /// Hardware model; hosts of one model have similar capacity.
     #[serde(default)]
     pub class: String,
-    /// The cell: hosts of one cell deduplicate each other's requests.
+    /// Cell; hosts of one cell deduplicate each other's requests.
     #[serde(default)]
     pub block: u32,
-    /// Whether it takes requests.
+    /// Health, which says whether the host accepts requests.
     pub health: Health,
-    /// Its capacity relative to the other hosts'.
+    /// Capacity relative to the other hosts'.
     #[serde(default)]
     pub share: f64,
-    /// When it last started, Unix time in milliseconds; 0: long ago.
+    /// Last start of the host, Unix time in milliseconds; 0 if it started too long ago to matter.
     #[serde(default)]
     pub born_ms: u64,
 }
 
-/// A host's state according to the list.
+/// State of a host according to the list.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 pub enum Health {
-    /// It takes requests.
+    /// Accepts requests.
     Ready,
-    /// It drains: it finishes what it has.
+    /// Draining: finishes the requests in progress and accepts no new ones.
     Terminating,
-    /// It has been removed.
+    /// Removed from service.
     Gone,
 }
 
-/// A host's number and health.
+/// Server number and health of a listed host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ListedHealth {
     pub(crate) server: ServerId,
     pub(crate) health: Health,
 }
 
-/// The health of each listed host, by name.
+/// Listed hosts by name.
 pub(crate) type HealthByHost = BTreeMap<String, ListedHealth>;
 
-/// A host whose health has changed.
+/// Change of a host's health.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct HealthChange {
     pub(crate) host: String,
     pub(crate) server: ServerId,
-    /// What it is now.
+    /// Health after the change.
     pub(crate) health: Health,
 }
 
-/// The hosts whose health differs between two lists: first those that are no longer listed.
+/// Returns the hosts whose health differs between two lists, starting with those that are no longer listed.
 pub(crate) fn health_changes(before: &HealthByHost, after: &HealthByHost) -> Vec<HealthChange> {
     let change = |host: &String, server, health| HealthChange { host: host.clone(), server, health };
     let removed = before.iter().filter(|(host, _)| !after.contains_key(*host));
--- a/engine/src/endpoint_state.rs
+++ b/engine/src/endpoint_state.rs
@@ -1,34 +1,34 @@
-//! A listed host, as the engine keeps it.
+//! State that the engine keeps for a listed host.
 
 use crate::endpoint_list::Health;
 use crate::send_cutoff::SendCutoff;
 use flaxhead_policy::Entry;
 use std::net::SocketAddr;
 
-/// A listed host.
+/// State of a listed host.
 #[derive(Debug)]
 pub(crate) struct EndpointState {
-    /// The address where it listens.
+    /// Address at which the host accepts connections.
     pub(crate) address: SocketAddr,
-    /// When it last started, Unix time in milliseconds.
+    /// Last start of the host, Unix time in milliseconds.
     pub(crate) started_ms: u64,
-    /// Its health according to the list.
+    /// Health according to the list.
     pub(crate) health: Health,
-    /// What the decision module is given of it while it is available.
+    /// Entry that is passed to the policy while the host is available.
     pub(crate) entry: Entry,
-    /// Whether the module was last told that it takes calls.
+    /// True if the policy was last told that the host is ready.
     pub(crate) announced_ready: bool,
-    /// From when on nothing new may be sent there, whatever the list says.
+    /// Time from which no new attempts may be sent to the host, even if the list says that it is ready.
     pub(crate) cutoff: SendCutoff,
 }
 
 impl EndpointState {
-    /// Whether something new may be written to it at this address.
+    /// Returns whether a new attempt may be written to the host at this address.
     pub(crate) fn accepts_at(&self, address: SocketAddr) -> bool {
         self.is_available() && self.address == address
     }
 
-    /// Whether it takes calls: it is listed ready and not excluded.
+    /// Returns whether the host is listed as ready and not excluded.
     pub(crate) fn is_available(&self) -> bool {
         self.health == Health::Ready && !self.cutoff.has_passed()
     }
--- a/engine/src/engine/attempts.rs
+++ b/engine/src/engine/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts, as the decision module asks for them.
+//! Sending and cancelling attempts for the policy.
 
 use super::{Engine, Inner};
 use crate::call::{outcome_event, Attempt, Permission, Reply};
@@ -8,33 +8,33 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// When an attempt may run, by the engine's clock.
+/// Time limits of an attempt, on the engine's clock.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SendWindow {
-    /// When it is given up; `None`: with its call.
+    /// Time at which the attempt is cancelled; `None` for the call's deadline.
     pub(super) deadline: Option<Micros>,
-    /// From when on it must not begin; `None`: it may for as long as it is in flight.
+    /// Time from which writing must not start; `None` for no limit but the deadline.
     pub(super) send_by: Option<Micros>,
 }
 
 impl<T: Transport> Inner<T> {
-    /// Sends an attempt, or reports at once that it was not sent.
+    /// Sends an attempt, or queues the event that it was not sent.
     pub(super) fn send(&mut self, engine: &Engine<T>, id: CallId, server: ServerId, window: SendWindow) {
         let now = Instant::now();
-        let Inner { calls, hosts, retries, transport, clock, counts, events, .. } = self;
+        let Inner { calls, hosts, retry_limiter, transport, clock, counts, events, .. } = self;
         let Some(call) = calls.get_mut(&id) else { return };
         let deadline = window.deadline.map_or(call.deadline, |at| clock.instant(at).min(call.deadline));
         let host = hosts.get(&server).filter(|host| host.is_available());
         let Some(host) = host.filter(|_| call.is_pending() && now < deadline) else {
-            return events.push_back(call.skip_attempt(id, !call.is_pending()));
+            return events.push_back(call.record_unsent_attempt(id, !call.is_pending()));
         };
-        match call.permission(retries.as_deref_mut(), clock.at(now)) {
+        match call.permission(retry_limiter.as_deref_mut(), clock.at(now)) {
             Permission::Granted => {}
-            Permission::Denied => return events.push_back(call.skip_attempt(id, false)),
+            Permission::Denied => return events.push_back(call.record_unsent_attempt(id, false)),
             Permission::Exhausted { may_have_run } => {
-                events.push_back(call.skip_attempt(id, true));
+                events.push_back(call.record_unsent_attempt(id, true));
                 let reply = if may_have_run { Reply::Failed } else { Reply::Rejected(Duration::ZERO) };
-                return self.answer(id, reply);
+                return self.complete_call(id, reply);
             }
         }
         let address = host.address;
@@ -51,15 +51,15 @@
             })
         };
         counts.attempts += 1;
-        call.attempts.push(Some(Attempt { server, address, sent: now, meter, _task: task }));
+        call.attempts.push(Some(Attempt { server, address, sent_at: now, meter, _task: task }));
     }
 
-    /// Cancels an attempt.
+    /// Cancels an attempt that the policy no longer needs.
     pub(super) fn cancel(&mut self, id: CallId, attempt: u32) {
         let Some(call) = self.calls.get_mut(&id) else { return };
         let Some(cancelled) = call.take_attempt(attempt, Outcome::Cancelled) else { return };
         let complete = !call.is_pending();
-        let elapsed = cancelled.sent.elapsed();
+        let elapsed = cancelled.sent_at.elapsed();
         self.events.push_back(outcome_event(id, attempt, Outcome::Cancelled, elapsed, complete));
         self.remove_if_finished(id);
     }
--- a/engine/src/engine/calls.rs
+++ b/engine/src/engine/calls.rs
@@ -1,4 +1,4 @@
-//! The life of a call: received, ended, answered, removed.
+//! Submission, completion and removal of calls.
 
 use super::{Engine, Inner, PendingCall};
 use crate::call::{AttemptTrace, Call, CallPermit, CallSpec, FinalResponse, Reply};
@@ -12,7 +12,8 @@
 use tokio::time::Instant;
 
 impl<T: Transport> Engine<T> {
-    /// Receives a call, with the permit that it holds meanwhile, if any.
+    /// Submits a call. `permit` is held until the call has its response and none of its attempts is in
+    /// flight.
     pub fn request(
         &self,
         spec: CallSpec,
@@ -21,8 +22,8 @@
     ) -> PendingCall<T> {
         let mut inner = self.0.borrow_mut();
         inner.counts.requests += 1;
-        inner.last_call += 1;
-        let call = CallId(inner.last_call);
+        inner.last_call_id += 1;
+        let call = CallId(inner.last_call_id);
         let (sender, reply) = oneshot::channel();
         let CallSpec { class, tenant, deadline, resent, max_attempts } = spec;
         let time_left = micros(deadline.saturating_duration_since(Instant::now()));
@@ -47,7 +48,7 @@
         PendingCall { engine: self.clone(), call, reply }
     }
 
-    /// Gives a call up, as its client has gone.
+    /// Ends a call whose client has disconnected. Returns the attempts that may have reached a host.
     pub(super) fn abandon(&self, id: CallId) -> AttemptTrace {
         let mut inner = self.0.borrow_mut();
         let Some(call) = inner.calls.get_mut(&id).filter(|call| call.is_pending()) else {
@@ -62,32 +63,35 @@
         trace
     }
 
-    /// Answers all pending calls at once: rejected where nothing can have run, otherwise failed. What comes after that is
-    /// left to the front.
+    /// Completes all pending calls at once: those that no host can have run are rejected, the others fail.
+    /// Calls that are submitted later are not affected.
     pub fn complete_all_calls(&self) {
         let mut inner = self.0.borrow_mut();
         let pending: Vec<CallId> =
             inner.calls.iter().filter(|(_, call)| call.is_pending()).map(|(&id, _)| id).collect();
         for id in pending {
             let may_have_run = inner.calls.get(&id).is_some_and(|call| call.trace().may_have_run);
-            // As where a client goes: the module hears of that before it hears of what is withdrawn.
+            // The policy expects the end of the call before the outcomes of its withdrawn attempts.
             inner.events.push_back(Event::ClientCancelled { call: id });
-            inner.answer(id, if may_have_run { Reply::Failed } else { Reply::Rejected(Duration::ZERO) });
+            inner.complete_call(
+                id,
+                if may_have_run { Reply::Failed } else { Reply::Rejected(Duration::ZERO) },
+            );
         }
         drop(inner);
         self.run([]);
     }
 
-    /// Takes in how an attempt ended.
+    /// Handles the end of an attempt.
     pub(super) fn finish_attempt(&self, id: CallId, attempt: u32, result: AttemptResult<T::Response>) {
         let mut inner = self.0.borrow_mut();
         let Some(call) = inner.calls.get_mut(&id) else { return };
         let AttemptResult { outcome, load, response } = result;
         let Some(ended) = call.take_attempt(attempt, outcome) else { return };
-        let elapsed = micros(ended.sent.elapsed());
+        let elapsed = micros(ended.sent_at.elapsed());
         let complete = response.is_some() || !call.is_pending();
         if let Some(response) = response {
-            inner.respond(id, Reply::Served(response));
+            inner.send_response(id, Reply::Served(response));
         }
         inner.events.push_back(Event::Outcome { call: id, attempt, outcome, elapsed, complete, load });
         inner.remove_if_finished(id);
@@ -96,29 +100,30 @@
         }
         drop(inner);
         self.run([]);
-        // Dropped last: this may be the very task of the attempt.
+        // Dropping the attempt aborts its task, which may be the task that runs this function.
         drop(ended);
     }
 }
 
 impl<T: Transport> Inner<T> {
-    /// Gives a call its response, and removes it if nothing of it is left.
-    pub(super) fn answer(&mut self, id: CallId, reply: Reply<T::Response>) {
-        self.respond(id, reply);
+    /// Completes a call, and removes it if none of its attempts is in flight.
+    pub(super) fn complete_call(&mut self, id: CallId, reply: Reply<T::Response>) {
+        self.send_response(id, reply);
         self.remove_if_finished(id);
     }
 
-    /// Gives a call its response, unless it has one.
-    fn respond(&mut self, id: CallId, reply: Reply<T::Response>) {
+    /// Sends the response to the client, unless the call is complete.
+    fn send_response(&mut self, id: CallId, reply: Reply<T::Response>) {
         let Some(call) = self.calls.get_mut(&id) else { return };
         let Some(sender) = call.reply.take() else { return };
         let trace = call.trace();
         self.notify(|| EngineEvent::CallCompleted { call: id, reply: &reply });
-        // A client that has just gone has no use for it.
+        // Sending fails only if the client has just disconnected.
         let _ = sender.send(FinalResponse { reply, trace });
     }
 
-    /// Withdraws what is left of a call without a client, and removes it once none of its attempts is in flight.
+    /// Withdraws the unwritten attempts of a complete call, and removes the call once none of its attempts is
+    /// in flight.
     pub(super) fn remove_if_finished(&mut self, id: CallId) {
         let Some(call) = self.calls.get_mut(&id).filter(|call| !call.is_pending()) else { return };
         call.withdraw(id, &mut self.events, |_| true);
--- a/engine/src/engine/endpoints.rs
+++ b/engine/src/engine/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: where it comes from, what it withdraws, and which hosts are excluded whatever it says.
+//! Watching and applying the endpoint list, and excluding hosts regardless of the list.
 
 use super::{Engine, Inner};
 use crate::endpoint_list::{health_changes, Endpoint, EndpointList, Health, HealthByHost, ListedHealth};
@@ -14,19 +14,19 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, sleep_until, Instant};
 
-/// Where the list is pushed the module never asks for it: a watch that ended is opened again after this.
+/// Delay before the engine reopens a watch that ended, if the policy does not subscribe to the list itself.
 const PUSH_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 impl<T: Transport> Engine<T> {
-    /// Watches the list at this source from now on, from the version in hand.
+    /// Replaces the list source, and watches the new one from the current version of the list on.
     pub fn set_list_source(&self, source: Rc<dyn ListSource>) {
         let mut inner = self.0.borrow_mut();
         inner.source = source;
         inner.subscribe(self);
     }
 
-    /// Applies a list: what is not yet written to hosts that it does not name ready is withdrawn. `cached`: it is the one
-    /// that the engine was started with.
+    /// Applies a list, and withdraws unwritten attempts at hosts that are not ready in it. `cached` is true
+    /// for the list that the engine was started with.
     pub(super) fn apply_list(&self, list: &EndpointList, cached: bool) {
         let mut inner = self.0.borrow_mut();
         let before = (!inner.observers.is_empty()).then(|| inner.health_by_host());
@@ -42,7 +42,7 @@
             let servers: Vec<ServerId> = entries.iter().map(|entry| entry.server).collect();
             inner.notify(|| EngineEvent::ListReceived { list, servers: &servers });
         }
-        // The module hears of the list before it hears of what the list withdraws.
+        // The policy must receive the list before the outcomes of attempts that the list withdraws.
         inner.events.push_back(Event::Members { kind, entries });
         inner.withdraw_unavailable();
         inner.remove_unlisted();
@@ -53,18 +53,18 @@
         self.run([]);
     }
 
-    /// Excludes these hosts, each from its moment on, and no others: nothing new is sent there, and what runs there ends
-    /// by itself. The list still applies to all others.
+    /// Replaces the set of excluded hosts; each is excluded from the given time on. No new attempts are sent
+    /// to an excluded host, even if it is listed as ready; attempts in flight there continue.
     pub fn set_excluded_hosts(&self, hosts: impl IntoIterator<Item = (String, Instant)>) {
         let mut inner = self.0.borrow_mut();
         inner.excluded = hosts.into_iter().collect();
-        let Inner { names, hosts, excluded, .. } = &mut *inner;
-        for (name, server) in names.iter() {
+        let Inner { server_ids, hosts, excluded, .. } = &mut *inner;
+        for (name, server) in server_ids.iter() {
             if let Some(host) = hosts.get(server) {
                 host.cutoff.set(excluded.get(name).copied());
             }
         }
-        // A moment that comes later is a change of its own.
+        // An exclusion that starts later changes the host's availability at that time.
         let now = Instant::now();
         let next = excluded.values().filter(|from| **from > now).min().copied();
         drop(inner);
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Tells the module of hosts that take calls by now, or no longer, though the list is the same.
+    /// Reports hosts to the policy whose availability has changed without a new list.
     fn refresh_availability(&self) {
         let mut inner = self.0.borrow_mut();
         let mut entries = Vec::new();
@@ -101,14 +101,14 @@
 }
 
 impl<T: Transport> Inner<T> {
-    /// Opens a watch in place of the last one.
+    /// Opens a watch of the list, and ends the previous one.
     pub(super) fn subscribe(&mut self, engine: &Engine<T>) {
         let list_is_pushed = !self.settings.subscribe;
         let engine = engine.clone();
         let receiver = engine.clone();
         let handler = Box::new(move |list| receiver.apply_list(&list, false));
         let watch = self.source.watch(self.list_seq, handler);
-        // The task of the last watch, if there is one, ends here.
+        // Replacing the task aborts the previous watch.
         self.watch = Some(spawn(async move {
             let reason = watch.await;
             tracing::info!("discovery: {reason}");
@@ -120,7 +120,7 @@
         }));
     }
 
-    /// Takes in what a list says of each host. Returns the same for the module.
+    /// Updates the state of each host in a list. Returns the list's entries for the policy.
     fn update_endpoints(&mut self, list: &EndpointList, kind: ListKind) -> Vec<Entry> {
         if kind != ListKind::Delta {
             self.hosts.values_mut().for_each(|host| host.health = Health::Gone);
@@ -134,15 +134,15 @@
         entries
     }
 
-    /// Forgets the hosts that are gone.
+    /// Removes the state of hosts that are no longer listed.
     fn remove_unlisted(&mut self) {
-        let Inner { names, hosts, transport, excluded, .. } = self;
+        let Inner { server_ids, hosts, transport, excluded, .. } = self;
         for (&server, _) in hosts.iter().filter(|(_, host)| host.health == Health::Gone) {
             transport.remove_endpoint(server);
         }
         hosts.retain(|_, host| host.health != Health::Gone);
-        // What still runs at a host that is excluded is counted by its name.
-        names.retain(|name, server| hosts.contains_key(server) || excluded.contains_key(name));
+        // Attempts in flight at an excluded host are counted by its name.
+        server_ids.retain(|name, server| hosts.contains_key(server) || excluded.contains_key(name));
     }
 
     fn notify_health_changes(&mut self, before: &HealthByHost) {
@@ -157,12 +157,11 @@
             let health = self.hosts.get(&server)?.health;
             Some((name.clone(), ListedHealth { server, health }))
         };
-        self.names.iter().filter_map(listed).collect()
+        self.server_ids.iter().filter_map(listed).collect()
     }
 
-    /// Records a host's address, start and health. Returns its number, the same at every proxy: the module spreads proxies
-    /// over servers by the order of their numbers, and in the order of their arrival the new ones would all stand together.
-    /// Idle connections to it are of no use once it moves or starts again.
+    /// Records the address, start time and health of a host. Returns its server number. If the address or the
+    /// start time has changed, idle connections to the host are closed.
     fn register(&mut self, endpoint: &Endpoint) -> ServerId {
         let server = self.server_id(endpoint);
         let Endpoint { dial: address, born_ms: started_ms, health, .. } = *endpoint;
@@ -184,21 +183,25 @@
         server
     }
 
+    /// Returns the server number of a host, and assigns one to a new host. Numbers are hashes of names, so
+    /// that they are the same at every proxy: the policy assigns servers to proxies by the order of the
+    /// numbers.
     fn server_id(&mut self, endpoint: &Endpoint) -> ServerId {
         let hosts = &self.hosts;
-        *self.names.entry(endpoint.host.clone()).or_insert_with(|| {
+        *self.server_ids.entry(endpoint.host.clone()).or_insert_with(|| {
             let mut server = flaxhead_settings::server_id(&endpoint.host);
-            // Two names that share a number are one in millions; the later one takes the next.
+            // On a hash collision the later host takes the next free number.
             while hosts.contains_key(&server) {
                 server.0 = server.0.wrapping_add(1);
             }
-            // The module's log lines name servers by number alone.
-            tracing::info!("server {} is {} at {}", server.0, endpoint.host, endpoint.dial);
+            // The policy's log lines identify servers by number only.
+            tracing::info!("engine: server {} is host {} at {}", server.0, endpoint.host, endpoint.dial);
             server
         })
     }
 
-    /// Keeps what the list says of a host. Returns what the module is given: the same, unless the host is excluded.
+    /// Records the list's entry of a host. Returns the entry for the policy, which shows an excluded host as
+    /// draining.
     fn record_entry(&mut self, name: &str, mut entry: Entry) -> Entry {
         let Inner { hosts, excluded, .. } = self;
         if let Some(host) = hosts.get_mut(&entry.server) {
@@ -212,8 +215,9 @@
         entry
     }
 
-    /// Withdraws what is not yet written to hosts that are not available, or no longer listed, and closes idle connections
-    /// to them: a request counts as sent when it is written, not when that was decided.
+    /// Withdraws unwritten attempts at hosts that are not available or no longer listed, and closes idle
+    /// connections to hosts that are not available. A request counts as sent when it is written, not when the
+    /// policy decides to send it.
     fn withdraw_unavailable(&mut self) {
         let Inner { calls, hosts, events, transport, .. } = self;
         for (&server, host) in hosts.iter() {
@@ -227,7 +231,7 @@
     }
 }
 
-/// What the decision module is given of a listed host.
+/// Converts an endpoint to the policy's entry.
 fn policy_entry(server: ServerId, endpoint: &Endpoint) -> Entry {
     let state = match endpoint.health {
         Health::Ready => State::Ready,
--- a/engine/src/engine/mod.rs
+++ b/engine/src/engine/mod.rs
@@ -1,5 +1,5 @@
-//! Drives the decision module: turns what happens to calls, attempts and hosts into its events, in one order and on one
-//! clock, and executes its actions. It decides nothing itself.
+//! The engine: passes events of calls, attempts and hosts to the policy in one order and on one clock, and
+//! executes the actions that the policy returns.
 
 mod attempts;
 mod calls;
@@ -25,23 +25,23 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, sleep_until, Instant};
 
-/// How often the transport closes what was idle for too long.
+/// Interval at which the transport closes connections that were idle for too long.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
-/// Sweeps between two lines of statistics in the log.
+/// Number of sweeps between two lines of statistics in the log.
 const SWEEPS_PER_LOG_LINE: u32 = 10;
 
-/// What an engine is started with.
+/// Configuration of an engine.
 #[derive(Clone, Debug)]
 pub struct EngineConfig {
-    /// For random numbers; new with each start.
+    /// Seed of the policy's random numbers; must differ at each start.
     pub seed: u64,
-    /// The decision module's settings.
+    /// Settings of the policy.
     pub settings: Settings,
-    /// The endpoint list as this proxy last had it; it may be outdated.
+    /// Endpoint list saved by an earlier process, possibly outdated; `None` if there is none.
     pub cached_list: Option<EndpointList>,
 }
 
-/// Statistics for the log, which shows them by these names.
+/// Statistics for the log, whose lines show these field names.
 #[derive(Debug, Default)]
 struct Counts {
     requests: u64,
@@ -53,15 +53,15 @@
     clock: Clock,
     settings: Settings,
     balancer: Balancer,
-    /// What the module is to be given next.
+    /// Events that the policy has still to handle.
     events: VecDeque<Event>,
     calls: BTreeMap<CallId, Call<T>>,
-    last_call: u64,
+    last_call_id: u64,
     hosts: HashMap<ServerId, EndpointState>,
-    names: HashMap<String, ServerId>,
-    /// Hosts that are excluded, each from a moment on, whatever the list says.
+    server_ids: HashMap<String, ServerId>,
+    /// Hosts that are excluded regardless of the list, with the time from which each is.
     excluded: HashMap<String, Instant>,
-    /// The version of the list in hand.
+    /// Version of the last list applied.
     list_seq: Option<u64>,
     has_list: bool,
     source: Rc<dyn ListSource>,
@@ -69,10 +69,11 @@
     transport: T,
     counts: Counts,
     observers: Vec<Box<dyn Observer<T>>>,
-    retries: Option<Box<dyn RetryLimiter>>,
+    retry_limiter: Option<Box<dyn RetryLimiter>>,
 }
 
-/// An engine, shared by the tasks of one thread. No method blocks, and none is called from within another.
+/// Call engine, shared by the tasks of one thread. No method blocks. A callback of the engine must not call
+/// its methods.
 pub struct Engine<T: Transport>(Rc<RefCell<Inner<T>>>);
 
 impl<T: Transport> Clone for Engine<T> {
@@ -82,13 +83,14 @@
 }
 
 impl<T: Transport> Engine<T> {
-    /// Starts the decision module; `retries` limits retries beside it. Called inside a [`tokio::task::LocalSet`].
+    /// Starts an engine. `retry_limiter` limits retries in addition to the policy. Must be called inside a
+    /// [`tokio::task::LocalSet`].
     pub fn start(
         config: EngineConfig,
         transport: T,
         source: Rc<dyn ListSource>,
         observers: Vec<Box<dyn Observer<T>>>,
-        retries: Option<Box<dyn RetryLimiter>>,
+        retry_limiter: Option<Box<dyn RetryLimiter>>,
     ) -> Engine<T> {
         let EngineConfig { seed, settings, cached_list } = config;
         let list_is_pushed = !settings.subscribe;
@@ -98,11 +100,11 @@
             settings,
             events: VecDeque::new(),
             calls: BTreeMap::new(),
-            last_call: 0,
+            last_call_id: 0,
             hosts: HashMap::new(),
-            names: HashMap::new(),
+            server_ids: HashMap::new(),
             excluded: HashMap::new(),
-            // Set before the start: the module subscribes at once, from the version of the list that it is given next.
+            // The policy may subscribe while it handles `Event::Start`, before it receives the cached list.
             list_seq: cached_list.as_ref().map(|cached_list| cached_list.seq),
             has_list: false,
             source,
@@ -110,7 +112,7 @@
             transport,
             counts: Counts::default(),
             observers,
-            retries,
+            retry_limiter,
         };
         let engine = Engine(Rc::new(RefCell::new(inner)));
         engine.run([Event::Start]);
@@ -138,7 +140,8 @@
         });
     }
 
-    /// Whether the engine has an endpoint list.
+    /// Returns whether the engine has an endpoint list: one with hosts from its cache, or any from its
+    /// source.
     pub fn is_ready(&self) -> bool {
         self.0.borrow().has_list
     }
@@ -148,25 +151,26 @@
         let inner = self.0.borrow();
         let calls = inner.calls.len();
         let stats = inner.transport.stats();
-        tracing::info!("{calls} calls, {stats:?}, {:?}", inner.counts);
+        tracing::info!("engine: {calls} calls, {stats:?}, {:?}", inner.counts);
     }
 
-    /// Looks at the engine as it is now.
-    pub fn view<R>(&self, look: impl FnOnce(&EngineView<'_, T>) -> R) -> R {
+    /// Calls `read` with a view of the current state of the engine.
+    pub fn view<R>(&self, read: impl FnOnce(&EngineView<'_, T>) -> R) -> R {
         let inner = self.0.borrow();
-        let Inner { clock, settings, balancer, names, hosts, calls, .. } = &*inner;
-        look(&EngineView {
+        let Inner { clock, settings, balancer, server_ids, hosts, calls, .. } = &*inner;
+        read(&EngineView {
             now: clock.now(),
             uptime: clock.elapsed(),
             settings,
             balancer,
-            names,
+            server_ids,
             hosts,
             calls,
         })
     }
 
-    /// Feeds events to the module, and those that its actions lead to at once.
+    /// Passes events to the policy and executes its actions, including those for events that the actions
+    /// cause.
     fn run(&self, events: impl IntoIterator<Item = Event>) {
         let mut inner = self.0.borrow_mut();
         inner.events.extend(events);
@@ -196,7 +200,7 @@
 }
 
 impl<T: Transport> Inner<T> {
-    /// Notifies the observers, where there are any.
+    /// Notifies the observers, if there are any, with the current time.
     fn notify<'n>(&mut self, event: impl FnOnce() -> EngineEvent<'n, T>)
     where
         T: 'n,
@@ -210,11 +214,11 @@
     where
         T: 'n,
     {
-        let Inner { observers, clock, settings, balancer, names, hosts, calls, .. } = self;
+        let Inner { observers, clock, settings, balancer, server_ids, hosts, calls, .. } = self;
         if observers.is_empty() {
             return;
         }
-        let view = EngineView { now, uptime: clock.elapsed(), settings, balancer, names, hosts, calls };
+        let view = EngineView { now, uptime: clock.elapsed(), settings, balancer, server_ids, hosts, calls };
         let event = event();
         observers.iter_mut().for_each(|observer| observer.observe(&event, &view));
     }
@@ -225,14 +229,14 @@
                 self.send(engine, call, server, attempts::SendWindow { deadline, send_by });
             }
             Action::Reject { call, retry_after } => {
-                self.answer(call, Reply::Rejected(Duration::from_micros(retry_after)));
+                self.complete_call(call, Reply::Rejected(Duration::from_micros(retry_after)));
             }
-            Action::Fail { call } => self.answer(call, Reply::Failed),
+            Action::Fail { call } => self.complete_call(call, Reply::Failed),
             Action::Cancel { call, attempt } => self.cancel(call, attempt),
             Action::Wake { after } => engine.wake_at(Instant::now() + Duration::from_micros(after)),
             Action::Subscribe => self.subscribe(engine),
             Action::Log { text } => tracing::info!("{text}"),
-            // The module asks for none where the settings allow none, and this program has none to offer.
+            // Probes are not implemented; the policy requests none if the settings disable them.
             Action::Probe { .. } => {}
         }
     }
--- a/engine/src/engine/pending_call.rs
+++ b/engine/src/engine/pending_call.rs
@@ -1,4 +1,4 @@
-//! What a front holds of a call.
+//! Handle of a submitted call.
 
 use super::Engine;
 use crate::call::{AttemptTrace, FinalResponse, Reply};
@@ -6,7 +6,8 @@
 use flaxhead_policy::CallId;
 use tokio::sync::oneshot;
 
-/// A call that waits for its response. Dropped before that, it tells the decision module that the client has gone.
+/// Handle of a submitted call. Dropping it before the call is complete reports to the policy that the client
+/// has disconnected.
 pub struct PendingCall<T: Transport> {
     pub(super) engine: Engine<T>,
     pub(super) call: CallId,
@@ -14,20 +15,20 @@
 }
 
 impl<T: Transport> PendingCall<T> {
-    /// The call's final response.
+    /// Waits for the result of the call.
     pub async fn reply(mut self) -> Reply<T::Response> {
         self.final_response().await.reply
     }
 
-    /// The call's final response, with what hosts may have seen of the call.
+    /// Waits for the result of the call, and returns it with the attempts that may have reached a host.
     pub async fn final_response(&mut self) -> FinalResponse<T::Response> {
-        // The sender is only ever dropped with the call, after a response or with the process.
-        let lost =
+        // The sender is dropped without a response only at the end of the process.
+        let fallback =
             FinalResponse { reply: Reply::Failed, trace: AttemptTrace { attempts: 0, may_have_run: true } };
-        (&mut self.reply).await.unwrap_or(lost)
+        (&mut self.reply).await.unwrap_or(fallback)
     }
 
-    /// Gives the call up and cancels its attempts. Returns what hosts may have seen of the call.
+    /// Ends the call and cancels its attempts. Returns the attempts that may have reached a host.
     pub fn abandon(self) -> AttemptTrace {
         self.engine.abandon(self.call)
     }
--- a/engine/src/event.rs
+++ b/engine/src/event.rs
@@ -1,4 +1,4 @@
-//! What features observe of an engine: a stream of events, each with a view of the engine at that moment.
+//! Event stream for observers of an engine.
 
 use crate::call::Reply;
 use crate::endpoint_list::{EndpointList, Health};
@@ -6,57 +6,57 @@
 use crate::view::EngineView;
 use flaxhead_policy::{Action, CallId, ClassId, Event, Outcome, ServerId};
 
-/// Something that happened in an engine.
+/// Event in an engine.
 pub enum EngineEvent<'a, T: Transport> {
-    /// A call has come in; the decision module is given it next.
+    /// A call was submitted; the policy receives it next.
     CallReceived {
-        /// The call's number.
+        /// Number of the submitted call.
         call: CallId,
-        /// The call's class.
+        /// Class of the submitted call.
         class: ClassId,
-        /// The request as the front passed it.
+        /// Request as the front end passed it.
         request: &'a T::Request,
     },
-    /// An endpoint list has come; the module is given it next.
+    /// An endpoint list was received; the policy receives it next.
     ListReceived {
-        /// The list.
+        /// Received list.
         list: &'a EndpointList,
-        /// The numbers of its hosts, in its order.
+        /// Server numbers of the list's hosts, in the same order.
         servers: &'a [ServerId],
     },
-    /// A list has changed the health of a host.
+    /// A list changed the health of a host.
     HealthChanged {
-        /// The host's name.
+        /// Name of the host.
         host: &'a str,
-        /// The host's number.
+        /// Server number of the host.
         server: ServerId,
-        /// Its health from now on.
+        /// Health after the change.
         health: Health,
     },
-    /// The module is given this event, and replies next.
+    /// The policy is about to handle this event.
     PolicyInput(&'a Event),
-    /// The module replied with this action.
+    /// The policy requested this action.
     PolicyAction(&'a Action),
-    /// The module has given all actions of one event, and all of them are executed.
+    /// All actions that the policy requested for one event are executed.
     PolicyStepEnded,
-    /// An attempt at a listed host has ended.
+    /// An attempt ended, at a host that is still listed.
     AttemptEnded {
-        /// The host's number.
+        /// Server number of the attempt's host.
         server: ServerId,
-        /// How the attempt ended.
+        /// Outcome of the attempt.
         outcome: Outcome,
     },
-    /// A call has its final response.
+    /// A call was completed.
     CallCompleted {
-        /// The call's number.
+        /// Number of the completed call.
         call: CallId,
-        /// The response.
+        /// Result for the client.
         reply: &'a Reply<T::Response>,
     },
 }
 
-/// Observes an engine. It is called on the engine's thread and must not block.
+/// Observer of an engine, called on the engine's thread. It must not block.
 pub trait Observer<T: Transport> {
-    /// Receives an event, with the engine as it is at that moment.
+    /// Handles an event; `view` shows the engine at the time of the event.
     fn observe(&mut self, event: &EngineEvent<'_, T>, view: &EngineView<'_, T>);
 }
--- a/engine/src/lib.rs
+++ b/engine/src/lib.rs
@@ -1,11 +1,17 @@
-//! The life of a call, independent of any protocol.
+//! Protocol-independent call engine: executes the load balancing decisions of `flaxhead_policy`.
 //!
-//! A front passes calls with a payload of its own to the [`Engine`], a [`Transport`] carries their attempts to hosts, a
-//! [`ListSource`] delivers the endpoint list, and [`Observer`]s follow a stream of [`EngineEvent`]s. The decision module
-//! (`flaxhead_policy`) says what is done with a call: the engine turns whatever happens into the module's events, in one
-//! order and on one clock, and executes its actions.
+//! A front end, which accepts calls from clients, submits each call to the [`Engine`] with a request of the
+//! protocol's own type. A [`Transport`] sends the attempts of a call to hosts, a [`ListSource`] delivers the
+//! endpoint list, and [`Observer`]s receive a stream of [`EngineEvent`]s. The policy
+//! ([`flaxhead_policy::Balancer`]) makes all decisions: the engine passes it each event, in one order and on
+//! one clock, and executes the actions it returns.
 //!
-//! An engine lives on one thread, inside a [`tokio::task::LocalSet`]. It knows no protocol and no feature.
+//! A host is a backend that the endpoint list names; the policy identifies it by a server number
+//! ([`flaxhead_policy::ServerId`]). An attempt reaches its host once a byte of its request is written. Before
+//! that the engine can withdraw it, which guarantees that the host does not run it; after that it can only be
+//! cancelled, and the host may have run it.
+//!
+//! An engine runs on one thread, inside a [`tokio::task::LocalSet`].
 
 mod call;
 mod clock;
--- a/engine/src/list_source.rs
+++ b/engine/src/list_source.rs
@@ -1,21 +1,21 @@
-//! Where the endpoint list comes from.
+//! Interface to a source of endpoint lists.
 
 use crate::endpoint_list::EndpointList;
 use std::future::Future;
 use std::pin::Pin;
 
-/// Any failure.
+/// Error of any type.
 pub type BoxError = Box<dyn std::error::Error + Send + Sync>;
 
-/// Receives each list of a watch.
+/// Callback that receives each list of a watch.
 pub type ListHandler = Box<dyn FnMut(EndpointList)>;
 
-/// A watch in progress; it ends with the reason for which it ended.
+/// Watch in progress; completes with the error that ended it.
 pub type WatchFuture = Pin<Box<dyn Future<Output = BoxError>>>;
 
-/// Delivers the endpoint list and its changes.
+/// Source of the endpoint list and its changes.
 pub trait ListSource {
-    /// Watches the list from version `since` on (`None`: from the full list) and passes what comes to the handler, until
-    /// the watch ends. Dropping the future ends it.
+    /// Watches the list and passes each list received to the handler. `since` is the version that the caller
+    /// has; `None` requests the full list. Dropping the future ends the watch.
     fn watch(&self, since: Option<u64>, handler: ListHandler) -> WatchFuture;
 }
--- a/engine/src/task.rs
+++ b/engine/src/task.rs
@@ -1,9 +1,9 @@
-//! Tasks that end with their owner.
+//! Tasks that are aborted when dropped.
 
 use std::future::Future;
 use tokio::task::AbortHandle;
 
-/// A task that ends with its owner.
+/// Handle that aborts its task when dropped.
 #[derive(Debug)]
 pub struct Task(AbortHandle);
 
@@ -13,8 +13,8 @@
     }
 }
 
-/// Runs a future on this thread for as long as the returned task is kept. Called inside a
-/// [`tokio::task::LocalSet`].
+/// Runs a future on the current thread until it completes or the returned handle is dropped. Must be called
+/// inside a [`tokio::task::LocalSet`].
 pub fn spawn(future: impl Future + 'static) -> Task {
     Task(tokio::task::spawn_local(async move { drop(future.await) }).abort_handle())
 }
--- a/engine/src/transport.rs
+++ b/engine/src/transport.rs
@@ -1,4 +1,4 @@
-//! What carries attempts to hosts.
+//! Interface to the transport, which sends attempts to hosts.
 
 use crate::send_cutoff::SendCutoff;
 use flaxhead_policy::{LoadReport, Outcome, ServerId};
@@ -10,9 +10,12 @@
 use std::rc::Rc;
 use tokio::time::{timeout_at, Instant};
 
-/// What was written for one attempt, and whether anything more may be: with nothing written no host can have seen it.
-/// Whoever writes counts before a byte leaves for good, never after, and writes nothing once the attempt is withdrawn:
-/// the task of a cancelled attempt may end only after other tasks that write for it have had their turn.
+/// Counter of the bytes written for an attempt, and check whether more may be written. An attempt without
+/// written bytes cannot have reached its host.
+///
+/// A transport must update the counter before it hands bytes to the connection, and must write nothing once
+/// [`WriteMeter::is_withdrawn`] returns true: other tasks that write for a cancelled attempt may still run
+/// before its own task ends.
 #[derive(Clone, Debug, Default)]
 pub struct WriteMeter {
     state: Rc<Cell<WriteState>>,
@@ -27,12 +30,13 @@
 }
 
 impl WriteMeter {
-    /// For an attempt at a host with this cutoff, which must not begin from `send_by` on.
+    /// Creates the meter of an attempt at a host with this cutoff; `send_by` is the time from which writing
+    /// must not start, `None` for no limit.
     pub(crate) fn new(cutoff: SendCutoff, send_by: Option<Instant>) -> WriteMeter {
         WriteMeter { state: Rc::default(), cutoff, send_by }
     }
 
-    /// The number of bytes that were written.
+    /// Returns the number of bytes that were written.
     pub fn bytes_written(&self) -> usize {
         self.state.get().bytes
     }
@@ -42,7 +46,8 @@
         self.state.set(WriteState { bytes, ..self.state.get() });
     }
 
-    /// Whether nothing more may be written. An attempt that has begun goes on: only a new one can come too late.
+    /// Returns whether nothing more may be written. The cutoff and `send_by` apply only until the first byte
+    /// is written.
     pub fn is_withdrawn(&self) -> bool {
         let WriteState { bytes, withdrawn } = self.state.get();
         withdrawn || bytes == 0 && self.is_too_late_to_send()
@@ -52,26 +57,26 @@
         self.cutoff.has_passed() || self.send_by.is_some_and(|by| Instant::now() >= by)
     }
 
-    /// Withdraws the attempt: nothing is written for it from now on.
+    /// Withdraws the attempt, after which nothing more may be written for it.
     pub(crate) fn withdraw(&self) {
         self.state.set(WriteState { withdrawn: true, ..self.state.get() });
     }
 }
 
-/// Where an attempt goes, and under which conditions.
+/// Destination and conditions of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptTarget {
-    /// The host's number.
+    /// Server number of the host.
     pub server: ServerId,
-    /// The address where it listens.
+    /// Address of the host.
     pub address: SocketAddr,
-    /// Whether the request must not run twice.
+    /// True if the request must not run twice.
     pub non_idempotent: bool,
-    /// When the attempt is given up.
+    /// Time at which the attempt is cancelled.
     pub deadline: Instant,
 }
 
-/// Runs an attempt to its end or its deadline `until`; with nothing written yet, not past `send_by`.
+/// Runs an attempt until it ends, until `deadline`, or until `send_by` if nothing is written by then.
 pub(crate) async fn run_attempt<A>(
     sending: impl Future<Output = AttemptResult<A>>,
     meter: &WriteMeter,
@@ -86,7 +91,7 @@
             Err(_) => {}
         }
     }
-    // It is over then whatever happens.
+    // The deadline ends the attempt whether or not its request was written; only the outcome differs.
     let timed_out = |_| match meter.bytes_written() {
         0 => AttemptResult::without_response(Outcome::NoConnection),
         _ => AttemptResult::without_response(Outcome::TimedOut),
@@ -94,42 +99,44 @@
     timeout_at(deadline, sending).await.unwrap_or_else(timed_out)
 }
 
-/// How an attempt ended.
+/// Result of an attempt.
 #[derive(Debug)]
 pub struct AttemptResult<A> {
-    /// How it ended.
+    /// Outcome reported to the policy.
     pub outcome: Outcome,
-    /// The host's load report.
+    /// Load report of the host; default if the host sent none.
     pub load: LoadReport,
-    /// The response to forward. With one the call is over, also where the outcome is a failure: the host's response is
-    /// final then.
+    /// Response to forward to the client. A response completes the call, even if the outcome is a failure;
+    /// with `None` the policy decides what follows.
     pub response: Option<A>,
 }
 
 impl<A> AttemptResult<A> {
-    /// An end without a response to forward.
+    /// Creates a result without a response to forward.
     pub fn without_response(outcome: Outcome) -> AttemptResult<A> {
         AttemptResult { outcome, load: LoadReport::default(), response: None }
     }
 }
 
-/// Connects, sends, reports outcomes. It decides nothing: the engine says to which host, when, and for how long.
+/// Transport that connects to hosts, sends attempts and reports their outcomes. The engine selects the host,
+/// the time and the deadline of each attempt.
 pub trait Transport: 'static {
-    /// What a front passes for a call; it is sent once for each attempt.
+    /// Request of a call, which is sent once for each attempt.
     type Request: 'static;
-    /// A host's response.
+    /// Response of a host.
     type Response: 'static;
 
-    /// Something new may be sent to a host at this address from now on; `None`: nothing may, and idle connections to it
-    /// are closed. `restarted`: idle connections lead to a process that has gone.
+    /// Sets the address at which a host accepts new attempts; `None` if it accepts none, in which case its
+    /// idle connections are closed. With `restarted`, idle connections lead to an earlier process or address
+    /// of the host and must not be reused.
     fn set_endpoint(&self, server: ServerId, address: Option<SocketAddr>, restarted: bool);
 
-    /// A host is no longer listed.
+    /// Removes the state of a host that is no longer listed.
     fn remove_endpoint(&self, server: ServerId);
 
-    /// One attempt, from its connection to its outcome. An idle connection, where there is one, is chosen in this call,
-    /// not when the future is first polled. Dropping the future cancels the attempt. The engine drops it at the target's
-    /// `until`.
+    /// Sends an attempt and returns a future of its result. An idle connection is selected in this call, not
+    /// when the future is first polled. Dropping the future cancels the attempt; the engine does so at the
+    /// target's `deadline`.
     fn send(
         &self,
         target: AttemptTarget,
@@ -137,9 +144,9 @@
         meter: &WriteMeter,
     ) -> impl Future<Output = AttemptResult<Self::Response>> + use<Self> + 'static;
 
-    /// Called once a second, to close connections that were idle for too long.
+    /// Closes connections that were idle for too long; called once a second.
     fn sweep(&self) {}
 
-    /// Statistics for the log.
+    /// Returns statistics for the log.
     fn stats(&self) -> impl Debug;
 }
--- a/engine/src/view.rs
+++ b/engine/src/view.rs
@@ -1,4 +1,4 @@
-//! A read-only view of an engine.
+//! Read-only view of an engine.
 
 use crate::call::Call;
 use crate::endpoint_list::Health;
@@ -9,76 +9,76 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// An engine as it is now.
+/// Read-only view of the current state of an engine.
 pub struct EngineView<'a, T: Transport> {
     pub(crate) now: Micros,
     pub(crate) uptime: Duration,
     pub(crate) settings: &'a Settings,
     pub(crate) balancer: &'a Balancer,
-    pub(crate) names: &'a HashMap<String, ServerId>,
+    pub(crate) server_ids: &'a HashMap<String, ServerId>,
     pub(crate) hosts: &'a HashMap<ServerId, EndpointState>,
     pub(crate) calls: &'a BTreeMap<CallId, Call<T>>,
 }
 
-/// A listed host.
+/// Listed host.
 #[derive(Clone, Copy, Debug)]
 pub struct HostView<'a> {
-    /// The host's name.
+    /// Name of the host.
     pub name: &'a str,
-    /// The host's number.
+    /// Server number of the host.
     pub server: ServerId,
-    /// The address where it listens.
+    /// Address at which the host accepts connections.
     pub address: SocketAddr,
-    /// Its health according to the list.
+    /// Health according to the list.
     pub health: Health,
 }
 
-/// A call in flight.
+/// Call in flight.
 pub struct CallView<'a, T: Transport> {
-    /// The call's number.
+    /// Number of the call.
     pub call: CallId,
-    /// The call's class.
+    /// Class of the call.
     pub class: ClassId,
-    /// The request as the front passed it.
+    /// Request as the front end passed it.
     pub request: &'a T::Request,
-    /// Whether it still has no response; otherwise only attempts of it are left.
+    /// True while the client is waiting for the response; false if only attempts are still in flight.
     pub is_pending: bool,
 }
 
 impl<'a, T: Transport> EngineView<'a, T> {
-    /// The engine's clock.
+    /// Returns the time of the view on the engine's clock, which is Unix time in microseconds.
     pub fn now(&self) -> Micros {
         self.now
     }
 
-    /// The time since the engine's start.
+    /// Returns the time since the engine's start.
     pub fn uptime(&self) -> Duration {
         self.uptime
     }
 
-    /// The settings that the decision module was started with.
+    /// Returns the settings that the policy was started with.
     pub fn settings(&self) -> &'a Settings {
         self.settings
     }
 
-    /// The decision module.
+    /// Returns the policy.
     pub fn balancer(&self) -> &'a Balancer {
         self.balancer
     }
 
-    /// The listed hosts, in no order.
+    /// Returns the listed hosts, in no particular order.
     pub fn hosts(&self) -> impl Iterator<Item = HostView<'a>> + use<'a, T> {
         let hosts = self.hosts;
-        self.names.iter().filter_map(move |(name, &server)| {
+        self.server_ids.iter().filter_map(move |(name, &server)| {
             let host = hosts.get(&server)?;
             Some(HostView { name, server, address: host.address, health: host.health })
         })
     }
 
-    /// The number of attempts in flight, by the name of their host.
+    /// Returns the number of attempts in flight by the name of their host.
     pub fn attempts_by_host(&self) -> BTreeMap<&'a str, u32> {
         let names: HashMap<ServerId, &'a str> =
-            self.names.iter().map(|(name, &server)| (server, name.as_str())).collect();
+            self.server_ids.iter().map(|(name, &server)| (server, name.as_str())).collect();
         let mut by_host = BTreeMap::new();
         for attempt in self.calls.values().flat_map(|call| call.attempts.iter().flatten()) {
             if let Some(name) = names.get(&attempt.server) {
@@ -88,7 +88,7 @@
         by_host
     }
 
-    /// The calls in flight, by number.
+    /// Returns the calls in flight, ordered by number.
     pub fn calls(&self) -> impl Iterator<Item = CallView<'a, T>> + use<'a, T> {
         self.calls.iter().map(|(&id, call)| CallView {
             call: id,
--- a/limits/src/idempotency_cache.rs
+++ b/limits/src/idempotency_cache.rs
@@ -1,56 +1,57 @@
-//! What is known of calls by their id or idempotency key, so that one that comes again, from whichever layer, stays within
-//! the limit of its class: a non-idempotent call never runs twice, and a retry of another class counts as an attempt of the
-//! first.
+//! Cache of calls by call id or idempotency key, which limits what a call may do when any layer submits it
+//! again: a non-idempotent call never runs twice, and the attempts of all submissions of another call count
+//! toward the one limit of its class.
 //!
-//! An entry is kept until its call can no longer do harm by coming again: a call that may have run keeps its entry for
-//! `keep`, one that surely never ran loses it with its response. None that may have run is ever evicted for lack of space;
-//! a new call is rejected instead.
+//! A call that was attempted or may have run keeps its entry for the retention period after it ends; a call
+//! of which nothing was sent loses it when it ends. Entries are never evicted early for lack of space; a full
+//! cache rejects new calls instead.
 
 use flaxhead_policy::{Idempotency, Micros};
 use std::collections::{HashMap, VecDeque};
 use std::hash::Hash;
 
-/// Bounds of a cache.
+/// Configuration of a cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct IdempotencyCacheConfig {
-    /// Most entries.
+    /// Maximum number of entries.
     pub max_entries: usize,
-    /// For how long a call that may have run is kept after its end, in microseconds.
+    /// Time for which a call that was attempted or may have run is kept after it ends, in microseconds.
     pub retention: Micros,
 }
 
 impl Default for IdempotencyCacheConfig {
-    /// A million calls, ten minutes.
+    /// 1,048,576 entries, kept for ten minutes.
     fn default() -> Self {
         IdempotencyCacheConfig { max_entries: 1 << 20, retention: 600_000_000 }
     }
 }
 
-/// Attempts that layers above say they have made before, as in `grpc-previous-rpc-attempts` (gRFC A6).
+/// Number of earlier attempts that the caller reports, as in the header `grpc-previous-rpc-attempts` (gRFC
+/// A6).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PreviousAttempts(pub u32);
 
-/// What a call may still do.
+/// Attempts that a call is still allowed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Allowance {
-    /// Most attempts that may reach a server.
+    /// Maximum number of further attempts that may reach a server.
     pub remaining_attempts: u32,
-    /// It has been attempted before: it costs of the retry budget.
+    /// True if the call was submitted before, so that it counts against the retry budget.
     pub is_retry: bool,
 }
 
-/// Why a call must not go out.
+/// Reason for which a call must not be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rejection {
-    /// One with the same id or key is in flight.
+    /// A call with the same id or key is in flight.
     InFlight,
-    /// One with the same id or key may have run, and this must not run twice.
+    /// A call with the same id or key may have run, and the call is not idempotent.
     MayHaveRun,
-    /// It has been attempted before, by its own account, and nothing is known of that attempt.
+    /// The caller reports an earlier attempt that the cache does not know, and the call is not idempotent.
     UnknownAttempt,
-    /// All attempts that its class allows have been made.
+    /// All attempts that the class of the call allows have been made.
     Exhausted,
-    /// No more calls can be kept.
+    /// The cache is full.
     CacheFull,
 }
 
@@ -58,40 +59,40 @@
 struct Entry {
     attempts: u32,
     may_have_run: bool,
-    /// Whether the call is in flight.
     in_flight: bool,
-    /// When the entry expires_at, unless its call is in flight then.
+    /// Time from which the entry may be evicted unless its call is in flight; 0 if nothing of the call was sent.
     expires_at: Micros,
 }
 
-/// An expiry of an entry, as it was when a call ended.
+/// Scheduled expiry of an entry. It has no effect if the entry's expiry time has changed since.
 #[derive(Clone, Debug)]
 struct Expiry<K> {
     at: Micros,
     key: K,
 }
 
-/// Calls by id or key.
+/// Cache of calls by id or key.
 #[derive(Clone, Debug)]
 pub struct IdempotencyCache<K> {
     config: IdempotencyCacheConfig,
     entries: HashMap<K, Entry>,
-    /// In order of time, one for each end that changed an entry. One whose entry has changed since is passed over.
+    /// Scheduled expiries, ordered by time; several for an entry whose call ended several times.
     expiries: VecDeque<Expiry<K>>,
 }
 
 impl<K: Clone + Eq + Hash> IdempotencyCache<K> {
-    /// An empty cache.
+    /// Creates an empty cache.
     pub fn new(config: IdempotencyCacheConfig) -> IdempotencyCache<K> {
         IdempotencyCache { config, entries: HashMap::new(), expiries: VecDeque::new() }
     }
 
-    /// A call comes in, or comes again; `max_attempts` is its class's limit, `previous` what layers above have attempted.
-    /// One that is allowed is in flight from now on, until [`IdempotencyCache::end`].
+    /// Registers a call that is submitted for the first time or again; `max_attempts` is the limit of its
+    /// class, and `previous` the number of earlier attempts that the caller reports. If the call is allowed,
+    /// it counts as in flight until [`IdempotencyCache::end`] is called.
     ///
     /// # Errors
     ///
-    /// Says why the call must not go out.
+    /// Returns the reason for which the call must not be sent.
     pub fn begin(
         &mut self,
         now: Micros,
@@ -101,36 +102,40 @@
         previous: PreviousAttempts,
     ) -> Result<Allowance, Rejection> {
         self.evict_expired(now);
-        let known = self.entries.get(key).copied();
-        let made = match known {
+        let existing = self.entries.get(key).copied();
+        let attempts_made = match existing {
             Some(Entry { in_flight: true, .. }) => return Err(Rejection::InFlight),
             Some(entry) if entry.may_have_run && idempotency == Idempotency::NonIdempotent => {
                 return Err(Rejection::MayHaveRun)
             }
             Some(entry) => entry.attempts,
-            // Whoever attempted it did so elsewhere: through another proxy, or this one before a restart.
+            // The attempt was made through another process, or before a restart of this one.
             None if previous.0 > 0 && idempotency == Idempotency::NonIdempotent => {
                 return Err(Rejection::UnknownAttempt)
             }
             None => previous.0,
         };
-        let remaining = max_attempts.saturating_sub(made);
+        let remaining = max_attempts.saturating_sub(attempts_made);
         if remaining == 0 {
             return Err(Rejection::Exhausted);
         }
-        if known.is_none() && self.entries.len() >= self.config.max_entries {
+        if existing.is_none() && self.entries.len() >= self.config.max_entries {
             return Err(Rejection::CacheFull);
         }
         let (may_have_run, expires_at) =
-            known.map_or((false, 0), |entry| (entry.may_have_run, entry.expires_at));
-        self.entries.insert(key.clone(), Entry { attempts: made, may_have_run, in_flight: true, expires_at });
-        Ok(Allowance { remaining_attempts: remaining, is_retry: known.is_some() || previous.0 > 0 })
+            existing.map_or((false, 0), |entry| (entry.may_have_run, entry.expires_at));
+        self.entries.insert(
+            key.clone(),
+            Entry { attempts: attempts_made, may_have_run, in_flight: true, expires_at },
+        );
+        Ok(Allowance { remaining_attempts: remaining, is_retry: existing.is_some() || previous.0 > 0 })
     }
 
-    /// A call has ended: so many of its attempts reached a server, and one may have run.
+    /// Records the end of a call. `attempts` is the number of attempts that may have reached a server, and
+    /// `may_have_run` is true if a server may have run one of them.
     pub fn end(&mut self, now: Micros, key: &K, attempts: u32, may_have_run: bool) {
         let Some(entry) = self.entries.get_mut(key) else { return };
-        debug_assert!(entry.in_flight, "a call ends once");
+        debug_assert!(entry.in_flight, "`end` without a matching `begin`");
         entry.in_flight = false;
         if attempts > 0 || may_have_run {
             entry.attempts = entry.attempts.saturating_add(attempts);
@@ -142,12 +147,12 @@
         }
     }
 
-    /// The number of calls that are kept.
+    /// Returns the number of entries.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether no call is kept.
+    /// Returns whether the cache has no entries.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
--- a/limits/src/lib.rs
+++ b/limits/src/lib.rs
@@ -1,6 +1,8 @@
-//! Limits on retries where several layers retry: the application, its RPC library and the proxy. Two decisions, both
-//! without I/O or a clock: how many retries all calls together may cost ([`RetryBudget`]), and what a call that comes again
-//! may still do ([`IdempotencyCache`]).
+//! Limits on retries across layers that each retry, such as the application, its RPC library and the proxy.
+//!
+//! [`RetryBudget`] limits the retries of all calls together; [`IdempotencyCache`] limits the attempts of one
+//! call across its submissions. Both perform no I/O and take the current time, in microseconds on any
+//! monotonic clock, as an argument.
 
 mod idempotency_cache;
 mod retry_budget;
--- a/limits/src/retry_budget.rs
+++ b/limits/src/retry_budget.rs
@@ -1,35 +1,37 @@
-//! A retry budget: a token bucket that first attempts fill and retries empty.
+//! Retry budget: a token bucket that first attempts fill and retries drain.
 //!
-//! Its form is that of Finagle's `RetryBudget` and of tower's: a ratio of the first attempts, and a small steady rate so
-//! that a client with little traffic can retry at all. gRPC's `retryThrottling` (gRFC A6) counts failures instead; it lets
-//! a client that mostly succeeds retry without limit during a short outage, which is when retries hurt.
+//! Like the `RetryBudget` of Finagle and of tower, it allows retries in proportion to first attempts, and a
+//! minimum rate so that a client with little traffic can retry. gRPC's `retryThrottling` (gRFC A6) counts
+//! failures instead, which allows a client whose calls mostly succeed to retry without limit during a short
+//! outage.
 
 use flaxhead_policy::Micros;
 
-/// Microseconds in a second.
-const SECOND: f64 = 1e6;
-/// Lower bound on a rate that is divided by.
-const MIN_RATE: f64 = 1e-9;
+const MICROS_PER_SECOND: f64 = 1e6;
+/// Lower bound of the rate in a division, to avoid dividing by zero.
+const MIN_RATE_PER_SECOND: f64 = 1e-9;
 
-/// What a budget allows.
+/// Configuration of a retry budget.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudgetConfig {
-    /// Retries for each first attempt, 0 to 1.
+    /// Number of retries that each first attempt adds to the budget, 0 to 1.
     pub ratio: f64,
-    /// Retries a second that are allowed whatever the traffic.
+    /// Retries per second that are added regardless of traffic.
     pub min_per_second: f64,
-    /// Most retries that can be saved up.
+    /// Maximum number of unused retries, at least 1.
     pub max_tokens: f64,
 }
 
 impl Default for RetryBudgetConfig {
-    /// A fifth of the first attempts (Finagle's default), 10 a second, 100 saved up.
+    /// Retries for a fifth of the first attempts (Finagle's default), 10 per second regardless of traffic, at
+    /// most 100 unused.
     fn default() -> Self {
         RetryBudgetConfig { ratio: 0.2, min_per_second: 10.0, max_tokens: 100.0 }
     }
 }
 
-/// The token bucket. It starts with one second's tokens.
+/// Token bucket in which each token allows one retry. It starts with the tokens that the minimum rate adds in
+/// one second.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     config: RetryBudgetConfig,
@@ -39,20 +41,20 @@
 }
 
 impl RetryBudget {
-    /// A bucket at this time, in microseconds.
+    /// Creates a bucket at time `now`.
     pub fn new(config: RetryBudgetConfig, now: Micros) -> RetryBudget {
         debug_assert!(config.ratio >= 0.0 && config.min_per_second >= 0.0 && config.max_tokens >= 1.0);
         let tokens = config.min_per_second.min(config.max_tokens);
         RetryBudget { tokens, config, refilled_at: now, denied: 0 }
     }
 
-    /// A first attempt goes out.
+    /// Adds the tokens that a first attempt earns.
     pub fn record_first_attempt(&mut self, now: Micros) {
         self.refill(now);
         self.tokens = (self.tokens + self.config.ratio).min(self.config.max_tokens);
     }
 
-    /// Whether a retry may go out; if so, it costs a token.
+    /// Takes a token for a retry. Returns `false` if there is none: the retry must not be sent.
     pub fn try_acquire(&mut self, now: Micros) -> bool {
         self.refill(now);
         let allowed = self.tokens >= 1.0;
@@ -64,33 +66,35 @@
         allowed
     }
 
-    /// How long until a retry may go out if no first attempt comes before, in microseconds; `None`: never.
+    /// Returns the time until the next retry is allowed, in microseconds, if no first attempt adds tokens
+    /// before; 0 if one is allowed now, `None` if that takes a first attempt.
     pub fn time_until_retry(&self) -> Option<Micros> {
-        let missing = (1.0 - self.tokens).max(0.0);
+        let missing_tokens = (1.0 - self.tokens).max(0.0);
         let rate = self.config.min_per_second;
-        let is_reachable = missing == 0.0 || rate > 0.0;
-        is_reachable.then(|| whole_micros(missing / rate.max(MIN_RATE) * SECOND))
+        let is_reachable = missing_tokens == 0.0 || rate > 0.0;
+        is_reachable.then(|| ceil_micros(missing_tokens / rate.max(MIN_RATE_PER_SECOND) * MICROS_PER_SECOND))
     }
 
-    /// Retries that were denied so far.
+    /// Returns the number of retries that were denied.
     pub fn denied(&self) -> u64 {
         self.denied
     }
 
     fn refill(&mut self, now: Micros) {
-        // A clock that goes back refills nothing.
-        let passed = now.saturating_sub(self.refilled_at) as f64 / SECOND;
+        // A clock that goes back adds no tokens, and none twice once it has caught up.
+        let elapsed_seconds = now.saturating_sub(self.refilled_at) as f64 / MICROS_PER_SECOND;
         self.refilled_at = self.refilled_at.max(now);
-        self.tokens = (self.tokens + passed * self.config.min_per_second).min(self.config.max_tokens);
+        self.tokens =
+            (self.tokens + elapsed_seconds * self.config.min_per_second).min(self.config.max_tokens);
     }
 }
 
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "a cast from a float saturates, and the value is not negative"
+    reason = "the value is not negative, and casts from floats saturate"
 )]
-fn whole_micros(micros: f64) -> Micros {
+fn ceil_micros(micros: f64) -> Micros {
     micros.ceil() as Micros
 }
 
