--- a/engine/src/engine/endpoints.rs
+++ b/engine/src/engine/endpoints.rs
@@ -54,7 +54,8 @@
     }
 
     /// Replaces the set of excluded hosts; each is excluded from the given time on. No new attempts are sent
-    /// to an excluded host, even if it is listed as ready; attempts in flight there continue.
+    /// to an excluded host, even if it is listed as ready. Written attempts continue, unwritten ones are
+    /// withdrawn.
     pub fn set_excluded_hosts(&self, hosts: impl IntoIterator<Item = (String, Instant)>) {
         let mut inner = self.0.borrow_mut();
         inner.excluded = hosts.into_iter().collect();
--- a/engine/tests/calls.rs
+++ b/engine/tests/calls.rs
@@ -1,4 +1,4 @@
-//! The life of calls on a transport that does as it is told, on paused time.
+//! Tests of the engine with a scripted transport, on paused time.
 
 use flaxhead_engine::{
     AttemptResult, AttemptTarget, AttemptTrace, BoxError, CallPermit, CallSpec, Endpoint, EndpointList,
@@ -16,39 +16,40 @@
 use tokio::task::LocalSet;
 use tokio::time::{sleep, Instant};
 
-/// What becomes of an attempt.
+/// Behavior of a host in one attempt.
 #[derive(Clone, Copy)]
-enum Act {
-    /// It ends so, with a byte written, after so many milliseconds; an answer goes with it where it served.
-    End(Outcome, u64),
-    /// Nothing is ever written, as where no connection comes up.
-    Wait,
-    /// It is written so many milliseconds later, where it still may be, and served at once.
-    Late(u64),
-    /// It is written and never answered.
-    Stall,
+enum Behavior {
+    /// Writes one byte, and ends with the outcome after this number of milliseconds; `Served` comes with a
+    /// response.
+    EndAfter(Outcome, u64),
+    /// Writes nothing and never ends, like a connection that is never established.
+    NeverWritten,
+    /// Writes one byte after this number of milliseconds, unless withdrawn, and responds immediately.
+    WriteAfter(u64),
+    /// Writes one byte and never ends.
+    NoResponse,
 }
 
 #[derive(Default)]
 struct Script {
-    acts: VecDeque<Act>,
+    behaviors: VecDeque<Behavior>,
     sent: Vec<AttemptTarget>,
-    seats: Vec<(ServerId, Option<SocketAddr>)>,
+    endpoint_updates: Vec<(ServerId, Option<SocketAddr>)>,
 }
 
 #[derive(Clone, Default)]
-struct Scripted(Rc<RefCell<Script>>);
+struct ScriptedTransport(Rc<RefCell<Script>>);
 
-impl Transport for Scripted {
+impl Transport for ScriptedTransport {
     type Request = &'static str;
     type Response = &'static str;
 
-    fn set_endpoint(&self, server: ServerId, dial: Option<SocketAddr>, _: bool) {
-        self.0.borrow_mut().seats.push((server, dial));
+    fn set_endpoint(&self, server: ServerId, address: Option<SocketAddr>, _: bool) {
+        self.0.borrow_mut().endpoint_updates.push((server, address));
     }
 
     fn remove_endpoint(&self, server: ServerId) {
-        self.0.borrow_mut().seats.push((server, None));
+        self.0.borrow_mut().endpoint_updates.push((server, None));
     }
 
     fn send(
@@ -59,9 +60,10 @@
     ) -> impl Future<Output = AttemptResult<&'static str>> + use<> + 'static {
         let mut script = self.0.borrow_mut();
         script.sent.push(target);
-        let (act, request, meter) = (script.acts.pop_front().unwrap_or(Act::Stall), **request, meter.clone());
+        let (behavior, request, meter) =
+            (script.behaviors.pop_front().unwrap_or(Behavior::NoResponse), **request, meter.clone());
         async move {
-            if let Act::Late(after) = act {
+            if let Behavior::WriteAfter(after) = behavior {
                 sleep(Duration::from_millis(after)).await;
                 if meter.is_withdrawn() {
                     return std::future::pending().await;
@@ -72,10 +74,10 @@
                     ..AttemptResult::without_response(Outcome::Served)
                 };
             }
-            if !matches!(act, Act::Wait) {
+            if !matches!(behavior, Behavior::NeverWritten) {
                 meter.set_bytes_written(1);
             }
-            let Act::End(outcome, after) = act else { return std::future::pending().await };
+            let Behavior::EndAfter(outcome, after) = behavior else { return std::future::pending().await };
             sleep(Duration::from_millis(after)).await;
             let response = (outcome == Outcome::Served).then_some(request);
             AttemptResult { response, ..AttemptResult::without_response(outcome) }
@@ -85,16 +87,16 @@
     fn stats(&self) -> impl std::fmt::Debug {}
 }
 
-/// Lists that a test brings.
-struct Told(RefCell<Option<mpsc::UnboundedReceiver<EndpointList>>>);
+/// List source that delivers the lists a test sends on a channel.
+struct ChannelListSource(RefCell<Option<mpsc::UnboundedReceiver<EndpointList>>>);
 
-impl ListSource for Told {
-    fn watch(&self, _: Option<u64>, mut news: ListHandler) -> WatchFuture {
+impl ListSource for ChannelListSource {
+    fn watch(&self, _: Option<u64>, mut handler: ListHandler) -> WatchFuture {
         let lists = self.0.borrow_mut().take();
         Box::pin(async move {
             let Some(mut lists) = lists else { return std::future::pending::<BoxError>().await };
             while let Some(list) = lists.recv().await {
-                news(list);
+                handler(list);
             }
             "no more lists".into()
         })
@@ -115,26 +117,26 @@
     EndpointList { seq: 1, whole: true, hosts: hosts.iter().enumerate().map(host).collect() }
 }
 
-struct Rig {
-    engine: Engine<Scripted>,
-    transport: Scripted,
+struct Fixture {
+    engine: Engine<ScriptedTransport>,
+    transport: ScriptedTransport,
     lists: mpsc::UnboundedSender<EndpointList>,
 }
 
-impl Rig {
-    fn new(idempotency: Idempotency, acts: &[Act]) -> Rig {
-        Rig::with(idempotency, acts, Vec::new(), None)
+impl Fixture {
+    fn new(idempotency: Idempotency, behaviors: &[Behavior]) -> Fixture {
+        Fixture::with_parts(idempotency, behaviors, Vec::new(), None)
     }
 
-    fn with(
+    fn with_parts(
         idempotency: Idempotency,
-        acts: &[Act],
-        observers: Vec<Box<dyn Observer<Scripted>>>,
-        retries: Option<Box<dyn RetryLimiter>>,
-    ) -> Rig {
-        let transport = Scripted::default();
-        transport.0.borrow_mut().acts.extend(acts);
-        let (lists, told) = mpsc::unbounded_channel();
+        behaviors: &[Behavior],
+        observers: Vec<Box<dyn Observer<ScriptedTransport>>>,
+        retry_limiter: Option<Box<dyn RetryLimiter>>,
+    ) -> Fixture {
+        let transport = ScriptedTransport::default();
+        transport.0.borrow_mut().behaviors.extend(behaviors);
+        let (lists, receiver) = mpsc::unbounded_channel();
         let classes = vec![Class {
             objective: 100_000,
             deadline: 2_000_000,
@@ -149,41 +151,41 @@
             max_attempts: 3,
             ..Settings::default().limits
         };
-        let setup = EngineConfig {
+        let config = EngineConfig {
             seed: 7,
             settings: Settings { classes, limits, ..Settings::default() },
             cached_list,
         };
-        let source = Rc::new(Told(RefCell::new(Some(told))));
-        let engine = Engine::start(setup, transport.clone(), source, observers, retries);
-        Rig { engine, transport, lists }
+        let source = Rc::new(ChannelListSource(RefCell::new(Some(receiver))));
+        let engine = Engine::start(config, transport.clone(), source, observers, retry_limiter);
+        Fixture { engine, transport, lists }
     }
 
-    fn ask(&self, attempts_most: u32) -> flaxhead_engine::PendingCall<Scripted> {
-        self.ask_with(attempts_most, None)
+    fn submit(&self, attempt_limit: u32) -> flaxhead_engine::PendingCall<ScriptedTransport> {
+        self.submit_with_permit(attempt_limit, None)
     }
 
-    fn ask_with(
+    fn submit_with_permit(
         &self,
-        attempts_most: u32,
-        ticket: Option<Box<dyn CallPermit>>,
-    ) -> flaxhead_engine::PendingCall<Scripted> {
+        attempt_limit: u32,
+        permit: Option<Box<dyn CallPermit>>,
+    ) -> flaxhead_engine::PendingCall<ScriptedTransport> {
         let deadline = Instant::now() + Duration::from_secs(2);
-        let ask = CallSpec {
+        let spec = CallSpec {
             class: ClassId(0),
             tenant: None,
             deadline,
             resent: false,
-            max_attempts: attempts_most,
+            max_attempts: attempt_limit,
         };
-        self.engine.request(ask, "pay", ticket)
+        self.engine.request(spec, "pay", permit)
     }
 
-    fn number(&self, name: &str) -> ServerId {
+    fn server_id(&self, name: &str) -> ServerId {
         self.engine.view(|view| view.hosts().find(|host| host.name == name).expect("listed").server)
     }
 
-    fn sent(&self) -> usize {
+    fn sent_count(&self) -> usize {
         self.transport.0.borrow().sent.len()
     }
 }
@@ -193,58 +195,62 @@
     LocalSet::new().block_on(&runtime.expect("a runtime"), test);
 }
 
-const TURNED_AWAY: Act = Act::End(Outcome::Rejected, 1);
-const SERVED: Act = Act::End(Outcome::Served, 1);
+const REJECTED: Behavior = Behavior::EndAfter(Outcome::Rejected, 1);
+const SERVED: Behavior = Behavior::EndAfter(Outcome::Served, 1);
 
 #[test]
-fn a_call_goes_again_where_it_never_ran_and_its_end_says_what_hosts_saw() {
+fn a_call_is_retried_only_if_it_cannot_have_run_and_its_result_counts_attempts() {
     run(async {
-        let rig = Rig::new(Idempotency::NonIdempotent, &[TURNED_AWAY, SERVED]);
-        let FinalResponse { reply, trace } = rig.ask(CallSpec::UNBOUNDED).final_response().await;
+        let fixture = Fixture::new(Idempotency::NonIdempotent, &[REJECTED, SERVED]);
+        let FinalResponse { reply, trace } = fixture.submit(CallSpec::UNBOUNDED).final_response().await;
         assert!(matches!(reply, Reply::Served("pay")), "{reply:?}");
         assert_eq!(trace, AttemptTrace { attempts: 2, may_have_run: true });
-        let rig = Rig::new(Idempotency::NonIdempotent, &[Act::End(Outcome::Reset, 1), SERVED]);
-        let FinalResponse { reply, trace } = rig.ask(CallSpec::UNBOUNDED).final_response().await;
-        assert!(matches!(reply, Reply::Failed) && rig.sent() == 1, "{reply:?}");
+        let fixture =
+            Fixture::new(Idempotency::NonIdempotent, &[Behavior::EndAfter(Outcome::Reset, 1), SERVED]);
+        let FinalResponse { reply, trace } = fixture.submit(CallSpec::UNBOUNDED).final_response().await;
+        assert!(matches!(reply, Reply::Failed) && fixture.sent_count() == 1, "{reply:?}");
         assert_eq!(trace, AttemptTrace { attempts: 1, may_have_run: true });
     });
 }
 
-/// Its connection may come up after the window in which it was decided: it is over then, and the call is answered.
+/// Guards against a retry whose connection is established only after the deduplication window has ended.
 #[test]
-fn a_guarded_call_is_written_again_within_its_window_or_not_at_all() {
-    let guarded = Idempotency::Keyed { scope: DedupScope::All, window: 700_000 };
-    for (late, in_time) in [(100, true), (250, false)] {
+fn a_keyed_call_is_not_rewritten_after_its_deduplication_window() {
+    let keyed = Idempotency::Keyed { scope: DedupScope::All, window: 700_000 };
+    for (write_ms, expect_served) in [(100, true), (250, false)] {
         run(async {
-            let rig = Rig::new(guarded, &[Act::End(Outcome::Reset, 500), Act::Late(late)]);
-            let began = Instant::now();
-            let FinalResponse { reply, trace } = rig.ask(CallSpec::UNBOUNDED).final_response().await;
-            assert_eq!(rig.sent(), 2, "it was decided within the window");
-            assert_eq!(matches!(reply, Reply::Served(_)), in_time, "{reply:?}");
-            assert_eq!(trace, AttemptTrace { attempts: 1 + u32::from(in_time), may_have_run: true });
-            assert!(began.elapsed() <= Duration::from_millis(701), "{:?}", began.elapsed());
+            let fixture = Fixture::new(
+                keyed,
+                &[Behavior::EndAfter(Outcome::Reset, 500), Behavior::WriteAfter(write_ms)],
+            );
+            let started = Instant::now();
+            let FinalResponse { reply, trace } = fixture.submit(CallSpec::UNBOUNDED).final_response().await;
+            assert_eq!(fixture.sent_count(), 2, "the retry was sent within the window");
+            assert_eq!(matches!(reply, Reply::Served(_)), expect_served, "{reply:?}");
+            assert_eq!(trace, AttemptTrace { attempts: 1 + u32::from(expect_served), may_have_run: true });
+            assert!(started.elapsed() <= Duration::from_millis(701), "{:?}", started.elapsed());
         });
     }
 }
 
 #[test]
-fn the_attempts_that_a_caller_allows_are_not_passed() {
+fn attempts_never_exceed_the_limit_of_the_caller() {
     run(async {
-        let rig = Rig::new(Idempotency::Idempotent, &[TURNED_AWAY, TURNED_AWAY, SERVED]);
-        let FinalResponse { reply, trace } = rig.ask(1).final_response().await;
-        assert!(matches!(reply, Reply::Rejected(_)), "{reply:?}: it never ran");
-        assert_eq!((trace, rig.sent()), (AttemptTrace { attempts: 1, may_have_run: false }, 1));
-        let rig = Rig::new(Idempotency::Idempotent, &[Act::End(Outcome::Error, 1), SERVED]);
-        let FinalResponse { reply, trace } = rig.ask(1).final_response().await;
-        assert!(matches!(reply, Reply::Failed), "{reply:?}: it may have run");
-        assert_eq!((trace, rig.sent()), (AttemptTrace { attempts: 1, may_have_run: true }, 1));
+        let fixture = Fixture::new(Idempotency::Idempotent, &[REJECTED, REJECTED, SERVED]);
+        let FinalResponse { reply, trace } = fixture.submit(1).final_response().await;
+        assert!(matches!(reply, Reply::Rejected(_)), "{reply:?}: no host can have run it");
+        assert_eq!((trace, fixture.sent_count()), (AttemptTrace { attempts: 1, may_have_run: false }, 1));
+        let fixture = Fixture::new(Idempotency::Idempotent, &[Behavior::EndAfter(Outcome::Error, 1), SERVED]);
+        let FinalResponse { reply, trace } = fixture.submit(1).final_response().await;
+        assert!(matches!(reply, Reply::Failed), "{reply:?}: a host may have run it");
+        assert_eq!((trace, fixture.sent_count()), (AttemptTrace { attempts: 1, may_have_run: true }, 1));
     });
 }
 
-/// Retries of which there are so many.
-struct Few(u32);
+/// Retry limiter that allows this number of retries.
+struct CountedRetries(u32);
 
-impl RetryLimiter for Few {
+impl RetryLimiter for CountedRetries {
     fn try_acquire(&mut self, _: Micros) -> bool {
         let allowed = self.0 > 0;
         self.0 = self.0.saturating_sub(1);
@@ -253,88 +259,106 @@
 }
 
 #[test]
-fn a_spent_retry_budget_ends_calls_at_once() {
+fn an_exhausted_retry_limiter_completes_calls_at_once() {
     run(async {
-        let acts = [TURNED_AWAY, TURNED_AWAY, SERVED];
-        let rig = Rig::with(Idempotency::Idempotent, &acts, Vec::new(), Some(Box::new(Few(1))));
-        let began = Instant::now();
-        let reply = rig.ask(CallSpec::UNBOUNDED).reply().await;
-        assert!(matches!(reply, Reply::Rejected(_)) && rig.sent() == 2, "{reply:?}");
-        assert!(began.elapsed() < Duration::from_millis(100), "{:?}", began.elapsed());
+        let behaviors = [REJECTED, REJECTED, SERVED];
+        let fixture = Fixture::with_parts(
+            Idempotency::Idempotent,
+            &behaviors,
+            Vec::new(),
+            Some(Box::new(CountedRetries(1))),
+        );
+        let started = Instant::now();
+        let reply = fixture.submit(CallSpec::UNBOUNDED).reply().await;
+        assert!(matches!(reply, Reply::Rejected(_)) && fixture.sent_count() == 2, "{reply:?}");
+        assert!(started.elapsed() < Duration::from_millis(100), "{:?}", started.elapsed());
     });
 }
 
 #[test]
-fn a_drain_takes_back_what_is_not_written_and_the_transport_closes_what_is_idle() {
+fn a_draining_host_loses_its_unwritten_attempts_and_its_idle_connections() {
     run(async {
-        let rig = Rig::new(Idempotency::NonIdempotent, &[Act::Wait, SERVED]);
-        let mut waiting = rig.ask(CallSpec::UNBOUNDED);
-        let first = rig.transport.0.borrow().sent[0].server;
-        let (gone, stays) = if first == rig.number("a") { ("a", "b") } else { ("b", "a") };
-        rig.lists.send(list(&[(gone, Health::Terminating), (stays, Health::Ready)])).expect("watched");
-        let FinalResponse { reply, trace } = waiting.final_response().await;
+        let fixture = Fixture::new(Idempotency::NonIdempotent, &[Behavior::NeverWritten, SERVED]);
+        let mut call = fixture.submit(CallSpec::UNBOUNDED);
+        let first = fixture.transport.0.borrow().sent[0].server;
+        let (draining, ready) = if first == fixture.server_id("a") { ("a", "b") } else { ("b", "a") };
+        fixture
+            .lists
+            .send(list(&[(draining, Health::Terminating), (ready, Health::Ready)]))
+            .expect("watched");
+        let FinalResponse { reply, trace } = call.final_response().await;
         assert!(matches!(reply, Reply::Served("pay")), "{reply:?}");
         assert_eq!(
             trace,
             AttemptTrace { attempts: 1, may_have_run: true },
-            "the one that was taken back was never seen"
+            "the withdrawn attempt does not count"
         );
-        let script = rig.transport.0.borrow();
+        let script = fixture.transport.0.borrow();
         assert_ne!(script.sent[1].server, first);
-        assert!(script.seats.contains(&(first, None)));
+        assert!(script.endpoint_updates.contains(&(first, None)));
     });
 }
 
-/// The module spreads proxies over the servers by the order of their numbers: were it that of their arrival, one that has
-/// run through a release would see all new servers in a row, and share its first old ones with every other.
+/// Guards against numbers in order of arrival, by which the policy would assign servers to proxies unevenly
+/// after a release.
 #[test]
-fn a_host_has_the_same_number_at_every_proxy_however_it_came_to_know_it() {
+fn server_numbers_do_not_depend_on_the_order_in_which_hosts_are_listed() {
     run(async {
         let ready =
             |names: &[&'static str]| list(&names.iter().map(|&n| (n, Health::Ready)).collect::<Vec<_>>());
-        let (early, late) = (Rig::new(Idempotency::Idempotent, &[]), Rig::new(Idempotency::Idempotent, &[]));
-        early.lists.send(ready(&["a", "b", "c", "d"])).expect("watched");
-        late.lists.send(ready(&["d"])).expect("watched");
-        late.lists.send(ready(&["d", "c", "b", "a"])).expect("watched");
+        let (all_at_once, one_by_one) =
+            (Fixture::new(Idempotency::Idempotent, &[]), Fixture::new(Idempotency::Idempotent, &[]));
+        all_at_once.lists.send(ready(&["a", "b", "c", "d"])).expect("watched");
+        one_by_one.lists.send(ready(&["d"])).expect("watched");
+        one_by_one.lists.send(ready(&["d", "c", "b", "a"])).expect("watched");
         sleep(Duration::from_millis(5)).await;
         for name in ["a", "b", "c", "d"] {
-            assert_eq!(early.number(name), late.number(name), "{name}");
+            assert_eq!(all_at_once.server_id(name), one_by_one.server_id(name), "{name}");
         }
     });
 }
 
 #[test]
-fn all_that_is_open_is_answered_by_what_may_have_run() {
+fn completing_all_calls_rejects_unwritten_ones_and_fails_written_ones() {
     run(async {
-        let rig = Rig::new(Idempotency::NonIdempotent, &[Act::Stall, Act::Wait]);
-        let (mut stalled, mut unsent) = (rig.ask(CallSpec::UNBOUNDED), rig.ask(CallSpec::UNBOUNDED));
+        let fixture =
+            Fixture::new(Idempotency::NonIdempotent, &[Behavior::NoResponse, Behavior::NeverWritten]);
+        let (mut written, mut unwritten) =
+            (fixture.submit(CallSpec::UNBOUNDED), fixture.submit(CallSpec::UNBOUNDED));
         sleep(Duration::from_millis(5)).await;
-        rig.engine.complete_all_calls();
-        let (stalled, unsent) = (stalled.final_response().await, unsent.final_response().await);
-        assert!(matches!(stalled.reply, Reply::Failed) && stalled.trace.may_have_run, "{stalled:?}");
-        assert!(matches!(unsent.reply, Reply::Rejected(_)) && !unsent.trace.may_have_run, "{unsent:?}");
+        fixture.engine.complete_all_calls();
+        let (written, unwritten) = (written.final_response().await, unwritten.final_response().await);
+        assert!(matches!(written.reply, Reply::Failed) && written.trace.may_have_run, "{written:?}");
+        assert!(
+            matches!(unwritten.reply, Reply::Rejected(_)) && !unwritten.trace.may_have_run,
+            "{unwritten:?}"
+        );
     });
 }
 
 #[test]
-fn whoever_gives_a_call_up_learns_what_hosts_saw() {
+fn abandoning_a_call_returns_the_attempts_that_may_have_reached_a_host() {
     run(async {
-        let rig = Rig::new(Idempotency::Idempotent, &[Act::Stall, Act::Wait]);
-        let (stalled, unsent) = (rig.ask(CallSpec::UNBOUNDED), rig.ask(CallSpec::UNBOUNDED));
+        let fixture = Fixture::new(Idempotency::Idempotent, &[Behavior::NoResponse, Behavior::NeverWritten]);
+        let (written, unwritten) = (fixture.submit(CallSpec::UNBOUNDED), fixture.submit(CallSpec::UNBOUNDED));
         sleep(Duration::from_millis(5)).await;
-        assert_eq!(stalled.abandon(), AttemptTrace { attempts: 1, may_have_run: true });
-        assert_eq!(unsent.abandon(), AttemptTrace::default());
-        rig.engine.view(|view| assert!(view.calls().all(|call| !call.is_pending)));
+        assert_eq!(written.abandon(), AttemptTrace { attempts: 1, may_have_run: true });
+        assert_eq!(unwritten.abandon(), AttemptTrace::default());
+        fixture.engine.view(|view| assert!(view.calls().all(|call| !call.is_pending)));
     });
 }
 
-/// Writes notes down in short.
-struct Notes(Rc<RefCell<Vec<String>>>);
-
-impl Observer<Scripted> for Notes {
-    fn observe(&mut self, note: &EngineEvent<'_, Scripted>, view: &EngineView<'_, Scripted>) {
-        let line = match note {
-            EngineEvent::CallReceived { call, request, .. } => format!("asked {} {request}", call.0),
+/// Observer that records a short text for each event.
+struct EventRecorder(Rc<RefCell<Vec<String>>>);
+
+impl Observer<ScriptedTransport> for EventRecorder {
+    fn observe(
+        &mut self,
+        event: &EngineEvent<'_, ScriptedTransport>,
+        view: &EngineView<'_, ScriptedTransport>,
+    ) {
+        let line = match event {
+            EngineEvent::CallReceived { call, request, .. } => format!("received {} {request}", call.0),
             EngineEvent::PolicyInput(event) => {
                 format!("{event:?}").split([' ', '{']).next().unwrap_or_default().to_owned()
             }
@@ -342,7 +366,7 @@
             EngineEvent::PolicyAction(action) => {
                 format!("{action:?}").split([' ', '{']).next().unwrap_or_default().to_owned()
             }
-            EngineEvent::CallCompleted { call, .. } => format!("answered {}", call.0),
+            EngineEvent::CallCompleted { call, .. } => format!("completed {}", call.0),
             EngineEvent::AttemptEnded { outcome, .. } => format!("ended {outcome:?}"),
             EngineEvent::ListReceived { list, .. } => format!("listed {}", list.hosts.len()),
             EngineEvent::HealthChanged { host, health, .. } => {
@@ -354,48 +378,50 @@
 }
 
 #[test]
-fn features_see_one_stream_in_order() {
+fn observers_receive_all_events_in_order() {
     run(async {
-        let notes = Rc::new(RefCell::new(Vec::new()));
-        let observers: Vec<Box<dyn Observer<Scripted>>> = vec![Box::new(Notes(notes.clone()))];
-        let rig = Rig::with(Idempotency::Idempotent, &[SERVED], observers, None);
-        rig.ask(CallSpec::UNBOUNDED).reply().await;
-        rig.lists.send(list(&[("a", Health::Ready)])).expect("watched");
+        let log = Rc::new(RefCell::new(Vec::new()));
+        let observers: Vec<Box<dyn Observer<ScriptedTransport>>> = vec![Box::new(EventRecorder(log.clone()))];
+        let fixture = Fixture::with_parts(Idempotency::Idempotent, &[SERVED], observers, None);
+        fixture.submit(CallSpec::UNBOUNDED).reply().await;
+        fixture.lists.send(list(&[("a", Health::Ready)])).expect("watched");
         sleep(Duration::from_millis(1)).await;
-        let notes = notes.borrow();
-        let place =
-            |line: &str| notes.iter().position(|l| l == line).unwrap_or_else(|| panic!("{line}: {notes:?}"));
-        let order = ["Start", "listed 2", "a Ready of 2", "Members", "asked 1 pay", "Request", "Send"];
-        let rest = ["answered 1", "ended Served", "Outcome", "listed 1", "b Gone of 1"];
-        let places: Vec<usize> = order.iter().chain(&rest).map(|line| place(line)).collect();
-        assert!(places.is_sorted(), "{notes:?}");
+        let log = log.borrow();
+        let index = |line: &str| {
+            log.iter().position(|entry| entry == line).unwrap_or_else(|| panic!("{line}: {log:?}"))
+        };
+        let first_events =
+            ["Start", "listed 2", "a Ready of 2", "Members", "received 1 pay", "Request", "Send"];
+        let later_events = ["completed 1", "ended Served", "Outcome", "listed 1", "b Gone of 1"];
+        let indexes: Vec<usize> = first_events.iter().chain(&later_events).map(|line| index(line)).collect();
+        assert!(indexes.is_sorted(), "{log:?}");
     });
 }
 
-/// Units that calls hold, and whether a second copy gets one.
+/// Counts of calls to the permits of a test, and whether they allow parallel attempts.
 #[derive(Clone, Default)]
-struct Units {
+struct PermitCounts {
     held: Rc<Cell<i32>>,
-    cut: Rc<Cell<u32>>,
-    copies: bool,
-    asked: Rc<Cell<u32>>,
+    abandoned: Rc<Cell<u32>>,
+    allow_extra: bool,
+    extra_requests: Rc<Cell<u32>>,
 }
 
-struct Held(Units);
+struct CountingPermit(PermitCounts);
 
-impl Units {
-    fn ticket(&self) -> Option<Box<dyn CallPermit>> {
+impl PermitCounts {
+    fn permit(&self) -> Option<Box<dyn CallPermit>> {
         self.held.set(self.held.get() + 1);
-        Some(Box::new(Held(self.clone())))
+        Some(Box::new(CountingPermit(self.clone())))
     }
 }
 
-impl CallPermit for Held {
+impl CallPermit for CountingPermit {
     fn acquire_extra(&mut self) -> bool {
-        let Units { held, copies, asked, .. } = &self.0;
-        asked.set(asked.get() + 1);
-        held.set(held.get() + i32::from(*copies));
-        *copies
+        let PermitCounts { held, allow_extra, extra_requests, .. } = &self.0;
+        extra_requests.set(extra_requests.get() + 1);
+        held.set(held.get() + i32::from(*allow_extra));
+        *allow_extra
     }
 
     fn release_extra(&mut self) {
@@ -403,61 +429,76 @@
     }
 
     fn attempt_abandoned(&mut self) {
-        self.0.cut.set(self.0.cut.get() + 1);
+        self.0.abandoned.set(self.0.abandoned.get() + 1);
     }
 }
 
-impl Drop for Held {
+impl Drop for CountingPermit {
     fn drop(&mut self) {
         self.release_extra();
     }
 }
 
 #[test]
-fn a_ticket_is_held_until_nothing_is_out_and_asked_for_second_copies_alone() {
+fn a_permit_is_held_until_no_attempt_is_in_flight_and_extended_only_for_hedged_requests() {
     run(async {
-        for copies in [false, true] {
-            // Quick answers first: a module that knows no pace sends no copy. One goes again in sequence.
-            let mut acts = vec![SERVED; 30];
-            acts.extend([TURNED_AWAY, SERVED, Act::Stall, SERVED]);
-            let rig = Rig::with(Idempotency::Idempotent, &acts, Vec::new(), None);
+        for allow_extra in [false, true] {
+            // The policy sends hedged requests only once it knows the latency of the class, so 30 calls come
+            // first. The next call is retried after a rejection, the one after that is hedged.
+            let mut behaviors = vec![SERVED; 30];
+            behaviors.extend([REJECTED, SERVED, Behavior::NoResponse, SERVED]);
+            let fixture = Fixture::with_parts(Idempotency::Idempotent, &behaviors, Vec::new(), None);
             for _ in 0..30 {
-                rig.ask(CallSpec::UNBOUNDED).reply().await;
+                fixture.submit(CallSpec::UNBOUNDED).reply().await;
             }
-            let units = Units { copies, ..Units::default() };
-            let mut again = rig.ask_with(CallSpec::UNBOUNDED, units.ticket());
-            assert!(matches!(again.final_response().await.reply, Reply::Served(_)) && rig.sent() == 32);
-            assert_eq!((units.asked.get(), units.held.get()), (0, 0), "a retry in sequence keeps its unit");
-            let mut late = rig.ask_with(CallSpec::UNBOUNDED, units.ticket());
-            while units.asked.get() == 0 {
+            let counts = PermitCounts { allow_extra, ..PermitCounts::default() };
+            let mut retried = fixture.submit_with_permit(CallSpec::UNBOUNDED, counts.permit());
+            assert!(
+                matches!(retried.final_response().await.reply, Reply::Served(_))
+                    && fixture.sent_count() == 32
+            );
+            assert_eq!(
+                (counts.extra_requests.get(), counts.held.get()),
+                (0, 0),
+                "a retry after a rejection needs no extra permit"
+            );
+            let mut hedged = fixture.submit_with_permit(CallSpec::UNBOUNDED, counts.permit());
+            while counts.extra_requests.get() == 0 {
                 sleep(Duration::from_millis(1)).await;
             }
-            assert_eq!((units.held.get(), rig.sent()), if copies { (2, 34) } else { (1, 33) });
-            if copies {
+            assert_eq!(
+                (counts.held.get(), fixture.sent_count()),
+                if allow_extra { (2, 34) } else { (1, 33) }
+            );
+            if allow_extra {
                 assert!(
-                    matches!(late.final_response().await.reply, Reply::Served(_)),
-                    "the copy's answer counts"
+                    matches!(hedged.final_response().await.reply, Reply::Served(_)),
+                    "the hedged request's response completes the call"
                 );
             }
-            drop(late);
+            drop(hedged);
             sleep(Duration::from_millis(1)).await;
-            rig.engine.view(|view| assert_eq!(view.calls().count(), 0));
-            assert_eq!((units.held.get(), units.asked.get(), units.cut.get()), (0, 1, 1));
+            fixture.engine.view(|view| assert_eq!(view.calls().count(), 0));
+            assert_eq!((counts.held.get(), counts.extra_requests.get(), counts.abandoned.get()), (0, 1, 1));
         }
     });
 }
 
 #[test]
-fn a_ticket_outlives_its_client_for_as_long_as_an_attempt_runs() {
+fn a_permit_is_held_after_the_client_disconnects_while_an_attempt_is_in_flight() {
     run(async {
-        let rig = Rig::new(Idempotency::NonIdempotent, &[Act::End(Outcome::Served, 300), Act::Wait]);
-        let units = Units::default();
-        let (runs, unsent) = (rig.ask_with(1, units.ticket()), rig.ask_with(1, units.ticket()));
+        let fixture = Fixture::new(
+            Idempotency::NonIdempotent,
+            &[Behavior::EndAfter(Outcome::Served, 300), Behavior::NeverWritten],
+        );
+        let counts = PermitCounts::default();
+        let (written, unwritten) =
+            (fixture.submit_with_permit(1, counts.permit()), fixture.submit_with_permit(1, counts.permit()));
         sleep(Duration::from_millis(5)).await;
-        drop((runs, unsent));
-        let out = rig.engine.view(|view| view.calls().count());
-        assert_eq!((units.held.get(), out), (1, 1));
+        drop((written, unwritten));
+        let in_flight = fixture.engine.view(|view| view.calls().count());
+        assert_eq!((counts.held.get(), in_flight), (1, 1));
         sleep(Duration::from_millis(400)).await;
-        assert_eq!(units.held.get(), 0);
+        assert_eq!(counts.held.get(), 0);
     });
 }
