--- a/discovery/src/lib.rs
+++ b/discovery/src/lib.rs
@@ -7,7 +7,8 @@
 //!
 //! The handling of other failures depends on the server of the list. An agent on the proxy's own machine is
 //! polled again within a fraction of a second. For a server that all proxies share, the watch ends with the
-//! error, and the policy decides when to poll again, so that proxies do not all poll at the same time.
+//! error, and the load balancing policy decides when to open the next one, so that proxies do not all poll at
+//! the same time.
 
 mod error;
 mod json_stream;
--- a/discovery/src/poll_backoff.rs
+++ b/discovery/src/poll_backoff.rs
@@ -40,7 +40,7 @@
 }
 
 impl PollBackoff {
-    /// Creates the state of a watch without failures; `seed` is that of the random delays.
+    /// Creates the backoff of a new watch; `seed` determines the random timeouts and delays.
     pub(crate) fn new(deployment: Deployment, seed: u64) -> PollBackoff {
         PollBackoff { deployment, random: Pcg32::new(seed, 0), consecutive_failures: 0 }
     }
@@ -76,8 +76,8 @@
     pub(crate) fn next_delay(&mut self, error: &WatchError) -> Option<Duration> {
         self.consecutive_failures = self.consecutive_failures.saturating_add(1);
         match (self.deployment, error) {
-            // The idle timeout has spread the polls already. A second one in a row is left to the policy, as
-            // immediate polls of all proxies would overload a shared server.
+            // The idle timeout has spread the polls already. After a second one in a row the caller
+            // decides, as immediate polls of all proxies would overload a shared server.
             (_, WatchError::IdleTimeout(_)) if self.consecutive_failures == 1 => Some(Duration::ZERO),
             // The response timeout has passed already, and earlier polls stay pending in parallel with the
             // next one.
--- a/discovery/src/poll_set.rs
+++ b/discovery/src/poll_set.rs
@@ -1,5 +1,5 @@
-//! Polls of the discovery server that are waiting for a response. A poll that timed out may be slow rather than
-//! lost, so it stays pending in parallel with the next one; the first response of any is used.
+//! Polls of the discovery server that are waiting for a response. A poll that timed out may be slow rather
+//! than lost, so it stays pending in parallel with the next one; the first response of any is used.
 
 use crate::error::WatchError;
 use flaxhead_engine::{spawn, Task};
--- a/engine/src/call.rs
+++ b/engine/src/call.rs
@@ -72,12 +72,11 @@
 /// client disconnects earlier. The engine drops it at that time. Methods must not block and must not call the
 /// engine.
 pub trait CallPermit {
-    /// Acquires capacity for an attempt that runs in parallel with one in flight. Returns `false` if there is
+    /// Acquires an extra permit for an attempt in parallel with one in flight. Returns `false` if there is
     /// none: the call then continues with the attempts it has.
     fn acquire_extra(&mut self) -> bool;
 
-    /// Releases the capacity of one parallel attempt; called when one of several attempts in flight has
-    /// ended.
+    /// Releases an extra permit; called when an attempt ends while others of the call are in flight.
     fn release_extra(&mut self);
 
     /// Reports that an attempt was cancelled or timed out after it may have reached its host, which may
@@ -121,7 +120,7 @@
 /// Decision on whether a call may have another attempt.
 pub(crate) enum Permission {
     Granted,
-    /// No capacity for a parallel attempt: the call continues with the attempts it has.
+    /// No extra permit for a parallel attempt: the call continues with the attempts it has.
     Denied,
     /// A limit on attempts or retries is reached: the call ends.
     Exhausted {
@@ -176,7 +175,8 @@
         Some(ended)
     }
 
-    /// Checks the limits on attempts and retries, and acquires capacity if the attempt runs in parallel.
+    /// Checks the limits on attempts and retries, and acquires an extra permit if the attempt runs in
+    /// parallel.
     pub(crate) fn permission(
         &mut self,
         retry_limiter: Option<&mut (dyn RetryLimiter + 'static)>,
@@ -197,15 +197,15 @@
         }
     }
 
-    /// Numbers an attempt that the policy requested but that is not sent. Returns its outcome for the policy.
+    /// Assigns a number to an attempt that the policy requested but that is not sent. Returns the outcome
+    /// event for the policy; `complete` is true if the call needs no further attempts.
     pub(crate) fn record_unsent_attempt(&mut self, id: CallId, complete: bool) -> Event {
         let attempt = self.next_attempt();
         self.attempts.push(None);
         outcome_event(id, attempt, Outcome::NotSent, Duration::ZERO, complete)
     }
 
-    /// Acquires capacity from the permit if another attempt is in flight. Returns whether an attempt can be
-    /// sent.
+    /// Acquires an extra permit if another attempt is in flight. Returns whether an attempt can be sent.
     fn acquire_extra_permit(&mut self) -> bool {
         let is_extra = self.in_flight().next().is_some();
         match &mut self.permit {
@@ -214,8 +214,8 @@
         }
     }
 
-    /// Releases the capacity of this number of attempts that have ended. The call's last attempt in flight
-    /// needs no extra capacity: it runs under the permit itself.
+    /// Releases the extra permits of `ended` attempts. The call's last attempt in flight has no extra permit:
+    /// it runs under the permit of the call.
     fn release_extra_permits(&mut self, ended: usize) {
         let is_last = self.in_flight().next().is_none();
         let extra = if is_last { ended.saturating_sub(1) } else { ended };
--- a/engine/tests/calls.rs
+++ b/engine/tests/calls.rs
@@ -387,9 +387,8 @@
         fixture.lists.send(list(&[("a", Health::Ready)])).expect("watched");
         sleep(Duration::from_millis(1)).await;
         let log = log.borrow();
-        let index = |line: &str| {
-            log.iter().position(|entry| entry == line).unwrap_or_else(|| panic!("{line}: {log:?}"))
-        };
+        let index =
+            |line: &str| log.iter().position(|e| e == line).unwrap_or_else(|| panic!("{line}: {log:?}"));
         let first_events =
             ["Start", "listed 2", "a Ready of 2", "Members", "received 1 pay", "Request", "Send"];
         let later_events = ["completed 1", "ended Served", "Outcome", "listed 1", "b Gone of 1"];
--- a/limits/src/idempotency_cache.rs
+++ b/limits/src/idempotency_cache.rs
@@ -2,7 +2,7 @@
 //! again: a non-idempotent call never runs twice, and the attempts of all submissions of another call count
 //! toward the one limit of its class.
 //!
-//! A call that was attempted or may have run keeps its entry for the retention period after it ends; a call
+//! A call of which an attempt was sent keeps its entry for the retention period after it ends; a call
 //! of which nothing was sent loses it when it ends. Entries are never evicted early for lack of space; a full
 //! cache rejects new calls instead.
 
@@ -15,7 +15,7 @@
 pub struct IdempotencyCacheConfig {
     /// Maximum number of entries.
     pub max_entries: usize,
-    /// Time for which a call that was attempted or may have run is kept after it ends, in microseconds.
+    /// Time for which a call of which an attempt was sent is kept after it ends, in microseconds.
     pub retention: Micros,
 }
 
@@ -57,10 +57,13 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Entry {
+    /// Number of attempts that may have reached a server in all submissions, including earlier ones that the
+    /// caller reported.
     attempts: u32,
     may_have_run: bool,
     in_flight: bool,
-    /// Time from which the entry may be evicted unless its call is in flight; 0 if nothing of the call was sent.
+    /// Time from which the entry may be evicted unless its call is in flight; 0 before the first call with
+    /// a sent attempt ends.
     expires_at: Micros,
 }
 
