--- a/engine/src/engine/attempts.rs
+++ b/engine/src/engine/attempts.rs
@@ -54,7 +54,7 @@
         call.attempts.push(Some(Attempt { server, address, sent_at: now, meter, _task: task }));
     }
 
-    /// Cancels an attempt that the policy no longer needs.
+    /// Cancels an attempt, and queues the event of its outcome.
     pub(super) fn cancel(&mut self, id: CallId, attempt: u32) {
         let Some(call) = self.calls.get_mut(&id) else { return };
         let Some(cancelled) = call.take_attempt(attempt, Outcome::Cancelled) else { return };
--- a/engine/src/engine/calls.rs
+++ b/engine/src/engine/calls.rs
@@ -82,7 +82,8 @@
         self.run([]);
     }
 
-    /// Handles the end of an attempt.
+    /// Records the result of an attempt, completes the call if the result has a response, and passes the
+    /// outcome to the policy.
     pub(super) fn finish_attempt(&self, id: CallId, attempt: u32, result: AttemptResult<T::Response>) {
         let mut inner = self.0.borrow_mut();
         let Some(call) = inner.calls.get_mut(&id) else { return };
--- a/engine/src/engine/endpoints.rs
+++ b/engine/src/engine/endpoints.rs
@@ -142,7 +142,8 @@
             transport.remove_endpoint(server);
         }
         hosts.retain(|_, host| host.health != Health::Gone);
-        // Attempts in flight at an excluded host are counted by its name.
+        // The name of an excluded host is kept even if the host is not listed, because `attempts_by_host`
+        // counts its remaining attempts by name.
         server_ids.retain(|name, server| hosts.contains_key(server) || excluded.contains_key(name));
     }
 
--- a/engine/src/engine/mod.rs
+++ b/engine/src/engine/mod.rs
@@ -53,7 +53,7 @@
     clock: Clock,
     settings: Settings,
     balancer: Balancer,
-    /// Events that the policy has still to handle.
+    /// Queue of events for the policy.
     events: VecDeque<Event>,
     calls: BTreeMap<CallId, Call<T>>,
     last_call_id: u64,
@@ -104,7 +104,7 @@
             hosts: HashMap::new(),
             server_ids: HashMap::new(),
             excluded: HashMap::new(),
-            // The policy may subscribe while it handles `Event::Start`, before it receives the cached list.
+            // Set before `Event::Start`, during which the policy may already subscribe from this version on.
             list_seq: cached_list.as_ref().map(|cached_list| cached_list.seq),
             has_list: false,
             source,
--- a/engine/src/event.rs
+++ b/engine/src/event.rs
@@ -8,7 +8,7 @@
 
 /// Event in an engine.
 pub enum EngineEvent<'a, T: Transport> {
-    /// A call was submitted; the policy receives it next.
+    /// Submission of a call, before the policy receives it.
     CallReceived {
         /// Number of the submitted call.
         call: CallId,
@@ -17,14 +17,14 @@
         /// Request as the front end passed it.
         request: &'a T::Request,
     },
-    /// An endpoint list was received; the policy receives it next.
+    /// Receipt of an endpoint list, before the policy receives it.
     ListReceived {
         /// Received list.
         list: &'a EndpointList,
         /// Server numbers of the list's hosts, in the same order.
         servers: &'a [ServerId],
     },
-    /// A list changed the health of a host.
+    /// Change of a host's health by a list.
     HealthChanged {
         /// Name of the host.
         host: &'a str,
@@ -33,20 +33,20 @@
         /// Health after the change.
         health: Health,
     },
-    /// The policy is about to handle this event.
+    /// Input of the policy, before the policy handles it.
     PolicyInput(&'a Event),
-    /// The policy requested this action.
+    /// Action that the policy requested, before the engine executes it.
     PolicyAction(&'a Action),
-    /// All actions that the policy requested for one event are executed.
+    /// End of a step: all actions that the policy requested for one event are executed.
     PolicyStepEnded,
-    /// An attempt ended, at a host that is still listed.
+    /// End of an attempt that was not cancelled or withdrawn, at a host that is still listed.
     AttemptEnded {
         /// Server number of the attempt's host.
         server: ServerId,
         /// Outcome of the attempt.
         outcome: Outcome,
     },
-    /// A call was completed.
+    /// Completion of a call.
     CallCompleted {
         /// Number of the completed call.
         call: CallId,
--- a/engine/src/transport.rs
+++ b/engine/src/transport.rs
@@ -70,7 +70,8 @@
     pub server: ServerId,
     /// Address of the host.
     pub address: SocketAddr,
-    /// True if the request must not run twice.
+    /// True if the request must not run twice; a transport then avoids idle connections that the host may
+    /// have closed.
     pub non_idempotent: bool,
     /// Time at which the attempt is cancelled.
     pub deadline: Instant,
@@ -144,7 +145,7 @@
         meter: &WriteMeter,
     ) -> impl Future<Output = AttemptResult<Self::Response>> + use<Self> + 'static;
 
-    /// Closes connections that were idle for too long; called once a second.
+    /// Closes connections whose idle time exceeds the transport's limit; called once a second.
     fn sweep(&self) {}
 
     /// Returns statistics for the log.
--- a/engine/src/view.rs
+++ b/engine/src/view.rs
@@ -20,7 +20,7 @@
     pub(crate) calls: &'a BTreeMap<CallId, Call<T>>,
 }
 
-/// Listed host.
+/// Listed host, as a view shows it.
 #[derive(Clone, Copy, Debug)]
 pub struct HostView<'a> {
     /// Name of the host.
@@ -33,7 +33,7 @@
     pub health: Health,
 }
 
-/// Call in flight.
+/// Call in flight, as a view shows it.
 pub struct CallView<'a, T: Transport> {
     /// Number of the call.
     pub call: CallId,
@@ -61,7 +61,7 @@
         self.settings
     }
 
-    /// Returns the policy.
+    /// Returns the policy, whose state can be read.
     pub fn balancer(&self) -> &'a Balancer {
         self.balancer
     }
