--- a/discovery/src/error.rs
+++ b/discovery/src/error.rs
@@ -1,10 +1,10 @@
-//! Errors of a watch.
+//! Errors of a list stream and of its data.
 
 use hyper::StatusCode;
 use std::io;
 use std::time::Duration;
 
-/// Reason for which a watch ended.
+/// Failure of a poll or of its list stream.
 #[derive(Debug, thiserror::Error)]
 pub enum WatchError {
     /// Failure to open the connection.
@@ -16,7 +16,7 @@
     )]
     ResponseTimeout(Duration),
     /// Failure of the connection, or a response that is not HTTP.
-    #[error("connection failed: {0}; the watch will be reopened")]
+    #[error("connection failed: {0}; the discovery server will be polled again")]
     Connection(#[from] hyper::Error),
     /// Failure to build the request, as for an address that is not valid in it.
     #[error("cannot build the request: {0}; check the configured discovery address")]
@@ -24,11 +24,11 @@
     /// Response with a status other than 200.
     #[error("the discovery server responded with status {0}; it will be polled again")]
     Status(StatusCode),
-    /// No data, nor a keep-alive, for this time.
-    #[error("no data or keep-alive for {0:?}; the watch will be reopened")]
+    /// No list, change or keep-alive on the list stream for this time.
+    #[error("no data or keep-alive for {0:?}; the discovery server will be polled again")]
     IdleTimeout(Duration),
-    /// End of the response by the server.
-    #[error("the discovery server ended the watch; it will be reopened")]
+    /// End of the list stream by the discovery server.
+    #[error("the discovery server ended the response; it will be polled again")]
     Ended,
     /// Data that is not an endpoint list.
     #[error("invalid endpoint list: {0}; the last valid list stays in use")]
--- a/discovery/src/json_stream.rs
+++ b/discovery/src/json_stream.rs
@@ -1,5 +1,5 @@
-//! Incremental parser of a watch: JSON objects on one line each or indented, separated by line breaks and
-//! empty lines.
+//! Incremental parser of a list stream: JSON objects on one line each or indented, separated by line breaks
+//! and empty lines.
 //!
 //! `serde_json` parses a stream of values only from a blocking reader. This parser therefore finds the end of
 //! each object by counting brackets, and passes complete objects to `serde_json`.
@@ -7,7 +7,7 @@
 use crate::error::ListError;
 use flaxhead_engine::EndpointList;
 
-/// Maximum size of a list, to bound the memory that a faulty server can use; far above any real list.
+/// Maximum size of a list, to bound the memory that a faulty discovery server can use.
 const MAX_LIST_BYTES: usize = 4 << 20;
 
 /// Parser state, with the bytes received of the current JSON object.
@@ -23,7 +23,7 @@
 }
 
 impl JsonStream {
-    /// Parses the next bytes of the watch, and passes each list that they complete to the handler.
+    /// Parses the next bytes of the list stream, and passes each list that they complete to the handler.
     pub(crate) fn feed(
         &mut self,
         data: &[u8],
--- a/discovery/src/json_stream/tests.rs
+++ b/discovery/src/json_stream/tests.rs
@@ -1,5 +1,3 @@
-//! Unit tests of `json_stream`.
-
 use super::*;
 
 fn feed_pieces(pieces: &[&str]) -> (Vec<u64>, Result<(), ListError>) {
--- a/discovery/src/lib.rs
+++ b/discovery/src/lib.rs
@@ -1,14 +1,16 @@
 //! Client of the platform's discovery protocol, which delivers the endpoint list over HTTP.
 //!
-//! A poll is an HTTP request for the list. Its response stays open as a watch: the server sends a JSON object
-//! for each list or change, and an empty line every 2 s as a keep-alive. Proxies are required to follow a
-//! change of the list within 6 s, so a watch that is idle for too long is closed and reopened within that
-//! time, after a delay that is random for each proxy.
+//! A poll is an HTTP request for the list. The discovery server keeps the response open as a list stream: it
+//! sends a JSON object for each list or change, and an empty line every 2 s as a keep-alive. A watch
+//! ([`ListSource::watch`]) reads one list stream after another. Proxies are required to follow a change of
+//! the list within 6 s, so a watch closes a stream that is idle for too long and polls again within that
+//! time, after a delay that is random for each proxy. If a poll has no response in time, the watch sends
+//! another one in parallel.
 //!
-//! The handling of other failures depends on the server of the list. An agent on the proxy's own machine is
+//! The handling of other failures depends on the discovery server. An agent on the proxy's own machine is
 //! polled again within a fraction of a second. For a server that all proxies share, the watch ends with the
-//! error, and the load balancing policy decides when to open the next one, so that proxies do not all poll at
-//! the same time.
+//! error, and the load balancing policy decides when to start the next one, so that proxies do not all poll
+//! at the same time.
 
 mod error;
 mod json_stream;
@@ -22,16 +24,16 @@
 use poll_backoff::PollBackoff;
 use std::net::SocketAddr;
 
-/// Kind of server that delivers the list.
+/// Place of the discovery server, which determines the handling of failures.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Deployment {
-    /// Server that all proxies share.
+    /// Server that all proxies poll, so that their polls must be spread over time.
     Shared,
-    /// Agent on the proxy's own machine.
+    /// Agent on the proxy's own machine, which only this proxy polls.
     LocalAgent,
 }
 
-/// Discovery server at an address.
+/// Client of the discovery server at an address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Discovery {
     address: SocketAddr,
@@ -40,15 +42,15 @@
 }
 
 impl Discovery {
-    /// Creates a client of a server that all proxies share. A failed watch ends, and the caller decides when
-    /// to open the next one. `seed` must differ between proxies, to spread the polls of those whose watches
-    /// become idle at the same time.
+    /// Creates a client of a discovery server that all proxies share. A watch ends with most failures, and
+    /// the caller decides when to start the next one. `seed` must differ between proxies, to spread the polls
+    /// of those whose list streams become idle at the same time.
     pub fn shared(address: SocketAddr, seed: u64) -> Discovery {
         Discovery { address, deployment: Deployment::Shared, seed }
     }
 
-    /// Creates a client of an agent on the proxy's own machine. A watch reconnects after any failure until it
-    /// is dropped. `seed` must differ between proxies.
+    /// Creates a client of an agent on the proxy's own machine. A watch polls again after any failure until
+    /// it is dropped. `seed` must differ between proxies.
     pub fn local_agent(address: SocketAddr, seed: u64) -> Discovery {
         Discovery { address, deployment: Deployment::LocalAgent, seed }
     }
--- a/discovery/src/poll_backoff/tests.rs
+++ b/discovery/src/poll_backoff/tests.rs
@@ -1,5 +1,3 @@
-//! Unit tests of `poll_backoff`.
-
 use super::*;
 
 #[test]
--- a/discovery/src/poll_set.rs
+++ b/discovery/src/poll_set.rs
@@ -20,9 +20,9 @@
 /// Maximum number of polls in parallel; a further poll replaces the oldest.
 const MAX_PENDING_POLLS: usize = 3;
 
-/// Response to a poll.
+/// List stream of the first poll that succeeded.
 pub(crate) struct PollResponse {
-    /// Body of the response, on which the server sends lists.
+    /// Response body, from which the lists are read.
     pub(crate) body: Incoming,
     /// Task that drives the connection; dropping it closes the connection.
     pub(crate) _connection: Task,
@@ -37,7 +37,7 @@
 }
 
 impl PollSet {
-    /// Creates an empty set for the server at this address.
+    /// Creates an empty set for the discovery server at this address.
     pub(crate) fn new(discovery: SocketAddr) -> PollSet {
         PollSet { discovery, pending: VecDeque::new() }
     }
--- a/discovery/src/watch.rs
+++ b/discovery/src/watch.rs
@@ -1,5 +1,5 @@
-//! Watch of the endpoint list: polls the discovery server and receives lists until the connection fails,
-//! repeatedly.
+//! Watch of the endpoint list: polls the discovery server, reads the list stream until it fails, and polls
+//! again.
 
 use crate::error::WatchError;
 use crate::json_stream::JsonStream;
@@ -11,7 +11,7 @@
 use std::net::SocketAddr;
 use tokio::time::{sleep, timeout};
 
-/// Watches the list from version `since` on and passes each list to the handler. Reconnects after a failure
+/// Watches the list from version `since` on and passes each list to the handler. Polls again after a failure
 /// for as long as `backoff` gives a delay, then returns the last error.
 pub(crate) async fn watch(
     discovery: SocketAddr,
@@ -30,7 +30,8 @@
     }
 }
 
-/// Polls the server and receives lists on the first response until it fails. Updates `since` with each list.
+/// Polls the discovery server and passes the lists of the stream to the handler until the stream fails. Sets
+/// `since` to the version of each list.
 async fn receive_lists(
     polls: &mut PollSet,
     backoff: &mut PollBackoff,
--- a/engine/src/call.rs
+++ b/engine/src/call.rs
@@ -32,10 +32,10 @@
     pub const UNBOUNDED: u32 = u32::MAX;
 }
 
-/// Final result of a call for its client.
+/// Result of a call for its client: exactly one is delivered.
 #[derive(Debug)]
 pub enum Reply<A> {
-    /// Response of a host.
+    /// Response of a host, which may report an error of its own.
     Served(A),
     /// Rejection of a call that no host has run; the client may retry after this time.
     Rejected(Duration),
@@ -52,10 +52,10 @@
     pub may_have_run: bool,
 }
 
-/// Result of a call, with its attempts.
+/// Final result of a call, and the attempts that led to it.
 #[derive(Debug)]
 pub struct FinalResponse<A> {
-    /// Result for the client.
+    /// Result to deliver to the client.
     pub reply: Reply<A>,
     /// Attempts that may have reached a host.
     pub trace: AttemptTrace,
@@ -63,8 +63,8 @@
 
 /// Limit on retries, shared by several calls and applied in addition to the policy's. Methods must not block.
 pub trait RetryLimiter {
-    /// Returns whether to send another attempt of a call of which an attempt may have reached a host; `false`
-    /// ends the call. `now` is a reading of the engine's clock.
+    /// Returns whether a retry may be sent; `false` completes the call. The engine asks only if an earlier
+    /// attempt of the call may have reached a host. `now` is a reading of the engine's clock.
     fn try_acquire(&mut self, now: Micros) -> bool;
 }
 
@@ -84,7 +84,7 @@
     fn attempt_abandoned(&mut self);
 }
 
-/// Call in flight.
+/// Call that has no response yet, or has attempts in flight.
 pub(crate) struct Call<T: Transport> {
     pub(crate) request: Rc<T::Request>,
     pub(crate) class: ClassId,
@@ -101,7 +101,7 @@
     pub(crate) permit: Option<Box<dyn CallPermit>>,
 }
 
-/// Attempt in flight.
+/// Attempt whose task has not ended.
 pub(crate) struct Attempt {
     pub(crate) server: ServerId,
     pub(crate) address: SocketAddr,
--- a/engine/src/clock.rs
+++ b/engine/src/clock.rs
@@ -39,7 +39,7 @@
         self.start + Duration::from_micros(at.saturating_sub(self.origin))
     }
 
-    /// Returns the time since the clock's start.
+    /// Returns the time since the engine was started.
     pub(crate) fn elapsed(&self) -> Duration {
         self.start.elapsed()
     }
--- a/engine/src/endpoint_list.rs
+++ b/engine/src/endpoint_list.rs
@@ -5,18 +5,18 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Full endpoint list, or the endpoints that changed.
+/// Full list of the hosts that can serve calls, or the hosts that changed since an earlier version.
 #[derive(Clone, Debug, Deserialize)]
 pub struct EndpointList {
-    /// Version of the list.
+    /// Version of the list, a sequence number from which a watch can continue.
     pub seq: u64,
-    /// True for the full list, false for changed endpoints only.
+    /// True for the full list, false for the hosts that changed.
     pub whole: bool,
-    /// Endpoints of the full list, or those that changed.
+    /// Hosts of the full list, or those that changed.
     pub hosts: Vec<Endpoint>,
 }
 
-/// Host in the endpoint list.
+/// Description of a host in the endpoint list.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Endpoint {
     /// Name of the host, the same at every proxy.
@@ -26,13 +26,13 @@
     /// Zone of the host; empty if unknown.
     #[serde(default)]
     pub site: String,
-    /// Hardware model; hosts of one model have similar capacity.
+    /// Hardware model (not a class of calls); hosts of one model have similar capacity.
     #[serde(default)]
     pub class: String,
     /// Cell; hosts of one cell deduplicate each other's requests.
     #[serde(default)]
     pub block: u32,
-    /// Health, which says whether the host accepts requests.
+    /// Readiness for new requests.
     pub health: Health,
     /// Capacity relative to the other hosts'.
     #[serde(default)]
@@ -42,7 +42,7 @@
     pub born_ms: u64,
 }
 
-/// State of a host according to the list.
+/// Readiness of a host according to the list.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 pub enum Health {
     /// Accepts requests.
@@ -53,17 +53,15 @@
     Gone,
 }
 
-/// Server number and health of a listed host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ListedHealth {
     pub(crate) server: ServerId,
     pub(crate) health: Health,
 }
 
-/// Listed hosts by name.
 pub(crate) type HealthByHost = BTreeMap<String, ListedHealth>;
 
-/// Change of a host's health.
+/// Host whose health differs between two lists.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct HealthChange {
     pub(crate) host: String,
--- a/engine/src/endpoint_list/tests.rs
+++ b/engine/src/endpoint_list/tests.rs
@@ -1,5 +1,3 @@
-//! Unit tests of `endpoint_list`.
-
 use super::*;
 
 #[test]
--- a/engine/src/endpoint_state.rs
+++ b/engine/src/endpoint_state.rs
@@ -1,11 +1,11 @@
-//! State that the engine keeps for a listed host.
+//! Address, health and availability of a listed host.
 
 use crate::endpoint_list::Health;
 use crate::send_cutoff::SendCutoff;
 use flaxhead_policy::Entry;
 use std::net::SocketAddr;
 
-/// State of a listed host.
+/// Address, health and availability of a host, kept for as long as the host is listed.
 #[derive(Debug)]
 pub(crate) struct EndpointState {
     /// Address at which the host accepts connections.
@@ -14,7 +14,8 @@
     pub(crate) started_ms: u64,
     /// Health according to the list.
     pub(crate) health: Health,
-    /// Entry that is passed to the policy while the host is available.
+    /// Last description of the host for the policy: state, zone, cell and weight as listed. It is passed to
+    /// the policy again when the host's availability changes.
     pub(crate) entry: Entry,
     /// True if the policy was last told that the host is ready.
     pub(crate) announced_ready: bool,
@@ -23,12 +24,12 @@
 }
 
 impl EndpointState {
-    /// Returns whether a new attempt may be written to the host at this address.
+    /// Returns whether the host is available, and still at this address.
     pub(crate) fn accepts_at(&self, address: SocketAddr) -> bool {
         self.is_available() && self.address == address
     }
 
-    /// Returns whether the host is listed as ready and not excluded.
+    /// Returns whether the host is available for new attempts: listed as ready, and not excluded.
     pub(crate) fn is_available(&self) -> bool {
         self.health == Health::Ready && !self.cutoff.has_passed()
     }
--- a/engine/src/engine/endpoints.rs
+++ b/engine/src/engine/endpoints.rs
@@ -25,8 +25,8 @@
         inner.subscribe(self);
     }
 
-    /// Applies a list, and withdraws unwritten attempts at hosts that are not ready in it. `cached` is true
-    /// for the list that the engine was started with.
+    /// Applies a list, and withdraws unwritten attempts at hosts that are then not available. `cached` is
+    /// true for the list that the engine was started with.
     pub(super) fn apply_list(&self, list: &EndpointList, cached: bool) {
         let mut inner = self.0.borrow_mut();
         let before = (!inner.observers.is_empty()).then(|| inner.health_by_host());
@@ -197,7 +197,7 @@
                 server.0 = server.0.wrapping_add(1);
             }
             // The policy's log lines identify servers by number only.
-            tracing::info!("engine: server {} is host {} at {}", server.0, endpoint.host, endpoint.dial);
+            tracing::info!("server {} is host {} at {}", server.0, endpoint.host, endpoint.dial);
             server
         })
     }
@@ -217,9 +217,8 @@
         entry
     }
 
-    /// Withdraws unwritten attempts at hosts that are not available or no longer listed, and closes idle
-    /// connections to hosts that are not available. A request counts as sent when it is written, not when the
-    /// policy decides to send it.
+    /// Withdraws unwritten attempts at hosts that are not available, and closes idle connections to these
+    /// hosts. A request counts as sent when it is written, not when the policy decides to send it.
     fn withdraw_unavailable(&mut self) {
         let Inner { calls, hosts, events, transport, .. } = self;
         for (&server, host) in hosts.iter() {
--- a/engine/src/engine/mod.rs
+++ b/engine/src/engine/mod.rs
@@ -30,12 +30,12 @@
 /// Number of sweeps between two lines of statistics in the log.
 const SWEEPS_PER_LOG_LINE: u32 = 10;
 
-/// Configuration of an engine.
+/// Settings and initial state of an engine.
 #[derive(Clone, Debug)]
 pub struct EngineConfig {
     /// Seed of the policy's random numbers; must differ at each start.
     pub seed: u64,
-    /// Settings of the policy.
+    /// Settings of the policy, such as classes of calls and limits.
     pub settings: Settings,
     /// Endpoint list saved by an earlier process, possibly outdated; `None` if there is none.
     pub cached_list: Option<EndpointList>,
@@ -61,7 +61,7 @@
     server_ids: HashMap<String, ServerId>,
     /// Hosts that are excluded regardless of the list, with the time from which each is.
     excluded: HashMap<String, Instant>,
-    /// Version of the last list applied.
+    /// Version of the last list applied, from which a new watch continues; `None` before the first list.
     list_seq: Option<u64>,
     has_list: bool,
     source: Rc<dyn ListSource>,
@@ -151,7 +151,7 @@
         let inner = self.0.borrow();
         let calls = inner.calls.len();
         let stats = inner.transport.stats();
-        tracing::info!("engine: {calls} calls, {stats:?}, {:?}", inner.counts);
+        tracing::info!("{calls} calls, {stats:?}, {:?}", inner.counts);
     }
 
     /// Calls `read` with a view of the current state of the engine.
@@ -169,8 +169,8 @@
         })
     }
 
-    /// Passes events to the policy and executes its actions, including those for events that the actions
-    /// cause.
+    /// Passes events to the policy and executes the actions it returns. Events that these actions cause are
+    /// passed to it in the same call.
     fn run(&self, events: impl IntoIterator<Item = Event>) {
         let mut inner = self.0.borrow_mut();
         inner.events.extend(events);
--- a/engine/src/engine/pending_call.rs
+++ b/engine/src/engine/pending_call.rs
@@ -22,7 +22,8 @@
 
     /// Waits for the result of the call, and returns it with the attempts that may have reached a host.
     pub async fn final_response(&mut self) -> FinalResponse<T::Response> {
-        // The sender is dropped without a response only at the end of the process.
+        // Result if the engine drops the response channel without a response, which happens only at the end
+        // of the process.
         let fallback =
             FinalResponse { reply: Reply::Failed, trace: AttemptTrace { attempts: 0, may_have_run: true } };
         (&mut self.reply).await.unwrap_or(fallback)
--- a/engine/src/event.rs
+++ b/engine/src/event.rs
@@ -6,29 +6,29 @@
 use crate::view::EngineView;
 use flaxhead_policy::{Action, CallId, ClassId, Event, Outcome, ServerId};
 
-/// Event in an engine.
+/// Step in the handling of a call, an attempt or an endpoint list, or of a policy event.
 pub enum EngineEvent<'a, T: Transport> {
     /// Submission of a call, before the policy receives it.
     CallReceived {
-        /// Number of the submitted call.
+        /// Number by which the policy identifies the call.
         call: CallId,
-        /// Class of the submitted call.
+        /// Index of the class in the settings of the policy.
         class: ClassId,
         /// Request as the front end passed it.
         request: &'a T::Request,
     },
     /// Receipt of an endpoint list, before the policy receives it.
     ListReceived {
-        /// Received list.
+        /// Full list, or the hosts that changed.
         list: &'a EndpointList,
         /// Server numbers of the list's hosts, in the same order.
         servers: &'a [ServerId],
     },
     /// Change of a host's health by a list.
     HealthChanged {
-        /// Name of the host.
+        /// Name from the endpoint list.
         host: &'a str,
-        /// Server number of the host.
+        /// Number by which the policy identifies the host.
         server: ServerId,
         /// Health after the change.
         health: Health,
@@ -41,14 +41,14 @@
     PolicyStepEnded,
     /// End of an attempt that was not cancelled or withdrawn, at a host that is still listed.
     AttemptEnded {
-        /// Server number of the attempt's host.
+        /// Number by which the policy identifies the attempt's host.
         server: ServerId,
-        /// Outcome of the attempt.
+        /// Outcome, which the policy receives next.
         outcome: Outcome,
     },
-    /// Completion of a call.
+    /// Delivery of the final result of a call to its client.
     CallCompleted {
-        /// Number of the completed call.
+        /// Number by which the policy identifies the call.
         call: CallId,
         /// Result for the client.
         reply: &'a Reply<T::Response>,
--- a/engine/src/lib.rs
+++ b/engine/src/lib.rs
@@ -6,10 +6,13 @@
 //! ([`flaxhead_policy::Balancer`]) makes all decisions: the engine passes it each event, in one order and on
 //! one clock, and executes the actions it returns.
 //!
-//! A host is a backend that the endpoint list names; the policy identifies it by a server number
-//! ([`flaxhead_policy::ServerId`]). An attempt reaches its host once a byte of its request is written. Before
-//! that the engine can withdraw it, which guarantees that the host does not run it; after that it can only be
-//! cancelled, and the host may have run it.
+//! A host is a backend; the endpoint list describes each host by an [`Endpoint`]. The policy calls a host a
+//! server, and identifies it by its server number ([`flaxhead_policy::ServerId`]). A host is available if it
+//! is listed as ready and not excluded ([`Engine::set_excluded_hosts`]).
+//!
+//! An attempt reaches its host once a byte of its request is written. Before that the engine can withdraw it,
+//! which guarantees that the host does not run it; after that it can only be cancelled, and the host may have
+//! run it.
 //!
 //! An engine runs on one thread, inside a [`tokio::task::LocalSet`].
 
--- a/engine/src/transport.rs
+++ b/engine/src/transport.rs
@@ -1,4 +1,5 @@
-//! Interface to the transport, which sends attempts to hosts.
+//! Transport trait: connecting to hosts and sending attempts. Also the limits on an attempt that both the
+//! engine and the transport enforce.
 
 use crate::send_cutoff::SendCutoff;
 use flaxhead_policy::{LoadReport, Outcome, ServerId};
@@ -36,12 +37,12 @@
         WriteMeter { state: Rc::default(), cutoff, send_by }
     }
 
-    /// Returns the number of bytes that were written.
+    /// Returns the number of request bytes written so far.
     pub fn bytes_written(&self) -> usize {
         self.state.get().bytes
     }
 
-    /// Sets the number of bytes that were written.
+    /// Sets the number of request bytes written; must be called before they are handed to the connection.
     pub fn set_bytes_written(&self, bytes: usize) {
         self.state.set(WriteState { bytes, ..self.state.get() });
     }
@@ -66,9 +67,9 @@
 /// Destination and conditions of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptTarget {
-    /// Server number of the host.
+    /// Number by which the transport tells hosts apart, also in `set_endpoint`.
     pub server: ServerId,
-    /// Address of the host.
+    /// Address to connect to.
     pub address: SocketAddr,
     /// True if the request must not run twice; a transport then avoids idle connections that the host may
     /// have closed.
@@ -100,10 +101,10 @@
     timeout_at(deadline, sending).await.unwrap_or_else(timed_out)
 }
 
-/// Result of an attempt.
+/// Result of an attempt, as the transport reports it to the engine.
 #[derive(Debug)]
 pub struct AttemptResult<A> {
-    /// Outcome reported to the policy.
+    /// Outcome for the policy, which decides on retries by it.
     pub outcome: Outcome,
     /// Load report of the host; default if the host sent none.
     pub load: LoadReport,
@@ -122,9 +123,9 @@
 /// Transport that connects to hosts, sends attempts and reports their outcomes. The engine selects the host,
 /// the time and the deadline of each attempt.
 pub trait Transport: 'static {
-    /// Request of a call, which is sent once for each attempt.
+    /// Request of a call; the engine keeps it and passes it to each attempt.
     type Request: 'static;
-    /// Response of a host.
+    /// Response of a host, which the engine passes to the call's client unchanged.
     type Response: 'static;
 
     /// Sets the address at which a host accepts new attempts; `None` if it accepts none, in which case its
@@ -148,6 +149,6 @@
     /// Closes connections whose idle time exceeds the transport's limit; called once a second.
     fn sweep(&self) {}
 
-    /// Returns statistics for the log.
+    /// Returns statistics, whose `Debug` text the engine writes to the log at intervals.
     fn stats(&self) -> impl Debug;
 }
--- a/engine/src/view.rs
+++ b/engine/src/view.rs
@@ -1,4 +1,4 @@
-//! Read-only view of an engine.
+//! Read access to the state of an engine, for observers and status pages.
 
 use crate::call::Call;
 use crate::endpoint_list::Health;
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Read-only view of the current state of an engine.
+/// State of an engine that observers and status pages can read.
 pub struct EngineView<'a, T: Transport> {
     pub(crate) now: Micros,
     pub(crate) uptime: Duration,
@@ -20,12 +20,12 @@
     pub(crate) calls: &'a BTreeMap<CallId, Call<T>>,
 }
 
-/// Listed host, as a view shows it.
+/// Name, number, address and health of a listed host.
 #[derive(Clone, Copy, Debug)]
 pub struct HostView<'a> {
-    /// Name of the host.
+    /// Name from the endpoint list.
     pub name: &'a str,
-    /// Server number of the host.
+    /// Number by which the policy identifies the host.
     pub server: ServerId,
     /// Address at which the host accepts connections.
     pub address: SocketAddr,
@@ -33,11 +33,11 @@
     pub health: Health,
 }
 
-/// Call in flight, as a view shows it.
+/// Class and request of a call whose client is waiting, or that still has attempts in flight.
 pub struct CallView<'a, T: Transport> {
-    /// Number of the call.
+    /// Number by which the policy identifies the call.
     pub call: CallId,
-    /// Class of the call.
+    /// Index of the class in the settings of the policy.
     pub class: ClassId,
     /// Request as the front end passed it.
     pub request: &'a T::Request,
@@ -51,7 +51,7 @@
         self.now
     }
 
-    /// Returns the time since the engine's start.
+    /// Returns the time since the engine was started, for status pages.
     pub fn uptime(&self) -> Duration {
         self.uptime
     }
--- a/limits/src/idempotency_cache.rs
+++ b/limits/src/idempotency_cache.rs
@@ -1,21 +1,22 @@
-//! Cache of calls by call id or idempotency key, which limits what a call may do when any layer submits it
-//! again: a non-idempotent call never runs twice, and the attempts of all submissions of another call count
-//! toward the one limit of its class.
+//! Cache of calls by call id or idempotency key, which limits the attempts of a call that is submitted more
+//! than once, by any layer: a non-idempotent call never runs twice, and the attempts of all submissions of
+//! another call count toward the one limit of its class.
 //!
-//! A call of which an attempt was sent keeps its entry for the retention period after it ends; a call
-//! of which nothing was sent loses it when it ends. Entries are never evicted early for lack of space; a full
-//! cache rejects new calls instead.
+//! An entry is kept for the retention period after the end of the last submission in which an attempt was
+//! sent. If no attempt was sent in any submission, the entry is removed when the submission ends. Entries are
+//! never evicted early for lack of space; a full cache rejects new calls instead.
 
 use flaxhead_policy::{Idempotency, Micros};
 use std::collections::{HashMap, VecDeque};
 use std::hash::Hash;
 
-/// Configuration of a cache.
+/// Limits on the entries of a cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct IdempotencyCacheConfig {
-    /// Maximum number of entries.
+    /// Maximum number of entries; further calls are rejected with [`Rejection::CacheFull`].
     pub max_entries: usize,
-    /// Time for which a call of which an attempt was sent is kept after it ends, in microseconds.
+    /// Time for which an entry is kept after the end of the last submission in which an attempt was sent, in
+    /// microseconds.
     pub retention: Micros,
 }
 
@@ -31,39 +32,40 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PreviousAttempts(pub u32);
 
-/// Attempts that a call is still allowed.
+/// Attempts that a submission of a call may make.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Allowance {
-    /// Maximum number of further attempts that may reach a server.
+    /// Maximum number of attempts in this submission that may reach a host.
     pub remaining_attempts: u32,
-    /// True if the call was submitted before, so that it counts against the retry budget.
+    /// True if the call was submitted or attempted before, so that this submission costs a token of the retry
+    /// budget.
     pub is_retry: bool,
 }
 
-/// Reason for which a call must not be sent.
+/// Reason for which a submission of a call must not be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rejection {
-    /// A call with the same id or key is in flight.
+    /// Another submission with the same id or key is in flight.
     InFlight,
-    /// A call with the same id or key may have run, and the call is not idempotent.
+    /// An earlier submission with the same id or key may have run, and the call is not idempotent.
     MayHaveRun,
     /// The caller reports an earlier attempt that the cache does not know, and the call is not idempotent.
     UnknownAttempt,
-    /// All attempts that the class of the call allows have been made.
+    /// All attempts that the class of the call allows were made in earlier submissions.
     Exhausted,
-    /// The cache is full.
+    /// No space for another call until an entry expires.
     CacheFull,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Entry {
-    /// Number of attempts that may have reached a server in all submissions, including earlier ones that the
+    /// Number of attempts that may have reached a host in all submissions, including earlier ones that the
     /// caller reported.
     attempts: u32,
     may_have_run: bool,
     in_flight: bool,
-    /// Time from which the entry may be evicted unless its call is in flight; 0 before the first call with
-    /// a sent attempt ends.
+    /// Time from which the entry may be evicted unless a submission is in flight; 0 before the first
+    /// submission with a sent attempt ends.
     expires_at: Micros,
 }
 
@@ -74,24 +76,24 @@
     key: K,
 }
 
-/// Cache of calls by id or key.
+/// Calls by id or key, each with the attempts of all its submissions.
 #[derive(Clone, Debug)]
 pub struct IdempotencyCache<K> {
     config: IdempotencyCacheConfig,
     entries: HashMap<K, Entry>,
-    /// Scheduled expiries, ordered by time; several for an entry whose call ended several times.
+    /// Scheduled expiries, ordered by time; one for each submission with a sent attempt.
     expiries: VecDeque<Expiry<K>>,
 }
 
 impl<K: Clone + Eq + Hash> IdempotencyCache<K> {
-    /// Creates an empty cache.
+    /// Creates a cache without entries.
     pub fn new(config: IdempotencyCacheConfig) -> IdempotencyCache<K> {
         IdempotencyCache { config, entries: HashMap::new(), expiries: VecDeque::new() }
     }
 
-    /// Registers a call that is submitted for the first time or again; `max_attempts` is the limit of its
-    /// class, and `previous` the number of earlier attempts that the caller reports. If the call is allowed,
-    /// it counts as in flight until [`IdempotencyCache::end`] is called.
+    /// Starts a submission of a call, the first or a later one. `max_attempts` is the limit of the call's
+    /// class, and `previous` the number of earlier attempts that the caller reports. An allowed submission is
+    /// in flight until [`IdempotencyCache::end`] is called.
     ///
     /// # Errors
     ///
@@ -112,7 +114,7 @@
                 return Err(Rejection::MayHaveRun)
             }
             Some(entry) => entry.attempts,
-            // The attempt was made through another process, or before a restart of this one.
+            // The reported attempt was made through another process, or before a restart of this one.
             None if previous.0 > 0 && idempotency == Idempotency::NonIdempotent => {
                 return Err(Rejection::UnknownAttempt)
             }
@@ -134,8 +136,8 @@
         Ok(Allowance { remaining_attempts: remaining, is_retry: existing.is_some() || previous.0 > 0 })
     }
 
-    /// Records the end of a call. `attempts` is the number of attempts that may have reached a server, and
-    /// `may_have_run` is true if a server may have run one of them.
+    /// Ends a submission of a call. `attempts` is the number of its attempts that may have reached a host,
+    /// and `may_have_run` is true if a host may have run one of them.
     pub fn end(&mut self, now: Micros, key: &K, attempts: u32, may_have_run: bool) {
         let Some(entry) = self.entries.get_mut(key) else { return };
         debug_assert!(entry.in_flight, "`end` without a matching `begin`");
@@ -150,12 +152,12 @@
         }
     }
 
-    /// Returns the number of entries.
+    /// Returns the number of calls in the cache, including expired ones that are not yet evicted.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Returns whether the cache has no entries.
+    /// Returns whether no calls are in the cache.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
--- a/limits/src/idempotency_cache/tests.rs
+++ b/limits/src/idempotency_cache/tests.rs
@@ -1,5 +1,3 @@
-//! Unit tests of `idempotency_cache`.
-
 use super::*;
 use flaxhead_policy::DedupScope;
 use proptest::prelude::*;
--- a/limits/src/retry_budget.rs
+++ b/limits/src/retry_budget.rs
@@ -11,14 +11,14 @@
 /// Lower bound of the rate in a division, to avoid dividing by zero.
 const MIN_RATE_PER_SECOND: f64 = 1e-9;
 
-/// Configuration of a retry budget.
+/// Rates at which a retry budget fills, and its capacity.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudgetConfig {
     /// Number of retries that each first attempt adds to the budget, 0 to 1.
     pub ratio: f64,
     /// Retries per second that are added regardless of traffic.
     pub min_per_second: f64,
-    /// Maximum number of unused retries, at least 1.
+    /// Capacity of the budget: maximum number of unused retries, at least 1.
     pub max_tokens: f64,
 }
 
@@ -41,7 +41,7 @@
 }
 
 impl RetryBudget {
-    /// Creates a bucket at time `now`.
+    /// Creates a budget that fills from time `now` on.
     pub fn new(config: RetryBudgetConfig, now: Micros) -> RetryBudget {
         debug_assert!(config.ratio >= 0.0 && config.min_per_second >= 0.0 && config.max_tokens >= 1.0);
         let tokens = config.min_per_second.min(config.max_tokens);
@@ -66,8 +66,8 @@
         allowed
     }
 
-    /// Returns the time until the next retry is allowed, in microseconds, if no first attempt adds tokens
-    /// before; 0 if one is allowed now, `None` if that takes a first attempt.
+    /// Returns the time until the next retry is allowed, in microseconds, at the minimum rate alone: 0 if one
+    /// is allowed now, `None` if the minimum rate is 0 and only first attempts can add the missing tokens.
     pub fn time_until_retry(&self) -> Option<Micros> {
         let missing_tokens = (1.0 - self.tokens).max(0.0);
         let rate = self.config.min_per_second;
@@ -75,7 +75,7 @@
         is_reachable.then(|| ceil_micros(missing_tokens / rate.max(MIN_RATE_PER_SECOND) * MICROS_PER_SECOND))
     }
 
-    /// Returns the number of retries that were denied.
+    /// Returns the number of retries denied since the budget was created.
     pub fn denied(&self) -> u64 {
         self.denied
     }
--- a/limits/src/retry_budget/tests.rs
+++ b/limits/src/retry_budget/tests.rs
@@ -1,5 +1,3 @@
-//! Unit tests of `retry_budget`.
-
 use super::*;
 use proptest::prelude::*;
 
