--- a/engine/src/event.rs
+++ b/engine/src/event.rs
@@ -1,4 +1,4 @@
-//! What features observe of an engine: a stream of events, each with a view of the engine at that moment.
+//! Event stream for observers of an engine.
 
 use crate::call::Reply;
 use crate::endpoint_list::{EndpointList, Health};
@@ -6,57 +6,57 @@
 use crate::view::EngineView;
 use flaxhead_policy::{Action, CallId, ClassId, Event, Outcome, ServerId};
 
-/// Something that happened in an engine.
+/// Step in the handling of a call, an attempt or an endpoint list, or of a policy event.
 pub enum EngineEvent<'a, T: Transport> {
-    /// A call has come in; the decision module is given it next.
+    /// Submission of a call, before the policy receives it.
     CallReceived {
-        /// The call's number.
+        /// Number by which the policy identifies the call.
         call: CallId,
-        /// The call's class.
+        /// Index of the class in the settings of the policy.
         class: ClassId,
-        /// The request as the front passed it.
+        /// Request as the front end passed it.
         request: &'a T::Request,
     },
-    /// An endpoint list has come; the module is given it next.
+    /// Receipt of an endpoint list, before the policy receives it.
     ListReceived {
-        /// The list.
+        /// Full list, or the hosts that changed.
         list: &'a EndpointList,
-        /// The numbers of its hosts, in its order.
+        /// Server numbers of the list's hosts, in the same order.
         servers: &'a [ServerId],
     },
-    /// A list has changed the health of a host.
+    /// Change of a host's health by a list.
     HealthChanged {
-        /// The host's name.
+        /// Name from the endpoint list.
         host: &'a str,
-        /// The host's number.
+        /// Number by which the policy identifies the host.
         server: ServerId,
-        /// Its health from now on.
+        /// Health after the change.
         health: Health,
     },
-    /// The module is given this event, and replies next.
+    /// Input of the policy, before the policy handles it.
     PolicyInput(&'a Event),
-    /// The module replied with this action.
+    /// Action that the policy requested, before the engine executes it.
     PolicyAction(&'a Action),
-    /// The module has given all actions of one event, and all of them are executed.
-    PolicyStepped,
-    /// An attempt at a listed host has ended.
+    /// End of a step: all actions that the policy requested for one event are executed.
+    PolicyStepEnded,
+    /// End of an attempt that was not cancelled or withdrawn, at a host that is still listed.
     AttemptEnded {
-        /// The host's number.
+        /// Number by which the policy identifies the attempt's host.
         server: ServerId,
-        /// How the attempt ended.
+        /// Outcome, which the policy receives next.
         outcome: Outcome,
     },
-    /// A call has its final response.
-    CallAnswered {
-        /// The call's number.
+    /// Delivery of the final result of a call to its client.
+    CallCompleted {
+        /// Number by which the policy identifies the call.
         call: CallId,
-        /// The response.
-        reply: &'a Reply<T::Answer>,
+        /// Result for the client.
+        reply: &'a Reply<T::Response>,
     },
 }
 
-/// Observes an engine. It is called on the engine's thread and must not block.
+/// Observer of an engine, called on the engine's thread. It must not block.
 pub trait Observer<T: Transport> {
-    /// Receives an event, with the engine as it is at that moment.
+    /// Handles an event; `view` shows the engine at the time of the event.
     fn observe(&mut self, event: &EngineEvent<'_, T>, view: &EngineView<'_, T>);
 }
