--- a/coordination/src/store.rs
+++ b/coordination/src/store.rs
@@ -145,7 +145,10 @@
             Err(error) => {
                 if !std::mem::replace(&mut self.last_write_failed, true) {
                     let name = self.name;
-                    tracing::info!("cannot store the {name} state; its changes stay unconfirmed: {error}");
+                    tracing::info!(
+                        "state: cannot store the part {name}; \
+                         its changes stay unconfirmed until a write succeeds: {error}"
+                    );
                 }
             }
         }
