--- a/discovery/src/lib.rs
+++ b/discovery/src/lib.rs
@@ -1,14 +1,21 @@
-//! Watches a fleet's endpoint list over the platform's HTTP protocol: one long response, a JSON object for each list.
+//! Client of the platform's discovery protocol, which delivers the endpoint list over HTTP.
 //!
-//! A watch that has fallen silent is broken, and what it misses counts as known to the proxy 6 s later: it is opened anew
-//! before that, each proxy at a moment of its own. What else ends a watch depends on who serves the list. An agent on the
-//! proxy's own machine, which pushes the list, is polled again within a fraction of a second, as what it has counts as known
-//! to the proxy. Discovery that all proxies share is left to the decision module, which spreads their polls.
+//! A poll is an HTTP request for the list. The discovery server keeps the response open as a list stream: it
+//! sends a JSON object for each list or change, and an empty line every 2 s as a keep-alive. A watch
+//! ([`ListSource::watch`]) reads one list stream after another. Proxies are required to follow a change of
+//! the list within 6 s, so a watch closes a stream that is idle for too long and polls again within that
+//! time, after a delay that is random for each proxy. If a poll has no response in time, the watch sends
+//! another one in parallel.
+//!
+//! The handling of other failures depends on the discovery server. An agent on the proxy's own machine is
+//! polled again within a fraction of a second. For a server that all proxies share, the watch ends with the
+//! error, and the load balancing policy decides when to start the next one, so that proxies do not all poll
+//! at the same time.
 
 mod error;
 mod json_stream;
 mod poll_backoff;
-mod polls;
+mod poll_set;
 mod watch;
 
 pub use error::{ListError, WatchError};
@@ -17,41 +24,42 @@
 use poll_backoff::PollBackoff;
 use std::net::SocketAddr;
 
-/// Who serves the list.
+/// Place of the discovery server, which determines the handling of failures.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum ListOwner {
-    /// One server for all proxies.
+enum Deployment {
+    /// Server that all proxies poll, so that their polls must be spread over time.
     Shared,
-    /// An agent on this proxy's own machine.
+    /// Agent on the proxy's own machine, which only this proxy polls.
     LocalAgent,
 }
 
-/// Discovery at an address.
+/// Client of the discovery server at an address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Discovery {
     address: SocketAddr,
-    owner: ListOwner,
+    deployment: Deployment,
     seed: u64,
 }
 
 impl Discovery {
-    /// Discovery that all proxies share: a watch that breaks ends, and the caller says when the next one begins. The seed,
-    /// one for each proxy, keeps those whose watches fall silent together from polling together.
+    /// Creates a client of a discovery server that all proxies share. A watch ends with most failures, and
+    /// the caller decides when to start the next one. `seed` must differ between proxies, to spread the polls
+    /// of those whose list streams become idle at the same time.
     pub fn shared(address: SocketAddr, seed: u64) -> Discovery {
-        Discovery { address, owner: ListOwner::Shared, seed }
+        Discovery { address, deployment: Deployment::Shared, seed }
     }
 
-    /// An agent on the proxy's own machine, to which lists are pushed: it responds at no cost, and a watch goes on until it
-    /// is dropped, however often its connection breaks.
+    /// Creates a client of an agent on the proxy's own machine. A watch polls again after any failure until
+    /// it is dropped. `seed` must differ between proxies.
     pub fn local_agent(address: SocketAddr, seed: u64) -> Discovery {
-        Discovery { address, owner: ListOwner::LocalAgent, seed }
+        Discovery { address, deployment: Deployment::LocalAgent, seed }
     }
 }
 
 impl ListSource for Discovery {
     fn watch(&self, since: Option<u64>, mut handler: ListHandler) -> WatchFuture {
-        let Discovery { address, owner, seed } = *self;
-        let backoff = PollBackoff::new(owner, seed);
+        let Discovery { address, deployment, seed } = *self;
+        let backoff = PollBackoff::new(deployment, seed);
         Box::pin(async move { watch::watch(address, backoff, since, &mut handler).await.into() })
     }
 }
--- a/engine/src/endpoint_state.rs
+++ b/engine/src/endpoint_state.rs
@@ -1,34 +1,35 @@
-//! A listed host, as the engine keeps it.
+//! Address, health and availability of a listed host.
 
 use crate::endpoint_list::Health;
 use crate::send_cutoff::SendCutoff;
 use flaxhead_policy::Entry;
 use std::net::SocketAddr;
 
-/// A listed host.
+/// Address, health and availability of a host, kept for as long as the host is listed.
 #[derive(Debug)]
 pub(crate) struct EndpointState {
-    /// The address where it listens.
+    /// Address at which the host accepts connections.
     pub(crate) address: SocketAddr,
-    /// When it last started, Unix time in milliseconds.
+    /// Last start of the host, Unix time in milliseconds.
     pub(crate) started_ms: u64,
-    /// Its health according to the list.
+    /// Health according to the list.
     pub(crate) health: Health,
-    /// What the decision module is given of it while it is available.
+    /// Last description of the host for the policy: state, zone, cell and weight as listed. It is passed to
+    /// the policy again when the host's availability changes.
     pub(crate) entry: Entry,
-    /// Whether the module was last told that it takes calls.
+    /// True if the policy was last told that the host is ready.
     pub(crate) announced_ready: bool,
-    /// From when on nothing new may be sent there, whatever the list says.
+    /// Time from which no new attempts may be sent to the host, even if the list says that it is ready.
     pub(crate) cutoff: SendCutoff,
 }
 
 impl EndpointState {
-    /// Whether something new may be written to it at this address.
+    /// Returns whether the host is available, and still at this address.
     pub(crate) fn accepts_at(&self, address: SocketAddr) -> bool {
         self.is_available() && self.address == address
     }
 
-    /// Whether it takes calls: it is listed ready and not excluded.
+    /// Returns whether the host is available for new attempts: listed as ready, and not excluded.
     pub(crate) fn is_available(&self) -> bool {
         self.health == Health::Ready && !self.cutoff.has_passed()
     }
--- a/lease/rig/src/world.rs
+++ b/lease/rig/src/system_state.rs
@@ -1,65 +1,67 @@
-//! A state of a model: the processes, what is on its way between them, and what is wrong.
+//! State of a model: its processes, the active fault, and the messages that are kept for later steps.
 
 use crate::fault::LastingFault;
 use flaxhead_lease::{Application, Effect, Machine, MemberStatus, Message, Name, Presence};
 use std::collections::BTreeMap;
 
-/// A message on its way.
+/// Message in transit between two nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Envelope<A: Application> {
-    /// The sending node.
+    /// Index of the sending node.
     pub from: usize,
-    /// The receiving node.
+    /// Index of the receiving node.
     pub to: usize,
-    /// The message.
+    /// Message of the lease protocol.
     pub message: Message<A>,
 }
 
-/// A message that waits for a frozen node.
+/// Message to the frozen node, which is delivered when the node resumes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct QueuedMessage<A: Application> {
-    /// The sending node.
+    /// Index of the sending node.
     pub from: usize,
-    /// The message.
+    /// Message of the lease protocol.
     pub message: Message<A>,
 }
 
-/// A lasting fault that is under way.
+/// Lasting fault in progress at one node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ActiveFault {
-    /// The node that it strikes.
+    /// Index of the faulty node in [`SystemState::nodes`].
     pub node: usize,
-    /// Its kind.
+    /// Kind of the fault: the messages that it affects, and whether it pauses the process.
     pub kind: LastingFault,
-    /// For how many steps more.
+    /// Number of steps until the fault ends. The start of each step decrements it, and 0 ends the fault.
     pub steps_left: u8,
 }
 
-/// A state. `M`: what the model of an application has beside it.
+/// State of a model between two steps. `M` is the type of the model's own data about the surroundings of the
+/// processes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct SystemState<A: Application, M> {
-    /// Steps so far.
+    /// Number of steps executed so far.
     pub step: u8,
-    /// The processes; the voters come first.
+    /// Lease machines by node index; those of the voters come first.
     pub nodes: Vec<Machine<A>>,
-    /// The lasting fault, from the beginning of the step or from one of its messages on.
+    /// Lasting fault in progress; `None`: none is.
     pub active_fault: Option<ActiveFault>,
-    /// What waits for a frozen node.
+    /// Messages to the frozen node, in the order of their arrival.
     pub queued: Vec<QueuedMessage<A>>,
-    /// The copy of a message that may be delivered again.
+    /// Copy of a message that [`crate::Fault::Duplicate`] kept, to be delivered again.
     pub duplicate: Option<Envelope<A>>,
-    /// Faults so far.
+    /// Number of faults injected so far.
     pub faults: u8,
-    /// Starts of processes so far.
+    /// Number of processes started so far, from which models derive incarnations.
     pub process_starts: u64,
-    /// The first rule that was seen broken.
+    /// Name of the first invariant that was violated; `None`: none was.
     pub violation: Option<&'static str>,
-    /// What the application's model has.
+    /// Model's own data about the surroundings of the processes, such as calls in flight or the contents of
+    /// disks.
     pub environment: M,
 }
 
 impl<A: Application, M> SystemState<A, M> {
-    /// Before any process starts.
+    /// Creates the state before the first step, without nodes, faults and messages.
     pub fn new(environment: M) -> SystemState<A, M> {
         SystemState {
             step: 0,
@@ -74,31 +76,35 @@
         }
     }
 
+    /// Returns whether the active fault is at `node` and one of `kinds`.
     fn has_fault(&self, node: usize, kinds: &[LastingFault]) -> bool {
         self.active_fault.is_some_and(|fault| fault.node == node && kinds.contains(&fault.kind))
     }
 
-    /// Whether a node can_receive anything.
+    /// Returns whether messages to the node are delivered, or queued while it is frozen.
     pub fn can_receive(&self, node: usize) -> bool {
         !self.has_fault(node, &[LastingFault::Partitioned, LastingFault::InboundBlocked])
     }
 
-    /// Whether anybody can_receive what a node sends.
+    /// Returns whether messages from the node are delivered.
     pub fn can_send(&self, node: usize) -> bool {
         !self.has_fault(node, &[LastingFault::Partitioned, LastingFault::OutboundBlocked])
     }
 
-    /// Whether a node is stopped.
+    /// Returns whether the process of the node is frozen: it is paused, keeps its memory, and messages to it
+    /// are queued.
     pub fn is_frozen(&self, node: usize) -> bool {
         self.has_fault(node, &[LastingFault::Frozen])
     }
 
-    /// Whether one node's membership has not heard of another recently.
+    /// Returns whether node `of` currently hears nothing from `node` in the membership, because the active
+    /// fault is at one of the two.
     pub fn is_unheard(&self, of: usize, node: usize) -> bool {
         self.active_fault.is_some_and(|fault| fault.node == node || fault.node == of)
     }
 
-    /// What one node's membership says of all others.
+    /// Returns the members other than node `of`, as its lease machine sees them. `presence` gives the
+    /// presence of each by node index.
     pub fn member_statuses(
         &self,
         of: usize,
@@ -117,7 +123,8 @@
         (0..self.nodes.len()).filter(|node| *node != of).map(member).collect()
     }
 
-    /// The messages among a node's effects.
+    /// Returns the messages among `effects`, which the node `from` has produced. Messages to unknown names
+    /// are dropped.
     pub fn sent_messages(&self, from: usize, effects: Vec<Effect<A>>) -> Vec<Envelope<A>> {
         let node_of = |name: &Name| (0..self.nodes.len()).find(|node| self.nodes[*node].me().name == *name);
         let envelope = |effect| match effect {
--- a/lease/src/application.rs
+++ b/lease/src/application.rs
@@ -1,4 +1,4 @@
-//! The interface between the protocol and what it replicates.
+//! Trait of an application, whose state the protocol replicates and whose grants it distributes.
 
 use crate::ballot::Ballot;
 use crate::leader::LeaderContext;
@@ -7,51 +7,56 @@
 use crate::types::ApplicationTypes;
 use flaxhead_membership::Micros;
 
-/// A process's report, as it came to the leader with a renewal. Only reports of processes that have applied a state of
-/// this leader are passed on: such a process accepts nothing of a lower ballot any more.
+/// Report of a process, received by the leader with a lease renewal. The leader passes on only reports of
+/// processes that have applied a state of this leader, because such a process ignores messages under lower
+/// ballots.
 #[derive(Debug)]
 pub struct ReceivedReport<'a, T: ApplicationTypes> {
-    /// The process.
+    /// Reporting process.
     pub process: &'a Process,
-    /// When it was sent, by that process's clock: of two reports the one with the greater time is the later. Reports may
-    /// come twice, and late.
+    /// Time of sending, by the clock of the reporting process. Reports may arrive out of order or twice; the
+    /// one with the greatest time is the latest.
     pub sent_at: Micros,
-    /// It is the first report of the process to this leader.
+    /// True if this is the process's first report to this leader.
     pub is_first: bool,
-    /// The report.
+    /// Data that the application at the reporting process returned from [`Application::report`].
     pub report: &'a T::Report,
 }
 
-/// A lease, as it came to the process that had asked for it.
+/// Lease that the leader granted to the local process.
 #[derive(Debug)]
 pub struct ReceivedGrant<T: ApplicationTypes> {
-    /// The leader's ballot, no lower than any that the process has heard of.
+    /// Ballot of the leader that granted the lease; the highest that the local process knows.
     pub ballot: Ballot,
-    /// When the process asked, by its own clock.
+    /// Time at which the local process requested the lease, by its own clock.
     pub requested_at: Micros,
-    /// When the lease ends, by its own clock.
+    /// End of the lease, by the clock of the local process.
     pub expires_at: Micros,
-    /// The application's grant.
+    /// Data that the application at the leader returned from [`Application::grant`].
     pub grant: T::Grant,
 }
 
-/// Something that the proxies agree upon. The value itself is the part that every process has; the leader keeps
-/// [`Application::LeaderData`] beside it for as long as it leads.
+/// Function that the client proxies perform in coordination, by a replicated state or by grants from their
+/// leader, such as the drains of hosts or the quotas of tenants.
 ///
-/// Each application has a lease and a roster of its own ([`crate::Machine`]), so that two of them share nothing that could
-/// fail together. All methods only decide: they have no I/O and no clock, and the same calls lead to the same state.
+/// An implementation defines the replicated state, the reports of processes, the leader's grants, and the
+/// commands of operators. Every process has one value of the implementing type. The leader additionally has
+/// [`Application::LeaderData`], from the start to the end of its leadership.
 ///
-/// An application that grants each process something of its own (quotas) takes `()` as its state and
-/// [`crate::NoCommand`] as its commands:
+/// Each application has its own leader and roster ([`crate::Machine`]), so that a failure of one does not
+/// affect the others. The methods use no I/O and no clock: the same calls lead to the same state.
+///
+/// An application without a replicated state, which only grants something to each process (such as quotas),
+/// uses `()` as its state and [`crate::NoCommand`] as its command type:
 ///
 /// ```
 /// use flaxhead_lease::{
-///     Application, ApplicationTypes, CommandError, LeaderContext, LocalReplica, Micros, NoCommand, Process, ReceivedGrant,
-///     ReceivedReport,
+///     Application, ApplicationTypes, CommandError, LeaderContext, LocalReplica, Micros, NoCommand, Process,
+///     ReceivedGrant, ReceivedReport,
 /// };
 /// use std::collections::BTreeMap;
 ///
-/// /// A number of permits, divided evenly among the processes that want any.
+/// /// Divides permits evenly among the processes that want any.
 /// #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 /// struct EvenPermits {
 ///     permits: u32,
@@ -104,12 +109,22 @@
 ///         wanted.insert(received.process.clone(), *received.report);
 ///     }
 ///
-///     fn grant(&self, wanted: &mut Self::LeaderData, _: &mut LeaderContext<'_, Self>, process: &Process) -> u32 {
+///     fn grant(
+///         &self,
+///         wanted: &mut Self::LeaderData,
+///         _: &mut LeaderContext<'_, Self>,
+///         process: &Process,
+///     ) -> u32 {
 ///         let processes = wanted.values().filter(|wanted| **wanted > 0).count().max(1) as u32;
 ///         wanted.get(process).map_or(0, |wanted| (*wanted).min(self.permits / processes))
 ///     }
 ///
-///     fn process_left(&self, wanted: &mut Self::LeaderData, _: &mut LeaderContext<'_, Self>, process: &Process) {
+///     fn process_left(
+///         &self,
+///         wanted: &mut Self::LeaderData,
+///         _: &mut LeaderContext<'_, Self>,
+///         process: &Process,
+///     ) {
 ///         wanted.remove(process);
 ///     }
 ///
@@ -124,51 +139,56 @@
 /// }
 /// ```
 ///
-/// (It is an illustration: a permit that was withdrawn is granted to another process before it is known to be free.)
+/// This example is simplified: it grants a withdrawn permit to another process before the permit is known to
+/// be free.
 pub trait Application: ApplicationTypes {
-    /// What the leader keeps of the application; gone with its lease.
+    /// Data that the application keeps only at the leader, discarded at the end of the leadership.
     type LeaderData: Clone + std::fmt::Debug + Eq + std::hash::Hash;
 
-    // At every process.
+    // Methods that the machine calls at every process.
 
-    /// The report for the renewal that is sent now.
-    fn report(&mut self, now: Micros, member: &LocalReplica<Self>, facts: &Self::Facts) -> Self::Report;
+    /// Returns the report that this process sends to the leader with the lease request of this moment.
+    fn report(&mut self, now: Micros, replica: &LocalReplica<Self>, facts: &Self::Facts) -> Self::Report;
 
-    /// A state was applied, no older than the one before.
+    /// Called after this process has applied a state that the leader replicated, another process sent, or the
+    /// disk held. The state is at least as new as the one before it.
     fn state_changed(&mut self, now: Micros, state: &Self::State) {
         let _ = (now, state);
     }
 
-    /// A lease came, of a leader whose fence counts.
+    /// Called when this process receives a lease from the leader with the highest ballot that it knows.
     fn lease_granted(&mut self, granted: &ReceivedGrant<Self>) {
         let _ = granted;
     }
 
-    /// A higher ballot was heard of: what was granted under a lower one is renewed by nobody.
+    /// Called when this process learns of a ballot higher than all that it knew, so of a later leader. Leases
+    /// that were granted under lower ballots will not be renewed.
     fn higher_ballot_observed(&mut self, ballot: &Ballot) {
         let _ = ballot;
     }
 
-    /// While this process waits for its admission: every voter has said within the duration of a lease that it has lost
-    /// the state.
+    /// Called while this process waits for its admission and every voter has reported, within one lease
+    /// duration, that it has not recovered the state. May be called repeatedly.
     fn state_lost(&mut self) {}
 
-    /// Whether the next report should not wait for the regular renewal. Asked after everything that happens. The protocol
-    /// bounds the rate to twelve times the regular one, with jitter; the application withdraws its wish in
-    /// [`Application::report`].
+    /// Returns whether this process should request its next lease before the regular time, to send its
+    /// report. Called after each event. Early requests are limited to twelve times the regular rate, with
+    /// jitter. To stop them, the application returns false again once [`Application::report`] was called.
     fn wants_early_renewal(&self) -> bool {
         false
     }
 
-    // At the leader.
+    // Methods that the machine calls only at the leader.
 
-    /// This process becomes the leader. The state is the newest of those that a majority of voters and this process had;
-    /// where too many have lost theirs ([`LeaderContext::state_lost_since`]), merged with all that any of them had
-    /// ([`crate::ReplicatedState::merge`]). The processes are those of the last leader's roster, where that is
-    /// remembered. The state is replicated to all.
+    /// Called when this process becomes the leader, to create the application's data.
+    ///
+    /// The state in `context` is the newest that this process or a promising voter had. If too many voters
+    /// have lost theirs ([`LeaderContext::state_lost_since`]), the states of all of them are merged into it
+    /// ([`crate::ReplicatedState::merge`]). The roster is that of the last leader, as far as the promising
+    /// voters know it. After this call, the leader replicates the state to all processes on the roster.
     fn begin_leadership(&self, context: &mut LeaderContext<'_, Self>) -> Self::LeaderData;
 
-    /// A process that has applied this leader's state has reported.
+    /// Called at the leader for each report of a process that has applied a state of this leader.
     fn report_received(
         &self,
         data: &mut Self::LeaderData,
@@ -178,7 +198,7 @@
         let _ = (data, context, received);
     }
 
-    /// The grant that goes along with the lease of a process now. It may be lost on the way.
+    /// Returns the grant that the leader sends to `process` with its lease. The message may be lost.
     fn grant(
         &self,
         data: &mut Self::LeaderData,
@@ -186,7 +206,8 @@
         process: &Process,
     ) -> Self::Grant;
 
-    /// A process has left the roster: it has ended, or another has replaced it.
+    /// Called after `process` was removed from the roster, because it has ended or a later process replaced
+    /// it.
     fn process_left(
         &self,
         data: &mut Self::LeaderData,
@@ -196,16 +217,18 @@
         let _ = (data, context, process);
     }
 
-    /// Something happened, or it is time. Where the state has changed, [`LeaderContext::publish`] says so.
+    /// Called at the leader after each message, timer and command, to make the decisions that have become
+    /// due. Must call [`LeaderContext::publish`] if it changes the state.
     fn step(&self, data: &mut Self::LeaderData, context: &mut LeaderContext<'_, Self>) {
         let _ = (data, context);
     }
 
-    /// Executes an operator's command. The response goes out once the state, as it is when this returns, is committed.
+    /// Executes a command of an operator at the leader. The response is sent to the operator once the state
+    /// at the end of this call is committed.
     ///
     /// # Errors
     ///
-    /// The application's rejection, where the command changes nothing.
+    /// The application's rejection, if the command changes nothing. It is sent at once.
     fn command(
         &self,
         data: &mut Self::LeaderData,
--- a/lease/src/machine/lease.rs
+++ b/lease/src/machine/lease.rs
@@ -1,14 +1,15 @@
-//! How a candidate gets the lease, and a leader renews it.
+//! Acquisition and renewal of the leader's lease, which a majority of voters grants.
 
-use super::leader::{Leader, LeaderEnvironment};
+use super::leader::{Leader, LeaderInput};
 use super::state::{Context, Effect, Machine};
 use crate::application::Application;
-use crate::leader::{Audience, Candidacy, LeaderState, OwnState};
+use crate::leader::{Candidacy, LeaderState, OwnState, ReceiverSet};
 use crate::message::{Acceptance, Message, Proposal};
 use flaxhead_membership::{Micros, Name};
 
 impl<A: Application> Machine<A> {
-    /// A voter has accepted a proposal of this leader or candidate.
+    /// Handles a voter's acceptance of this process's proposal: extends the lease of the leader, or makes a
+    /// candidate the leader once a majority has accepted.
     pub(super) fn handle_acceptance(
         &mut self,
         context: &mut Context<'_, A::Facts>,
@@ -20,9 +21,9 @@
         let leader = self.leader.as_mut().filter(|leader| leader.state.ballot == acceptance.ballot);
         if let Some(leader) = leader {
             leader.state.record_acceptance(now, &self.config, &self.voters, from, acceptance);
-            return self.lead(context, effects);
+            return self.run_leader(context, effects);
         }
-        if !self.is_elected_by(now, from, acceptance) || !self.accept_fence(&acceptance.ballot) {
+        if !self.is_elected_by(now, from, acceptance) || !self.accept_ballot(&acceptance.ballot) {
             return;
         }
         if let Some(candidacy) = self.candidacy.take() {
@@ -30,11 +31,12 @@
         }
     }
 
-    /// Counts a voter's acceptance for the candidacy. Returns whether a majority has accepted by now.
+    /// Counts the acceptance of the voter `from` for the candidacy. Returns whether a majority has accepted.
     fn is_elected_by(&mut self, now: Micros, from: &Name, acceptance: &Acceptance) -> bool {
         let candidacy = self.candidacy.as_mut().filter(|candidacy| candidacy.ballot == acceptance.ballot);
         let Some(candidacy) = candidacy else { return false };
-        // The lease counts from the beginning of the candidacy: an acceptance that comes too late grants nothing.
+        // The duration of the lease counts from the start of the candidacy, so the lease would already have
+        // expired.
         let is_late = now >= candidacy.started + self.config.lease_duration;
         let promise = candidacy.promises.get(from);
         if is_late || promise.is_none_or(|promise| promise.incarnation != acceptance.incarnation) {
@@ -45,6 +47,7 @@
         self.voters.has_majority(|name| grants.contains(name))
     }
 
+    /// Starts the leadership after a won election: informs the driver, and sends the roster and the state.
     fn become_leader(
         &mut self,
         context: &mut Context<'_, A::Facts>,
@@ -54,9 +57,9 @@
         let now = context.now;
         let ballot = candidacy.ballot.clone();
         let own =
-            OwnState { state: self.member.current_state(now), is_complete: self.member.has_complete_state };
+            OwnState { state: self.replica.current_state(now), is_complete: self.replica.has_complete_state };
         let state = LeaderState::new(now, &self.config, &self.voters, candidacy, &own, self.me.clone());
-        let environment = LeaderEnvironment {
+        let input = LeaderInput {
             now,
             config: &self.config,
             voters: &self.voters,
@@ -64,28 +67,32 @@
             me: &self.me,
             application: &self.application,
         };
-        let leader = Leader::new(state, &environment);
+        let leader = Leader::new(state, &input);
         self.apply(now, leader.state.state.clone());
         self.leader = Some(Box::new(leader));
         self.failed_candidacies = 0;
-        self.note_leader(now, self.me.name.clone());
+        self.record_leader(now, self.me.name.clone());
         effects.push(Effect::LeadershipChanged(Some(ballot)));
-        self.begin_round(context, effects);
-        self.disseminate(now, Audience::Everyone, effects);
+        self.begin_renewal_round(context, effects);
+        self.disseminate(now, ReceiverSet::All, effects);
         self.renew(context, effects);
     }
 
-    /// Begins a round of renewal: asks the voters to prolong the lease, and those that have not promised, or have lost
-    /// their promise, to promise first.
-    pub(super) fn begin_round(&mut self, context: &mut Context<'_, A::Facts>, effects: &mut Vec<Effect<A>>) {
+    /// Begins a renewal round of the leader's lease: sends a proposal to each voter that has promised. Asks
+    /// the other voters to promise first, and asks again those that may have lost their promise in a restart.
+    pub(super) fn begin_renewal_round(
+        &mut self,
+        context: &mut Context<'_, A::Facts>,
+        effects: &mut Vec<Effect<A>>,
+    ) {
         let now = context.now;
         let Some(leader) = self.leader.as_mut() else { return };
-        self.next_round_at = now + self.config.renewal_interval();
-        // A leader that finds itself cut off lets its lease run out.
+        self.next_renewal_round_at = now + self.config.renewal_interval();
+        // A leader that the membership finds cut off, displaced or leaving lets its lease expire.
         if !context.facts.participates {
             return;
         }
-        leader.state.begin_round(now);
+        leader.state.begin_renewal_round(now);
         let (ballot, voter_sets) = (leader.state.ballot.clone(), self.voters.hashes());
         let prepare = || Message::Prepare { ballot: ballot.clone(), voter_sets };
         let voters: Vec<Name> = self.voters.iter().cloned().collect();
@@ -93,22 +100,25 @@
             let message = self.proposal_to(to).map_or_else(prepare, Message::Propose);
             self.send(to, message, effects);
         }
-        let silent: Vec<Name> = voters.into_iter().filter(|voter| self.is_silent_voter(now, voter)).collect();
-        for to in silent {
+        let unresponsive: Vec<Name> =
+            voters.into_iter().filter(|voter| self.is_unresponsive_voter(now, voter)).collect();
+        for to in unresponsive {
             self.send(&to, prepare(), effects);
         }
     }
 
-    /// Whether a voter that has promised accepts nothing any more: it may have restarted.
-    fn is_silent_voter(&self, now: Micros, voter: &Name) -> bool {
-        let is_silent = |state: &LeaderState<A>| {
+    /// Returns whether a voter has promised but not accepted a proposal recently, possibly because it
+    /// restarted.
+    fn is_unresponsive_voter(&self, now: Micros, voter: &Name) -> bool {
+        let is_unresponsive = |state: &LeaderState<A>| {
             state.voter_incarnations.contains_key(voter)
                 && !state.voter_accepted_recently(now, &self.config, voter)
         };
-        *voter != self.me.name && self.leader.as_ref().is_some_and(|leader| is_silent(&leader.state))
+        *voter != self.me.name && self.leader.as_ref().is_some_and(|leader| is_unresponsive(&leader.state))
     }
 
-    /// The leader's proposal to a voter; `None`: this process does not lead, or the voter has not promised.
+    /// Returns the proposal that extends this leader's lease at the voter `to`; `None`: this process is not
+    /// the leader, or the voter has not promised.
     fn proposal_to(&self, to: &Name) -> Option<Proposal> {
         let state = &self.leader.as_ref()?.state;
         Some(Proposal {
@@ -120,6 +130,7 @@
         })
     }
 
+    /// Sends the current proposal of this leader to a voter, if that voter has promised.
     pub(super) fn propose_to(&mut self, to: &Name, effects: &mut Vec<Effect<A>>) {
         let message = self.proposal_to(to).map(Message::Propose);
         self.reply(to, message, effects);
--- a/lease/src/machine/state.rs
+++ b/lease/src/machine/state.rs
@@ -1,6 +1,6 @@
-//! What one process consists of.
+//! State of the machine, and the part of its public interface that reads it.
 
-use super::leader::{Leader, LeaderEnvironment};
+use super::leader::{Leader, LeaderInput};
 use super::pending_command::PendingCommand;
 use super::persistence_state::Persistence;
 use crate::application::Application;
@@ -9,7 +9,7 @@
 use crate::facts::Facts;
 use crate::leader::{Candidacy, LeaderState};
 use crate::message::Message;
-use crate::replica::{AdmissionStatus, FenceCheck, LocalReplica};
+use crate::replica::{AdmissionStatus, BallotCheck, LocalReplica};
 use crate::roster::Process;
 use crate::status::LeaseStatus;
 use crate::voter::Voter;
@@ -20,82 +20,90 @@
 
 const MICROS_PER_MILLI: Micros = 1_000;
 
-/// What a process is given with everything that happens.
+/// Data that the driver passes to the machine in each call.
 pub struct Context<'a, F> {
-    /// The time, from any fixed point before the process's start.
+    /// Current time in microseconds, by the monotonic clock that also gave the start time in
+    /// [`Machine::new`].
     pub now: Micros,
-    /// What the process knows from outside the protocol.
+    /// Membership, and the data from outside that the application uses.
     pub facts: &'a Facts<F>,
-    /// The source of jitter.
+    /// Random numbers, for jitter.
     pub random: &'a mut dyn RngCore,
 }
 
-/// What the driver is to do.
+/// Action that the driver must execute after a call of the machine.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Effect<A: Application> {
-    /// Send a message to another process.
+    /// Sends a message to another process.
     Send {
-        /// The receiver.
+        /// Name of the receiving process.
         to: Name,
-        /// The message.
+        /// Message for the driver to encode.
         message: Message<A>,
     },
-    /// Give an operator the result of a command that was submitted here.
+    /// Reports the result of a command to its submitter at this process.
     CommandCompleted {
-        /// The command's number.
+        /// Id that the driver passed to [`Machine::submit`].
         id: u64,
-        /// What it led to.
+        /// Response of the application, or reason for the rejection.
         result: Result<A::Response, A::Rejection>,
     },
-    /// This process is the leader from now on, under this ballot, or is it no longer.
+    /// Reports that this process became the leader under this ballot; `None`: it is no longer the leader.
     LeadershipChanged(Option<Ballot>),
-    /// Something happened at the leader.
+    /// Reports an event that the application recorded while this process was the leader.
     Event(A::Event),
 }
 
-/// Who leads, as far as a process knows.
+/// Process that another process named as the leader, or that acted as one, and when this was received.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct KnownLeader {
     pub name: Name,
     pub heard_at: Micros,
 }
 
-/// One process's part in the protocol, for one application.
+/// State machine of one process for one application. It combines the roles of the process: participant
+/// (requests a lease and applies the state), voter, and leader.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Machine<A: Application> {
     pub(super) config: Config,
     pub(super) application: A,
     pub(super) voters: Voters,
     pub(super) me: Process,
-    /// `None`: it is no voter, and never becomes the leader.
+    /// Voter role; `None`: the process is not a configured voter and never becomes the leader.
     pub(super) voter: Option<Voter<A>>,
-    pub(super) member: LocalReplica<A>,
+    pub(super) replica: LocalReplica<A>,
+    /// Attempt of this voter to become the leader, if one is in progress.
     pub(super) candidacy: Option<Candidacy<A>>,
     pub(super) next_candidacy_at: Micros,
-    /// Candidacies in a row that did not succeed.
+    /// Number of consecutive backoffs, which determines the length of the next one; reset when this voter
+    /// becomes the leader.
     pub(super) failed_candidacies: u32,
+    /// Leader role; `None`: this process is not the leader.
     pub(super) leader: Option<Box<Leader<A>>>,
-    /// It has drawn when it sends its first query.
+    /// True once the first query and the first candidacy were delayed at random.
     pub(super) has_started: bool,
+    /// Time of this process's next regular lease request.
     pub(super) next_renewal_at: Micros,
-    /// When it last asked for a lease.
+    /// Time of this process's last lease request.
     pub(super) last_renewal_at: Micros,
-    /// As the leader: when the next renewal round begins.
-    pub(super) next_round_at: Micros,
+    /// Time at which this process, if it is the leader, next renews the leader's lease.
+    pub(super) next_renewal_round_at: Micros,
+    /// Last known leader, which counts for one lease duration.
     pub(super) known_leader: Option<KnownLeader>,
-    /// The place, among the voters, of the one that it last took for the leader without knowing one.
+    /// Index of the voter that last received a lease request while no leader was known.
     pub(super) voter_cursor: usize,
-    /// The processes that recently reported that their state is complete, and when.
+    /// Processes that recently reported a complete state to this one, with the time of the report.
     pub(super) peers_with_complete_state: BTreeMap<Name, Micros>,
     pub(super) pending_commands: VecDeque<PendingCommand<A::Command>>,
-    /// `None`: nothing outlives the process.
+    /// Record of what the disk holds; `None`: the state is not stored on disk.
     pub(super) persistence: Option<Persistence>,
-    /// Its messages to itself, handled at the end of each step.
+    /// Messages of this process to itself, handled before the current call returns.
     pub(super) loopback: VecDeque<Message<A>>,
 }
 
 impl<A: Application> Machine<A> {
-    /// A process that starts at `now`.
+    /// Creates the machine of a process that starts at `now`, in microseconds by the clock that all later
+    /// calls use.
     pub fn new(config: Config, application: A, voters: Voters, me: Process, now: Micros) -> Machine<A> {
         let voter = voters.contains(&me.name).then(|| Voter::new(now, &config));
         Machine {
@@ -106,14 +114,14 @@
             has_started: false,
             next_renewal_at: now,
             last_renewal_at: now,
-            next_round_at: now,
+            next_renewal_round_at: now,
             known_leader: None,
             voter_cursor: 0,
             peers_with_complete_state: BTreeMap::new(),
             pending_commands: VecDeque::new(),
             persistence: None,
             loopback: VecDeque::new(),
-            member: LocalReplica::new(now),
+            replica: LocalReplica::new(now),
             config,
             application,
             voters,
@@ -122,98 +130,100 @@
         }
     }
 
-    /// What the application keeps while this process leads; `None`: it does not lead.
+    /// Data that the application keeps at the leader; `None`: this process is not the leader.
     pub fn leader_data(&self, now: Micros) -> Option<&A::LeaderData> {
         self.leader.as_ref().filter(|leader| leader.state.is_leading(now)).map(|leader| &leader.data)
     }
 
-    /// This process.
+    /// Name, incarnation and address of this process.
     pub fn me(&self) -> &Process {
         &self.me
     }
 
-    /// The voters that it is configured with.
+    /// Voters with which this process is configured.
     pub fn voters(&self) -> &Voters {
         &self.voters
     }
 
-    /// The time spans of the protocol.
+    /// Time limits with which this process is configured.
     pub fn config(&self) -> &Config {
         &self.config
     }
 
-    /// Its application.
+    /// Value of the application in this process.
     pub fn application(&self) -> &A {
         &self.application
     }
 
-    /// Its application, to be given what the process itself knows.
+    /// Value of the application in this process, into which the driver may put data of the process.
     pub fn application_mut(&mut self) -> &mut A {
         &mut self.application
     }
 
-    /// Its part as a participant: the state that it has applied, and its lease.
+    /// State that this process has applied, and the lease that the leader has granted to it.
     pub fn local_replica(&self) -> &LocalReplica<A> {
-        &self.member
+        &self.replica
     }
 
-    /// The state that it has applied, its spans as they were when it came.
+    /// State that this process has applied. The durations in it are those at the time of receipt;
+    /// [`LocalReplica::current_state`] advances them.
     pub fn state(&self) -> &A::State {
-        &self.member.state.state
+        &self.replica.state.state
     }
 
-    /// Its ballot, while it leads.
+    /// Ballot under which this process leads; `None`: it is not the leader.
     pub fn leading_ballot(&self, now: Micros) -> Option<&Ballot> {
         self.leader_state(now).map(LeaderState::ballot)
     }
 
-    /// Its records, while it leads.
+    /// Lease, state and records that this process keeps as the leader; `None`: it is not the leader.
     pub fn leader_state(&self, now: Micros) -> Option<&LeaderState<A>> {
         self.leader.as_ref().map(|leader| &leader.state).filter(|state| state.is_leading(now))
     }
 
-    /// Whether it was admitted.
+    /// Status that decides whether this process may serve: it waits, was admitted, or is autonomous.
     pub fn admission_status(&self) -> AdmissionStatus {
-        self.member.admission_status()
+        self.replica.admission_status()
     }
 
-    /// The lease as operators see it.
+    /// Status of this machine, as shown to operators.
     pub fn status(&self, now: Micros) -> LeaseStatus {
         let leader_state = self.leader_state(now);
         LeaseStatus {
             me: self.me.name.to_string(),
             leader: self.current_leader(now).map(|name| name.to_string()),
-            highest_ballot: self.member.highest_ballot.as_ref().map(Ballot::to_string),
+            highest_ballot: self.replica.highest_ballot.as_ref().map(Ballot::to_string),
             is_leader: leader_state.is_some(),
             is_state_lost: leader_state.is_some_and(|state| state.state_lost_since.is_some()),
             admission: self.admission_status().as_str().to_owned(),
-            reason: self.member.wait.reason.to_string(),
-            lease_remaining_ms: self.member.lease_expiry.saturating_sub(now) / MICROS_PER_MILLI,
-            version: self.member.state.version.to_string(),
+            reason: self.replica.admission_wait.reason.to_string(),
+            lease_remaining_ms: self.replica.lease_expiry.saturating_sub(now) / MICROS_PER_MILLI,
+            version: self.replica.state.version.to_string(),
             voter: self.voter.as_ref().map(|voter| voter.recovery),
         }
     }
 
-    /// The leader that it has heard of within the duration of a lease.
+    /// Leader that this process last learned of, if within the last lease duration; `None`: it knows none.
     pub(super) fn current_leader(&self, now: Micros) -> Option<Name> {
         let is_fresh =
             |leader: &&KnownLeader| now.saturating_sub(leader.heard_at) <= self.config.lease_duration;
         self.known_leader.as_ref().filter(is_fresh).map(|leader| leader.name.clone())
     }
 
-    /// It has just heard of this leader.
-    pub(super) fn note_leader(&mut self, now: Micros, name: Name) {
+    /// Remembers the process `name` as the leader, for one lease duration from `now`.
+    pub(super) fn record_leader(&mut self, now: Micros, name: Name) {
         self.known_leader = Some(KnownLeader { name, heard_at: now });
     }
 
-    /// The leader that this process is, with what is needed to act as it.
-    pub(super) fn leader_with_environment<'a>(
+    /// Returns the leader role together with the input for its methods; `None`: this process is not the
+    /// leader.
+    pub(super) fn leader_with_input<'a>(
         &'a mut self,
         now: Micros,
         facts: &'a Facts<A::Facts>,
-    ) -> Option<(&'a mut Leader<A>, LeaderEnvironment<'a, A>)> {
+    ) -> Option<(&'a mut Leader<A>, LeaderInput<'a, A>)> {
         let leader = self.leader.as_deref_mut()?;
-        let environment = LeaderEnvironment {
+        let input = LeaderInput {
             now,
             config: &self.config,
             voters: &self.voters,
@@ -221,37 +231,40 @@
             me: &self.me,
             application: &self.application,
         };
-        Some((leader, environment))
+        Some((leader, input))
     }
 
-    /// Takes note of a ballot. Returns whether what was sent under it counts.
-    pub(super) fn accept_fence(&mut self, fence: &Ballot) -> bool {
-        match self.member.observe_fence(fence) {
-            FenceCheck::Stale => false,
-            FenceCheck::Current => true,
-            FenceCheck::Raised => {
-                self.application.higher_ballot_observed(fence);
+    /// Records a received ballot if it is the highest known. Returns false if a higher one is known, so that
+    /// messages under `ballot` must be ignored.
+    pub(super) fn accept_ballot(&mut self, ballot: &Ballot) -> bool {
+        match self.replica.observe_ballot(ballot) {
+            BallotCheck::Stale => false,
+            BallotCheck::Current => true,
+            BallotCheck::Raised => {
+                self.application.higher_ballot_observed(ballot);
                 true
             }
         }
     }
 
-    /// Applies a state. Returns whether it counts.
+    /// Applies a state of a leader, unless this process knows a newer state or a higher ballot. Returns
+    /// whether it was applied.
     pub(super) fn apply(&mut self, now: Micros, state: Versioned<A::State>) -> bool {
-        let Some(fence) = state.version.ballot.clone() else { return false };
-        let is_applied = self.accept_fence(&fence) && self.member.apply(now, state);
+        let Some(ballot) = state.version.ballot.clone() else { return false };
+        let is_applied = self.accept_ballot(&ballot) && self.replica.apply(now, state);
         if is_applied {
-            self.application.state_changed(now, &self.member.state.state);
+            self.application.state_changed(now, &self.replica.state.state);
         }
         is_applied
     }
 
-    /// A random span of up to a renewal interval.
+    /// Random duration below the renewal interval, in microseconds.
     pub(super) fn jitter(&self, context: &mut Context<'_, A::Facts>) -> Micros {
         random_below(context, self.config.renewal_interval())
     }
 
-    /// Sends a message to another process, or hands it to this one at the end of the step.
+    /// Sends a message to the process `to`. A message to this process itself is handled before the current
+    /// call returns.
     pub(super) fn send(&mut self, to: &Name, message: Message<A>, effects: &mut Vec<Effect<A>>) {
         if *to == self.me.name {
             self.loopback.push_back(message);
@@ -260,20 +273,20 @@
         }
     }
 
-    /// Sends an answer, if there is one.
-    pub(super) fn reply(&mut self, to: &Name, answer: Option<Message<A>>, effects: &mut Vec<Effect<A>>) {
-        if let Some(message) = answer {
+    /// Sends `response` to the process `to`; with `None`, sends nothing.
+    pub(super) fn reply(&mut self, to: &Name, response: Option<Message<A>>, effects: &mut Vec<Effect<A>>) {
+        if let Some(message) = response {
             self.send(to, message, effects);
         }
     }
 
-    /// The voters beside this process.
+    /// Names of all configured voters except this process.
     pub(super) fn other_voters(&self) -> Vec<Name> {
         self.voters.iter().filter(|name| **name != self.me.name).cloned().collect()
     }
 }
 
-/// A random span below `bound`, which counts as 32 bits at the most.
+/// Random duration below `bound`, in microseconds. A `bound` above [`u32::MAX`] counts as [`u32::MAX`].
 pub(super) fn random_below<F>(context: &mut Context<'_, F>, bound: Micros) -> Micros {
     (u64::from(context.random.next_u32()) * bound.min(u64::from(u32::MAX))) >> u32::BITS
 }
--- a/lease/src/types.rs
+++ b/lease/src/types.rs
@@ -1,4 +1,4 @@
-//! The types that an application puts into messages, and the size limit of each.
+//! Types that an application defines for its data in messages, and their size limits.
 
 use crate::command_error::CommandError;
 use flaxhead_membership::Micros;
@@ -7,21 +7,21 @@
 use std::fmt::Debug;
 use std::hash::Hash;
 
-/// A value that can stand in a message.
+/// Value that can be sent in a message: it can be encoded, decoded, compared and copied.
 pub trait Payload: Clone + Debug + Eq + Hash + Serialize + DeserializeOwned {}
 
 impl<T: Clone + Debug + Eq + Hash + Serialize + DeserializeOwned> Payload for T {}
 
-/// State that every process has a copy of. An application that sends each process something of its own uses `()`.
+/// State that is replicated to every process. An application without a common state uses `()`.
 pub trait ReplicatedState: Payload + Default {
-    /// Advances the time spans in the state by `elapsed`. The state holds spans rather than moments, so that they mean the
-    /// same by every clock.
+    /// Advances the durations in the state by `elapsed` microseconds. The state contains durations instead of
+    /// times, because the clocks of processes differ. The default changes nothing.
     fn advance(&mut self, elapsed: Micros) {
         let _ = elapsed;
     }
 
-    /// Merges what `other` holds and this state does not, while it is not known which of the two is complete. Returns
-    /// whether anything was new.
+    /// Merges the contents of `other`, when neither of the two states is known to be complete. Returns
+    /// whether `self` has changed. The default ignores `other`.
     fn merge(&mut self, other: &Self) -> bool {
         let _ = other;
         false
@@ -30,37 +30,39 @@
 
 impl ReplicatedState for () {}
 
-/// A type without values: the command type of an application that takes no commands.
+/// Command type without values, for applications without commands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum NoCommand {}
 
-/// The types of an application, and how many bytes each may take in a message. The driver enforces the limits when it
-/// sends as well as when it receives.
+/// Types that an application defines for its data, and the maximum encoded size of each in a message. The
+/// driver (package `coordination`) checks the sizes on sending and receiving.
 pub trait ApplicationTypes: Clone + Debug + Eq + Hash {
-    /// What is replicated to every process.
+    /// State that the leader replicates to every process; `()` for none.
     type State: ReplicatedState;
-    /// What a process reports with each renewal of its lease.
+    /// Data that a process sends to the leader with each request for a lease, such as its usage.
     type Report: Payload;
-    /// What the leader grants to one process along with its lease.
+    /// Data that the leader sends to a process together with its lease, such as a number of permits; `()` for
+    /// nothing.
     type Grant: Payload;
-    /// What operators may command; [`NoCommand`] for nothing.
+    /// Command of an operator; [`NoCommand`] if there are none.
     type Command: Payload;
-    /// The result of a command, once it is committed.
+    /// Response to a command, sent once the state that contains the command's effect is committed.
     type Response: Payload;
-    /// Why a command changed nothing. [`CommandError::NoLeader`], returned as the application's own rejection, has the
-    /// command submitted again.
+    /// Reason for rejecting a command. If the application itself returns [`CommandError::NoLeader`], the
+    /// command stays pending and is sent again.
     type Rejection: Payload + From<CommandError>;
-    /// Input beside the membership that the application decides by.
+    /// Data from outside the protocol that the application uses for its decisions, besides the membership,
+    /// such as host capacities; `()` for none.
     type Facts;
-    /// Something that happened at the leader, for the audit trail and the log.
+    /// Event that the application records while its process is the leader, for the audit trail and the log.
     type Event: Clone + Debug + Eq + Hash;
 
-    /// Maximum encoded size of the state.
+    /// Maximum encoded size of the state, in bytes.
     const MAX_STATE_BYTES: usize;
-    /// Maximum encoded size of a report.
+    /// Maximum encoded size of a report, in bytes.
     const MAX_REPORT_BYTES: usize;
-    /// Maximum encoded size of a grant.
+    /// Maximum encoded size of a grant, in bytes.
     const MAX_GRANT_BYTES: usize;
-    /// Maximum encoded size of a command, a response or a rejection.
+    /// Maximum encoded size of a command, a response or a rejection, in bytes.
     const MAX_COMMAND_BYTES: usize;
 }
--- a/quota/src/admission/mod.rs
+++ b/quota/src/admission/mod.rs
@@ -1,6 +1,8 @@
-//! Admission control before the decision module: which calls a process admits by what it may have in flight of each tenant.
+//! Admission control ahead of the load balancer: new calls of a tenant are admitted, queued or rejected,
+//! depending on the permits that the process may use for the tenant.
 //!
-//! It does no I/O and reads no clock. Nothing in flight is ever cut off for a quota; only calls that have not begun wait.
+//! Admission control performs no I/O and reads no clock. Calls in flight are never aborted because of a
+//! quota.
 
 mod fair_order;
 mod queue;
@@ -14,125 +16,131 @@
 
 pub use queue::QueueStats;
 
-/// The times of a class.
+/// Latency objective and deadline of a class, which decide how long its calls may be queued.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Class {
-    /// An answer within this time earns the full priority weight.
+pub struct ClassTiming {
+    /// Latency up to which a response earns the full priority weight of the class.
     pub latency_objective: Micros,
-    /// How long a client waits in all.
+    /// Time from the start of a call to its client's timeout.
     pub deadline: Micros,
 }
 
-impl Class {
-    /// What is reserved of a client's time for the call itself: its latency objective, half of its time at the most. A call
-    /// that is admitted later than that has no answer in time to hope for.
+impl ClassTiming {
+    /// Returns how long before its deadline a queued call is rejected, because a response could no longer
+    /// arrive in time: the latency objective, but at most half of the deadline.
     fn reserved(&self) -> Micros {
         self.latency_objective.min(self.deadline / 2)
     }
 }
 
-/// The configuration of an admission controller.
+/// Classes, tenants and queue limits of an [`AdmissionController`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AdmissionConfig {
-    /// The classes, in the order of the settings.
-    pub classes: Vec<Class>,
-    /// The number of tenants, that for calls of no or an unknown tenant among them: it is the last.
-    pub tenants: usize,
-    /// Maximum number of calls in the queue of a tenant.
+    /// Classes in the order of the settings, as [`AdmissionRequest::class`] counts them.
+    pub classes: Vec<ClassTiming>,
+    /// Number of tenants, including the default tenant, which is the last one.
+    pub tenant_count: usize,
+    /// Highest number of queued calls of one tenant; further calls are rejected.
     pub max_queue: usize,
-    /// The longest Retry-After that a client heeds; 0: it is given none.
+    /// Longest Retry-After that clients respect, as an upper limit for rejected calls; 0: no Retry-After is
+    /// sent.
     pub max_retry_after: Micros,
 }
 
-/// A call that asks for admission.
+/// Properties of a new call that decide on its admission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AdmissionRequest {
-    /// Its tenant; `None`, or a place that the settings do not have: none.
+    /// Index of the tenant in the settings; `None` or an index out of range: the default tenant.
     pub tenant: Option<usize>,
-    /// Its class.
+    /// Index of the class in [`AdmissionConfig::classes`]; a call with an index out of range may be queued
+    /// until its deadline.
     pub class: usize,
-    /// Until when its client waits.
+    /// Time at which the client gives up on the call.
     pub deadline: Micros,
 }
 
-/// A call in a queue.
+/// Handle of a queued call. Handles of one tenant are ordered by arrival of the calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct QueuedCall {
     tenant: usize,
-    number: u64,
+    arrival_number: u64,
 }
 
 impl QueuedCall {
-    /// Its tenant, by place in the settings.
+    /// Returns the index in the settings of the tenant that the call belongs to.
     pub fn tenant(self) -> usize {
         self.tenant
     }
 }
 
-/// The one answer that each call gets, unless its client goes before.
+/// Admission or rejection of a call. Each call gets exactly one verdict, unless it is cancelled in the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It has a permit, which is returned by [`AdmissionController::release`].
+    /// The call may start. Its permit has to be returned by [`AdmissionController::release`] when it ends.
     Admitted,
-    /// It is rejected, and may be retried after this time.
+    /// The call must not start: the queue is full, or no permit is expected before the queue timeout.
     Rejected {
-        /// The Retry-After.
+        /// Time after which the client may send the call again.
         retry_after: Micros,
     },
 }
 
-/// What happens to a call when it asks.
+/// Immediate answer to a new call: its verdict, or a handle of the queued call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionDecision {
-    /// It has its verdict at once.
+    /// The call is admitted or rejected immediately.
     Decided(Verdict),
-    /// It waits in its tenant's queue, and has its verdict later.
+    /// The call is queued. Its verdict is returned by a later call of the controller.
     Queued(QueuedCall),
 }
 
-/// The verdict on a call that waited.
+/// Verdict on a call that was queued before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QueuedVerdict {
-    /// The call.
+    /// Handle that [`AdmissionController::request`] returned for the call.
     pub call: QueuedCall,
-    /// Its verdict.
+    /// Admission or rejection of the call.
     pub verdict: Verdict,
 }
 
-/// Verdicts on calls that waited, in the order in which they fell.
+/// Verdicts on queued calls, in the order in which the controller reached them.
 pub type Verdicts = Vec<QueuedVerdict>;
 
-/// When a queued call is given up.
+/// Time at which a queued call is rejected, because too little time until its deadline is left.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct GiveUp {
+struct QueueTimeout {
     at: Micros,
     call: QueuedCall,
 }
 
-/// Admits calls. A call is admitted where the cap of its tenant and the permits for all tenants leave it one. Until then it
-/// waits in its tenant's queue, or is rejected where it cannot be admitted in time.
+/// Admission controller with one queue per tenant. A call is admitted if a permit is free under both the cap
+/// of its tenant and the limit on all tenants together. Otherwise it is queued, or rejected if it cannot be
+/// admitted in time.
 #[derive(Clone, Debug)]
 pub struct AdmissionController {
     config: AdmissionConfig,
-    /// How far back releases count: the longest that a client waits.
+    /// Time over which releases of permits are averaged: the longest deadline of any class.
     rate_span: Micros,
     queues: Vec<TenantQueue>,
     allowance: Allowance,
-    /// Permits in use, of all tenants.
+    /// Permits in use by all tenants together.
     in_flight: u32,
     release_rate: ReleaseRate,
-    /// The order among the tenants below their fair share, and among the others.
-    owners: FairOrder,
-    borrowers: FairOrder,
-    /// The earliest first.
-    give_ups: BTreeSet<GiveUp>,
-    next_number: u64,
-    /// More may be granted soon: a cap of 0 is no reason yet to reject calls.
+    /// Order among tenants that use fewer permits than their part of the fair share.
+    below_share_order: FairOrder,
+    /// Order among tenants that use at least their part of the fair share.
+    above_share_order: FairOrder,
+    /// Timeouts of all queued calls, the earliest first.
+    queue_timeouts: BTreeSet<QueueTimeout>,
+    next_arrival_number: u64,
+    /// Whether the process waits for its slot to be decided. Meanwhile calls of a tenant with a cap of 0 are
+    /// queued instead of rejected.
     expects_more: bool,
 }
 
 impl AdmissionController {
-    /// A controller with its first allowance; `expects_more`: more may be granted soon.
+    /// Creates a controller that starts with `allowance`. `expects_more` tells that the allowance may be
+    /// raised soon, so that calls of a tenant with a cap of 0 are queued instead of rejected.
     pub fn new(
         now: Micros,
         config: AdmissionConfig,
@@ -140,7 +148,7 @@
         expects_more: bool,
     ) -> AdmissionController {
         let rate_span = config.classes.iter().map(|class| class.deadline).max().unwrap_or(0).max(1);
-        let tenants = config.tenants.max(1);
+        let tenants = config.tenant_count.max(1);
         let mut controller = AdmissionController {
             config,
             rate_span,
@@ -148,18 +156,19 @@
             allowance: Allowance::default(),
             in_flight: 0,
             release_rate: ReleaseRate::default(),
-            owners: FairOrder::new(tenants),
-            borrowers: FairOrder::new(tenants),
-            give_ups: BTreeSet::new(),
-            next_number: 0,
+            below_share_order: FairOrder::new(tenants),
+            above_share_order: FairOrder::new(tenants),
+            queue_timeouts: BTreeSet::new(),
+            next_arrival_number: 0,
             expects_more,
         };
         controller.set_allowance(now, allowance, expects_more, &mut Vec::new());
         controller
     }
 
-    /// Sets what may be in flight from now on; `expects_more`: more may be granted soon. Where that is less than is in
-    /// flight, nothing new is admitted until it fits.
+    /// Replaces the allowance. `expects_more` has the same meaning as in [`AdmissionController::new`]. If
+    /// more calls are in flight than the new allowance permits, no call is admitted until enough of them have
+    /// ended.
     pub fn set_allowance(
         &mut self,
         now: Micros,
@@ -173,45 +182,45 @@
             queue.fair_share = tenant.fair_share;
         }
         if have_shares_changed {
-            self.owners.reset();
-            self.borrowers.reset();
+            self.below_share_order.reset();
+            self.above_share_order.reset();
         }
         self.allowance = allowance;
         self.expects_more = expects_more;
-        self.admit_waiting(now, verdicts);
+        self.admit_queued(now, verdicts);
     }
 
-    /// A call asks for admission.
+    /// Decides on a new call, which is admitted, queued or rejected.
     pub fn request(&mut self, now: Micros, request: AdmissionRequest) -> AdmissionDecision {
-        let tenant = self.place(request.tenant);
+        let tenant = self.queue_index(request.tenant);
         if self.has_permit(now, tenant) && self.queues[tenant].is_empty() {
             self.admit(now, tenant);
             return AdmissionDecision::Decided(Verdict::Admitted);
         }
-        let reserved = self.config.classes.get(request.class).map_or(0, Class::reserved);
-        let give_up_at = request.deadline.saturating_sub(reserved);
+        let reserved = self.config.classes.get(request.class).map_or(0, ClassTiming::reserved);
+        let times_out_at = request.deadline.saturating_sub(reserved);
         let is_full = self.queues[tenant].len() >= self.config.max_queue;
-        let is_hopeless = || now.saturating_add(self.expected_wait(now, tenant)) >= give_up_at;
-        if is_full || self.is_closed(now, tenant) || is_hopeless() {
+        let is_too_late = || now.saturating_add(self.expected_wait(now, tenant)) >= times_out_at;
+        if is_full || self.is_blocked(now, tenant) || is_too_late() {
             return AdmissionDecision::Decided(self.reject(now, tenant));
         }
-        let call = QueuedCall { tenant, number: self.next_number };
-        self.next_number += 1;
-        self.queues[tenant].push(call.number, give_up_at);
-        self.give_ups.insert(GiveUp { at: give_up_at, call });
+        let call = QueuedCall { tenant, arrival_number: self.next_arrival_number };
+        self.next_arrival_number += 1;
+        self.queues[tenant].push(call.arrival_number, times_out_at);
+        self.queue_timeouts.insert(QueueTimeout { at: times_out_at, call });
         AdmissionDecision::Queued(call)
     }
 
-    /// The client of a queued call has gone.
-    pub fn abandon(&mut self, call: QueuedCall) {
-        if let Some(at) = self.queues[call.tenant].remove(call.number) {
-            self.give_ups.remove(&GiveUp { at, call });
+    /// Removes a queued call whose client has disconnected. The call gets no verdict.
+    pub fn cancel(&mut self, call: QueuedCall) {
+        if let Some(at) = self.queues[call.tenant].remove(call.arrival_number) {
+            self.queue_timeouts.remove(&QueueTimeout { at, call });
         }
     }
 
-    /// A hedged request of a call of this tenant asks for a permit of its own. Returns whether it got one.
+    /// Takes a permit for a hedged request, which is never queued. Returns whether a permit was free.
     pub fn acquire_extra(&mut self, now: Micros, tenant: Option<usize>) -> bool {
-        let tenant = self.place(tenant);
+        let tenant = self.queue_index(tenant);
         let has_permit = self.has_permit(now, tenant);
         if has_permit {
             self.acquire(now, tenant);
@@ -221,55 +230,59 @@
         has_permit
     }
 
-    /// Returns a permit of this tenant.
+    /// Returns the permit of a call that has ended, and admits queued calls that fit now.
     pub fn release(&mut self, now: Micros, tenant: Option<usize>, verdicts: &mut Verdicts) {
-        let tenant = self.place(tenant);
+        let tenant = self.queue_index(tenant);
         let queue = &mut self.queues[tenant];
         queue.in_flight = queue.in_flight.saturating_sub(1);
         queue.release_rate.record(now, self.rate_span);
         self.in_flight = self.in_flight.saturating_sub(1);
         self.release_rate.record(now, self.rate_span);
-        self.admit_waiting(now, verdicts);
+        self.admit_queued(now, verdicts);
     }
 
-    /// Does what is due by time alone; [`AdmissionController::next_due`] says when.
+    /// Rejects queued calls that have timed out, and applies the expiry of the allowance. To be called at
+    /// [`AdmissionController::next_due`].
     pub fn tick(&mut self, now: Micros, verdicts: &mut Verdicts) {
-        self.admit_waiting(now, verdicts);
+        self.admit_queued(now, verdicts);
     }
 
-    /// When time alone next changes something: a queued call is given up, or the allowance expires.
+    /// Returns when [`AdmissionController::tick`] has to be called: at the first timeout of a queued call, or
+    /// at the expiry of the allowance; `None`: no call is queued.
     pub fn next_due(&self) -> Option<Micros> {
-        let give_up_at = self.give_ups.first()?.at;
-        Some(self.allowance.expires_at.map_or(give_up_at, |at| at.min(give_up_at)))
+        let times_out_at = self.queue_timeouts.first()?.at;
+        Some(self.allowance.expires_at.map_or(times_out_at, |at| at.min(times_out_at)))
     }
 
-    /// The usage of each tenant, with peaks and counts since [`AdmissionController::usage_reported`].
+    /// Returns the usage by tenant. Peaks and numbers of rejected calls cover the time since the last call of
+    /// [`AdmissionController::usage_reported`].
     pub fn usage(&self) -> Vec<TenantUsage> {
         self.queues.iter().map(TenantQueue::usage).collect()
     }
 
-    /// The usage was reported.
+    /// Starts a new period for the peaks and the numbers of rejected calls of [`AdmissionController::usage`].
     pub fn usage_reported(&mut self) {
         self.queues.iter_mut().for_each(TenantQueue::usage_reported);
     }
 
-    /// The tenants as operators see them, in the order of the settings, calls of none last.
+    /// Returns statistics by tenant for the status pages, in the order of the settings; the default tenant is
+    /// the last one.
     pub fn stats(&self) -> impl Iterator<Item = QueueStats> + '_ {
         self.queues.iter().map(TenantQueue::stats)
     }
 
-    /// Permits in use, of all tenants.
+    /// Returns the permits in use by all tenants together.
     pub fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
-    /// The place of a tenant among the queues.
-    fn place(&self, tenant: Option<usize>) -> usize {
+    /// Returns the index of a tenant's queue; the last queue is that of the default tenant.
+    fn queue_index(&self, tenant: Option<usize>) -> usize {
         let last = self.queues.len() - 1;
         tenant.map_or(last, |tenant| tenant.min(last))
     }
 
-    /// Whether there is a permit for a tenant.
+    /// Returns whether a call of the tenant could start now, apart from the calls that are queued before it.
     fn has_permit(&self, now: Micros, tenant: usize) -> bool {
         let total = self.allowance.total(now);
         total.is_none_or(|total| self.in_flight < total) && self.is_below_cap(now, tenant)
@@ -279,8 +292,9 @@
         self.allowance.cap(now, tenant).is_none_or(|cap| self.queues[tenant].in_flight < cap)
     }
 
-    /// Whether there will be no permit for a tenant.
-    fn is_closed(&self, now: Micros, tenant: usize) -> bool {
+    /// Returns whether calls of the tenant cannot be admitted at all: its cap is 0, and the allowance will
+    /// not be raised soon.
+    fn is_blocked(&self, now: Micros, tenant: usize) -> bool {
         !self.expects_more && self.allowance.cap(now, tenant) == Some(0)
     }
 
@@ -306,28 +320,28 @@
         Verdict::Rejected { retry_after: self.retry_after(now, tenant) }
     }
 
-    /// Gives up the calls whose time is over, and admits those that there are permits for by now.
-    fn admit_waiting(&mut self, now: Micros, verdicts: &mut Verdicts) {
-        if self.give_ups.is_empty() {
+    /// Rejects queued calls that have timed out, then admits queued calls while permits are free.
+    fn admit_queued(&mut self, now: Micros, verdicts: &mut Verdicts) {
+        if self.queue_timeouts.is_empty() {
             return;
         }
-        while let Some(&give_up) = self.give_ups.first().filter(|give_up| give_up.at <= now) {
-            self.give_ups.remove(&give_up);
-            self.queues[give_up.call.tenant].remove(give_up.call.number);
-            self.reject_queued(now, give_up.call, verdicts);
+        while let Some(&timeout) = self.queue_timeouts.first().filter(|timeout| timeout.at <= now) {
+            self.queue_timeouts.remove(&timeout);
+            self.queues[timeout.call.tenant].remove(timeout.call.arrival_number);
+            self.reject_queued(now, timeout.call, verdicts);
         }
         while let Some(tenant) = self.next_tenant(now) {
             let Some(call) = self.pop(tenant) else { break };
             self.admit(now, tenant);
             verdicts.push(QueuedVerdict { call, verdict: Verdict::Admitted });
         }
-        self.reject_closed(now, verdicts);
+        self.reject_blocked(now, verdicts);
     }
 
-    /// Rejects all calls of tenants for which there will be no permit.
-    fn reject_closed(&mut self, now: Micros, verdicts: &mut Verdicts) {
+    /// Rejects all queued calls of tenants whose calls cannot be admitted at all.
+    fn reject_blocked(&mut self, now: Micros, verdicts: &mut Verdicts) {
         for tenant in 0..self.queues.len() {
-            while self.is_closed(now, tenant) {
+            while self.is_blocked(now, tenant) {
                 let Some(call) = self.pop(tenant) else { break };
                 self.reject_queued(now, call, verdicts);
             }
@@ -339,23 +353,26 @@
         verdicts.push(QueuedVerdict { call, verdict });
     }
 
-    /// Takes the first call out of a queue.
+    /// Removes the first call of a tenant from its queue.
     fn pop(&mut self, tenant: usize) -> Option<QueuedCall> {
-        let (number, at) = self.queues[tenant].pop()?;
-        let call = QueuedCall { tenant, number };
-        self.give_ups.remove(&GiveUp { at, call });
+        let (arrival_number, at) = self.queues[tenant].pop()?;
+        let call = QueuedCall { tenant, arrival_number };
+        self.queue_timeouts.remove(&QueueTimeout { at, call });
         Some(call)
     }
 
-    /// The tenant whose call is next. Those below their fair share come before the others: permits that were lent go back to
-    /// their owner as they are released.
+    /// Selects the tenant whose first queued call is admitted next; `None`: no queued call can be admitted.
+    /// Tenants that use fewer permits than their part of the fair share take precedence, so that released
+    /// permits return to the tenants that had lent them.
     fn next_tenant(&mut self, now: Micros) -> Option<usize> {
-        let AdmissionController { queues, allowance, in_flight, owners, borrowers, .. } = self;
-        let is_eligible = |place: usize, queue: &TenantQueue| {
-            !queue.is_empty() && allowance.cap(now, place).is_none_or(|cap| queue.in_flight < cap)
+        let AdmissionController {
+            queues, allowance, in_flight, below_share_order, above_share_order, ..
+        } = self;
+        let is_eligible = |index: usize, queue: &TenantQueue| {
+            !queue.is_empty() && allowance.cap(now, index).is_none_or(|cap| queue.in_flight < cap)
         };
         let Some(total) = allowance.total(now) else {
-            return queues.iter().enumerate().position(|(place, queue)| is_eligible(place, queue));
+            return queues.iter().enumerate().position(|(index, queue)| is_eligible(index, queue));
         };
         if *in_flight >= total {
             return None;
@@ -368,38 +385,41 @@
                 (is_eligible(tenant, queue) && is_in_group).then(|| queue.weight())
             }
         };
-        let idle = |tenant: usize| queues[tenant].weight();
-        owners.next(weight_of(true), idle).or_else(|| borrowers.next(weight_of(false), idle))
+        let idle_weight = |tenant: usize| queues[tenant].weight();
+        below_share_order
+            .next(weight_of(true), idle_weight)
+            .or_else(|| above_share_order.next(weight_of(false), idle_weight))
     }
 
-    /// How long a call that comes now would wait, by the rate of the releases that it waits for.
+    /// Estimates how long a new call of the tenant would be queued, from the rate at which permits have been
+    /// released.
     fn expected_wait(&self, now: Micros, tenant: usize) -> Micros {
         let queue = &self.queues[tenant];
-        let ahead = (queue.len() + 1) as f64;
-        let for_cap = if self.is_below_cap(now, tenant) {
+        let queue_position = (queue.len() + 1) as f64;
+        let cap_wait = if self.is_below_cap(now, tenant) {
             0
         } else {
-            queue.release_rate.time_for(ahead, now, self.rate_span)
+            queue.release_rate.expected_time(queue_position, now, self.rate_span)
         };
-        let for_total = match self.allowance.total(now) {
+        let total_wait = match self.allowance.total(now) {
             Some(total) if self.in_flight >= total => {
-                let permits = ahead * self.waiting_weight(tenant) / queue.weight();
-                self.release_rate.time_for(permits, now, self.rate_span)
+                let permits = queue_position * self.queued_weight(tenant) / queue.weight();
+                self.release_rate.expected_time(permits, now, self.rate_span)
             }
             _ => 0,
         };
-        for_cap.max(for_total)
+        cap_wait.max(total_wait)
     }
 
-    /// The weight of all tenants that wait, this one among them.
-    fn waiting_weight(&self, tenant: usize) -> f64 {
-        let waits = |(place, queue): &(usize, &TenantQueue)| *place == tenant || !queue.is_empty();
+    /// Returns the sum of the weights of `tenant` and of all other tenants with queued calls.
+    fn queued_weight(&self, tenant: usize) -> f64 {
+        let waits = |(index, queue): &(usize, &TenantQueue)| *index == tenant || !queue.is_empty();
         self.queues.iter().enumerate().filter(waits).map(|(_, queue)| queue.weight()).sum()
     }
 
     fn retry_after(&self, now: Micros, tenant: usize) -> Micros {
         let max = self.config.max_retry_after;
-        if self.is_closed(now, tenant) {
+        if self.is_blocked(now, tenant) {
             return max;
         }
         self.expected_wait(now, tenant).min(max)
--- a/quota/src/admission/queue.rs
+++ b/quota/src/admission/queue.rs
@@ -1,38 +1,38 @@
-//! A tenant at the admission controller: what it has in flight, and its calls that wait, in order.
+//! Permits in use, queued calls and statistics of one tenant.
 
 use super::release_rate::ReleaseRate;
 use crate::{Micros, TenantUsage};
 use std::collections::BTreeMap;
 
-/// A tenant at the admission controller, as operators see it.
+/// Statistics of one tenant at one process, for the status pages.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct QueueStats {
-    /// Permits in use.
+    /// Number of permits in use now, including those of hedged requests.
     pub in_flight: u32,
-    /// Calls that wait.
+    /// Number of calls queued for a permit now.
     pub queued: u32,
-    /// Calls admitted since the start.
+    /// Number of calls admitted since the start of the process.
     pub admitted: u64,
-    /// Calls rejected since the start.
+    /// Number of calls rejected since the start of the process.
     pub rejected: u64,
-    /// Hedged requests that were denied a permit since the start.
+    /// Number of hedged requests that got no permit since the start of the process.
     pub denied_hedges: u64,
 }
 
-/// A tenant.
 #[derive(Clone, Debug, Default)]
 pub(super) struct TenantQueue {
-    /// Its fair share of the permits for all tenants.
+    /// Part of the tenant's fair share that falls to this process, in permits.
     pub fair_share: u32,
     pub in_flight: u32,
     pub release_rate: ReleaseRate,
-    /// When each call is given up, by its number: the first that came has the lowest.
+    /// Timeout of each queued call by its arrival number; lower numbers arrived earlier.
     queued: BTreeMap<u64, Micros>,
     pub admitted: u64,
     pub rejected: u64,
     pub denied_hedges: u64,
-    /// In flight and queued together, at the most, and how many were rejected, since usage was last reported.
+    /// Highest number of calls in flight and queued together since the last report.
     peak: u32,
+    /// Number of calls rejected since the last report.
     rejected_since_report: u32,
 }
 
@@ -45,8 +45,9 @@
         self.queued.is_empty()
     }
 
-    /// Whether it has less in flight than its fair share. That counts as one call at least: a tenant of which nothing is
-    /// known yet must not wait for all the others.
+    /// Returns whether the tenant uses fewer permits than its part of the fair share. A part of 0 counts as
+    /// 1, so that a tenant whose demand the leader does not know yet gets a first permit before tenants above
+    /// their part.
     pub fn is_below_fair_share(&self) -> bool {
         self.in_flight < self.fair_share.max(1)
     }
@@ -55,19 +56,16 @@
         f64::from(self.fair_share.max(1))
     }
 
-    /// Queues a call.
-    pub fn push(&mut self, number: u64, give_up_at: Micros) {
-        self.queued.insert(number, give_up_at);
+    pub fn push(&mut self, arrival_number: u64, times_out_at: Micros) {
+        self.queued.insert(arrival_number, times_out_at);
         self.update_peak();
     }
 
-    /// One permit more is in use.
     pub fn acquire(&mut self) {
         self.in_flight += 1;
         self.update_peak();
     }
 
-    /// A call is rejected.
     pub fn reject(&mut self) {
         self.rejected += 1;
         self.rejected_since_report += 1;
@@ -85,14 +83,14 @@
         self.in_flight.saturating_add(self.queued_count())
     }
 
-    /// Takes the first call out of the queue: its number, and when it would have been given up.
+    /// Removes the call that arrived first. Returns its arrival number and its timeout.
     pub fn pop(&mut self) -> Option<(u64, Micros)> {
         self.queued.pop_first()
     }
 
-    /// Takes a call out of the queue. Returns when it would have been given up, if it was there.
-    pub fn remove(&mut self, number: u64) -> Option<Micros> {
-        self.queued.remove(&number)
+    /// Removes a call. Returns its timeout; `None`: the call was not queued.
+    pub fn remove(&mut self, arrival_number: u64) -> Option<Micros> {
+        self.queued.remove(&arrival_number)
     }
 
     pub fn usage(&self) -> TenantUsage {
--- a/quota/src/admission/release_rate.rs
+++ b/quota/src/admission/release_rate.rs
@@ -1,24 +1,25 @@
-//! How fast permits are released.
+//! Estimate of the rate at which permits are released, for the expected time in a queue.
 
 use crate::Micros;
 
-/// How many permits were released recently: a count that decays exponentially.
+/// Number of recently released permits, which decays exponentially.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ReleaseRate {
     count: f64,
     updated_at: Micros,
-    /// Since when it counts, less the time in which no permit was in use.
-    since: Micros,
+    /// Start of the observation, moved forward by the duration of periods without any permit in use.
+    observed_since: Micros,
 }
 
 impl ReleaseRate {
-    /// A permit is in use again after there was none: that none was released meanwhile says nothing.
+    /// Ends a period without any permit in use, which is left out of the observation because nothing could be
+    /// released.
     pub fn resume(&mut self, now: Micros) {
-        self.since += now.saturating_sub(self.updated_at);
+        self.observed_since += now.saturating_sub(self.updated_at);
         self.updated_at = now;
     }
 
-    /// A permit was released. The count decays over `span`.
+    /// Counts a released permit. The count decays with the time constant `span`.
     pub fn record(&mut self, now: Micros, span: Micros) {
         self.count = self.decayed(now, span) + 1.0;
         self.updated_at = now;
@@ -28,14 +29,15 @@
         self.count * (-(now.saturating_sub(self.updated_at) as f64) / span as f64).exp()
     }
 
-    /// How long so many permits take to be released, at the best: one more than was seen may be about to.
+    /// Returns the expected time until `permits` permits are released. The estimate is a lower bound: it
+    /// assumes one more release than was observed.
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
-        reason = "it saturates, and is no negative"
+        reason = "the cast saturates, and the value is not negative"
     )]
-    pub fn time_for(&self, permits: f64, now: Micros, span: Micros) -> Micros {
-        let observed = now.saturating_sub(self.since).min(span) as f64;
+    pub fn expected_time(&self, permits: f64, now: Micros, span: Micros) -> Micros {
+        let observed = now.saturating_sub(self.observed_since).min(span) as f64;
         (permits * observed / (self.decayed(now, span) + 1.0)) as Micros
     }
 }
--- a/quota/src/allowance.rs
+++ b/quota/src/allowance.rs
@@ -1,33 +1,40 @@
-//! What one process may have in flight now: all that passes from the agreement to the admission controller.
+//! Limits on the calls in flight at a process, which the process's admission controller applies.
 
 use flaxhead_lease::Micros;
 use serde::{Deserialize, Serialize};
 
-/// What a process may have in flight of one tenant.
+/// Limits on the permits of one tenant at one process. A fair share is the portion of the hosts' capacity
+/// that a tenant has in the whole fleet; a process gets a part of it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct TenantAllowance {
-    /// Maximum number of permits, by the tenant's cap; `None`: it has no cap.
+    /// Highest number of permits that the process may use for the tenant: its guaranteed minimum plus the
+    /// granted permits; `None`: the tenant has no cap.
     pub cap: Option<u32>,
-    /// What is left of `cap` from [`Allowance::expires_at`] on: the guaranteed minimum.
+    /// Guaranteed minimum of the process, which replaces `cap` when the allowance has expired; 0: the process
+    /// has no slot; `None`: the tenant has no cap.
     pub guaranteed: Option<u32>,
-    /// Its fair share of [`Allowance::total`], in permits; also its weight where several tenants wait for permits.
+    /// Part of the tenant's fair share that falls to this process, in permits. Also the tenant's weight when
+    /// queued calls of several tenants compete for permits.
     pub fair_share: u32,
 }
 
-/// What a process may have in flight. It is valid until the next one comes, or until it expires.
+/// Limits on the calls in flight at one process, until they are replaced or expire.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Allowance {
-    /// By tenant, in the order of the settings; the last is for calls of no tenant, or of an unknown one.
+    /// Limits by tenant in the order of the settings; the last one is for the default tenant.
     pub tenants: Vec<TenantAllowance>,
-    /// Permits of all tenants together; `None`: not agreed upon, and only caps bind.
+    /// Highest number of permits that the process may use for all tenants together; `None`: no limit besides
+    /// the caps.
     pub total: Option<u32>,
-    /// From then on only the guaranteed minimums count, whether another allowance came or not: a process that was stopped
-    /// for a while looks here before it admits anything. By the machine's clock; `None`: it does not expire.
+    /// Time, by the process's clock, from which on only the guaranteed minimums are valid; `None`: the
+    /// allowance does not expire. The admission controller compares this time with the clock at every call,
+    /// so that a process that was paused uses no expired grant.
     pub expires_at: Option<Micros>,
 }
 
 impl Allowance {
-    /// Permits of a tenant at a moment; `None`: any number, or an unknown tenant.
+    /// Returns how many permits the process may use for a tenant at the time `now`; `None`: the tenant has no
+    /// cap, or is unknown.
     pub fn cap(&self, now: Micros, tenant: usize) -> Option<u32> {
         let allowance = self.tenants.get(tenant)?;
         if self.is_valid(now) {
@@ -37,7 +44,8 @@
         }
     }
 
-    /// Permits of all tenants together at a moment; `None`: not agreed upon.
+    /// Returns how many permits the process may use for all tenants together at the time `now`; `None`: no
+    /// limit besides the caps.
     pub fn total(&self, now: Micros) -> Option<u32> {
         self.total.filter(|_| self.is_valid(now))
     }
--- a/quota/src/application.rs
+++ b/quota/src/application.rs
@@ -1,4 +1,4 @@
-//! The quotas, as something that the proxies agree upon.
+//! Quotas as an application of the lease protocol, which carries their reports and grants.
 
 use crate::allowance::Allowance;
 use crate::capacity::HostCapacity;
@@ -12,18 +12,19 @@
     Micros, Name, NoCommand, Presence, Process, ReceivedGrant, ReceivedReport,
 };
 
-/// One process's part in the quotas.
+/// Protocol state machine of one process, with quotas as its application.
 pub type Machine = flaxhead_lease::Machine<QuotaApplication>;
-/// A message between two processes.
+/// Protocol message between two processes, with reports and grants of quotas.
 pub type Message = flaxhead_lease::Message<QuotaApplication>;
-/// What the driver is to do.
+/// Action that the state machine requests, such as sending a message.
 pub type Effect = flaxhead_lease::Effect<QuotaApplication>;
-/// What a process is given with everything that happens.
+/// Input to the state machine besides the event itself: time, facts and randomness.
 pub type Context<'a> = flaxhead_lease::Context<'a, Vec<HostCapacity>>;
-/// What a process knows from outside the protocol.
+/// Facts that the process learns outside the protocol: the members of the fleet, and the capacity of each
+/// host.
 pub type Facts = flaxhead_lease::Facts<Vec<HostCapacity>>;
 
-/// The quotas, as one process takes part in them.
+/// Quota state of one process, and the callbacks of the lease protocol that change it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct QuotaApplication {
     local: LocalQuota,
@@ -33,14 +34,15 @@
 }
 
 impl QuotaApplication {
-    /// A process that starts at `now` and remembers nothing.
+    /// Creates the state of a process that starts at `now` and has no grant.
     pub fn new(now: Micros, registry: TenantRegistry, timing: QuotaTiming) -> QuotaApplication {
         let local = LocalQuota::new(now, registry, timing.clone());
         QuotaApplication { local, timing, usage: Usage::default(), wants_early_renewal: false }
     }
 
-    /// The time spans of the lease. A leader that remembers nothing needs to wait for no process: its ledger learns for as
-    /// long as grants may be valid.
+    /// Returns the time spans of the lease protocol. `operator_timeout` is 0, because operators have nothing
+    /// to declare after a loss of all state: a new leader only renews permits that processes report, until
+    /// all earlier grants have expired.
     pub fn config(timing: &QuotaTiming) -> Config {
         Config {
             lease_duration: timing.lease,
@@ -51,8 +53,9 @@
         }
     }
 
-    /// Sets what the process has in flight now. Peaks and counts are since this was last called, and are added up until the
-    /// next report.
+    /// Updates the usage that the next report shows, as of `now`. Peaks and counts in `usage` cover the time
+    /// since the previous call of this function; until the report is sent, peaks are combined by their
+    /// maximum, and counts are added up.
     pub fn set_usage(&mut self, now: Micros, usage: Usage) {
         let before = std::mem::replace(&mut self.usage, usage);
         for (tenant, before) in self.usage.tenants.iter_mut().zip(&before.tenants) {
@@ -64,27 +67,30 @@
         self.wants_early_renewal = now >= self.next_report_at();
     }
 
-    /// When the next report is wanted: [`QuotaApplication::set_usage`] is to be called then, and when calls begin to wait.
+    /// Returns when the next report is due. [`QuotaApplication::set_usage`] has to be called at that time,
+    /// and whenever a call is queued.
     pub fn next_report_at(&self) -> Micros {
         self.local.next_report_at(&self.usage)
     }
 
-    /// What may be in flight from now on.
+    /// Returns the limits on calls in flight that apply from `now` on.
     pub fn allowance(&mut self, now: Micros) -> Allowance {
         self.local.allowance(now)
     }
 
-    /// When that next changes, if nothing is heard until then.
+    /// Returns when [`QuotaApplication::allowance`] next changes if no grant arrives until then; `None`: it
+    /// does not change.
     pub fn next_change(&self, now: Micros) -> Option<Micros> {
         self.local.next_change(now)
     }
 
-    /// Whether this process may use its guaranteed minimums.
+    /// Returns whether this process may use its guaranteed minimums.
     pub fn slot(&self) -> Slot {
         self.local.slot()
     }
 
-    /// The newest grant that it has heard of.
+    /// Returns the version of the newest grant or of the newest leader that the process knows; `None`: it
+    /// knows no leader.
     pub fn grant_version(&self) -> Option<&GrantVersion> {
         self.local.grant_version()
     }
@@ -101,7 +107,7 @@
     type Event = String;
 
     const MAX_STATE_BYTES: usize = 0;
-    // As many tenants as a registry can have, with their names where configurations differ.
+    // Room for the highest number of tenants, and for their names if the process reports its configuration.
     const MAX_REPORT_BYTES: usize = 1 << 15;
     const MAX_GRANT_BYTES: usize = 1 << 13;
     const MAX_COMMAND_BYTES: usize = 0;
@@ -123,11 +129,11 @@
     }
 
     fn lease_granted(&mut self, granted: &ReceivedGrant<Self>) {
-        self.local.take_grant(&granted.ballot, granted.expires_at, granted.grant.clone());
+        self.local.apply_grant(&granted.ballot, granted.expires_at, granted.grant.clone());
     }
 
     fn higher_ballot_observed(&mut self, ballot: &Ballot) {
-        self.local.observe_fence(ballot);
+        self.local.observe_ballot(ballot);
     }
 
     fn state_lost(&mut self) {
--- a/quota/src/capacity/tests.rs
+++ b/quota/src/capacity/tests.rs
@@ -1,4 +1,3 @@
-//! Unit tests of `capacity`.
 #![expect(clippy::cast_possible_truncation, reason = "the counts of a test are small")]
 
 use super::*;
@@ -9,7 +8,7 @@
 }
 
 #[test]
-fn counts_size_and_warmth_of_hosts_that_can_be_used() {
+fn capacity_counts_the_size_and_warm_up_of_usable_hosts() {
     let config = QuotaConfig { calls_per_host: 8, ..QuotaConfig::default() };
     let registry = TenantRegistry::new(&config, []).unwrap();
     let hosts = [
@@ -18,27 +17,27 @@
         host(9_000, 1_000, false, false),
         host(9_000, 1_000, true, true),
     ];
-    // 16 calls, less a tenth.
+    // The usable hosts carry 8 + 8 = 16 calls, less the margin of 10%.
     assert_eq!(fleet_capacity(&registry, &hosts, 1_000), Some(14));
     assert_eq!(fleet_capacity(&registry, &hosts, 500), Some(7));
     assert_eq!(fleet_capacity(&registry, &hosts[2..], 1_000), Some(1));
     assert_eq!(fleet_capacity(&registry, &[], 1_000), None);
-    let off = TenantRegistry::new(&QuotaConfig::default(), []).unwrap();
-    assert_eq!(fleet_capacity(&off, &hosts, 1_000), None);
+    let disabled = TenantRegistry::new(&QuotaConfig::default(), []).unwrap();
+    assert_eq!(fleet_capacity(&disabled, &hosts, 1_000), None);
 }
 
 #[test]
-fn learns_down_to_a_quarter_and_back_to_the_whole() {
+fn learned_ratio_falls_to_a_quarter_and_recovers() {
     let mut learned = LearnedCapacity::new(0);
     for second in 1..40 {
-        learned.record(second * WINDOW, 100, 50);
+        learned.record(second * REPORT_WINDOW, 100, 50);
     }
-    assert_eq!(learned.part(), MIN_PART);
+    assert_eq!(learned.ratio_per_mille(), MIN_RATIO_PER_MILLE);
     for second in 40..200 {
-        learned.record(second * WINDOW, 100, 0);
+        learned.record(second * REPORT_WINDOW, 100, 0);
     }
-    assert_eq!(learned.part(), WHOLE);
-    // Too few to say anything.
-    learned.record(300 * WINDOW, MIN_ATTEMPTS as u32 - 1, MIN_ATTEMPTS as u32 - 1);
-    assert_eq!(learned.part(), WHOLE);
+    assert_eq!(learned.ratio_per_mille(), FULL_PER_MILLE);
+    // The window has too few attempts for the learned ratio to fall.
+    learned.record(300 * REPORT_WINDOW, MIN_ATTEMPT_COUNT as u32 - 1, MIN_ATTEMPT_COUNT as u32 - 1);
+    assert_eq!(learned.ratio_per_mille(), FULL_PER_MILLE);
 }
--- a/quota/src/ledger/slots.rs
+++ b/quota/src/ledger/slots.rs
@@ -1,4 +1,4 @@
-//! Which processes may use their guaranteed minimums, where there are more processes than those are counted for.
+//! Assignment of slots: with more processes than `max_proxies`, only some may use their guaranteed minimums.
 
 use super::process_entry::ProcessEntry;
 use super::QuotaLedger;
@@ -8,14 +8,16 @@
 use std::net::SocketAddr;
 
 impl QuotaLedger {
-    /// Sets the processes that run or may run, according to the membership.
+    /// Sets the processes that run or may run by the membership.
     pub fn set_members(&mut self, members: impl IntoIterator<Item = Process>) {
         self.members = members.into_iter().collect();
     }
 
-    /// Whether a process gets a slot. One that has a slot keeps it; where more report that they have one than there are, as
-    /// after a time without a leader, the first by name do. A process that is on the roster, or known to the membership, and
-    /// has not reported may have one. Of two that listen at one address one has ended: both have one slot.
+    /// Returns whether `process` gets a slot. A process that has a slot keeps it. If more processes report a
+    /// slot than there are slots, as can happen after a time without a leader, the first of these processes
+    /// by name keep their slots. A process that has not reported counts as having a slot if it may hold a
+    /// grant of an earlier leader, or runs by the membership. Processes with the same address count as one,
+    /// because at most one of them still runs.
     pub(super) fn assigns_slot(&self, process: &Process) -> bool {
         let has_slot = |entry: &ProcessEntry| entry.reported_slot == Slot::Assigned || entry.has_slot;
         let others = self
@@ -24,9 +26,9 @@
             .filter(|(other, entry)| other.address != process.address && has_slot(entry))
             .map(|(other, _)| other);
         if self.entries.get(process).is_some_and(has_slot) {
-            let before: BTreeSet<SocketAddr> =
+            let preceding: BTreeSet<SocketAddr> =
                 others.filter(|other| *other < process).map(|other| other.address).collect();
-            return before.len() < self.effective.slots();
+            return preceding.len() < self.effective.slots();
         }
         let unreported = self.members.iter().chain(self.awaited.iter().flatten());
         let unreported = unreported.filter(|other| !self.has_reported(other));
@@ -42,8 +44,8 @@
         self.entries.get(process).is_some_and(|entry| entry.last_report_at.is_some())
     }
 
-    /// The processes without a slot, for the log and the status page.
-    pub fn without_slot(&self) -> Vec<&Name> {
+    /// Returns the names of the processes that may not use their guaranteed minimums.
+    pub fn processes_without_slot(&self) -> Vec<&Name> {
         let is_without = |entry: &ProcessEntry| entry.last_report_at.is_some() && !entry.has_slot;
         let without = self.entries.iter().filter(|(_, entry)| is_without(entry));
         without.map(|(process, _)| &process.name).collect()
--- a/quota/src/registry.rs
+++ b/quota/src/registry.rs
@@ -1,32 +1,37 @@
-//! The tenants, and what the operators' file configures for them.
+//! Tenants with their weights and caps, from the settings of the service and the operators' configuration of
+//! quotas.
 
 use serde::{Deserialize, Serialize};
 use siphasher::sip::SipHasher13;
 use std::hash::{Hash, Hasher};
 
-/// The name that the file has for calls of no tenant, or of an unknown one.
-pub const OTHERS: &str = "others";
-/// Maximum number of tenants: what a report can hold.
-const MAX_TENANTS: usize = 256;
-/// Maximum length of a tenant's name, in bytes.
+/// Name of the default tenant in the operators' configuration. Calls without a tenant, or with an unknown
+/// one, belong to the default tenant.
+pub const DEFAULT_TENANT: &str = "others";
+/// Highest number of tenants that a report has room for, including the default tenant.
+const MAX_TENANT_COUNT: usize = 256;
 const MAX_NAME_BYTES: usize = 64;
-/// Weights are counted in parts of a whole of this many.
-const WEIGHT_SCALE: f64 = 1_000_000.0;
-/// Maximum portion of a tenant; the settings are not ours.
+/// Weight of a tenant that has a portion of 1, which is the whole service.
+const WEIGHT_PER_PORTION: f64 = 1_000_000.0;
+/// Upper bound on a tenant's portion that prevents an overflow of its weight.
 const MAX_PORTION: f64 = 1e6;
 
-/// What the operators' file says, before it is checked.
+/// Quota configuration as written by the operators, not yet validated.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct QuotaConfig {
-    /// Maximum number of processes: guaranteed minimums are counted for so many.
+    /// Highest number of processes that run at a time. Each cap has room for the guaranteed minimums of that
+    /// many processes.
     pub max_proxies: u32,
-    /// Part of each cap that is guaranteed, in percent.
+    /// Percentage of each cap that is divided into guaranteed minimums of equal size for `max_proxies`
+    /// processes, 1 to 100.
     pub guaranteed_percent: u32,
-    /// Calls that a warm host of size 1 can have in flight; 0: there are no fair shares.
+    /// Number of calls that a host of size 1 can have in flight when it is fully warmed up; 0: no fair shares
+    /// are calculated.
     pub calls_per_host: u32,
-    /// Part of the hosts' capacity that is left free, in percent.
+    /// Percentage of the hosts' capacity that is kept free, and not divided into fair shares, 0 to 99.
     pub margin_percent: u32,
-    /// Each a tenant's name and its cap over the fleet, as in `banca-trinacria 40`.
+    /// Lines with the name of a tenant and its cap in permits over all processes, such as `banca-trinacria
+    /// 40`.
     pub caps: Vec<String>,
 }
 
@@ -42,62 +47,65 @@
     }
 }
 
-/// Why a configuration cannot be used.
+/// Reason why a quota configuration is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum QuotaConfigError {
-    /// No process at all.
-    #[error("proxies_most is 0; give the most client proxies that run at a time, those of a roll included")]
+    /// `max_proxies` is 0.
+    #[error("proxies_most is 0; set it to the maximum number of client proxies that run at a time, including those of a rolling update")]
     NoProxies,
-    /// A guaranteed part that cannot be.
-    #[error("own_percent is {0}; give 1 to 100")]
+    /// `guaranteed_percent` is not in the range of 1 to 100.
+    #[error("own_percent is {0}; it must be 1 to 100")]
     GuaranteedPercent(u32),
-    /// No capacity would be left.
-    #[error("margin_percent is {0}; give 0 to 99")]
-    Margin(u32),
-    /// Not a name and a number.
-    #[error("caps has {0:?}; give a tenant's name and a number of calls, as in \"{OTHERS} 10\"")]
-    NotACap(String),
-    /// The settings have no such tenant.
-    #[error("caps names {tenant:?}, which the settings do not have; they have {known}, and \"{OTHERS}\" is the rest")]
+    /// `margin_percent` is above 99.
+    #[error("margin_percent is {0}; it must be 0 to 99")]
+    MarginPercent(u32),
+    /// A line of `caps` does not consist of a name and a number.
+    #[error("caps contains {0:?}; each entry must be a tenant's name and a number of calls, such as \"{DEFAULT_TENANT} 10\"")]
+    InvalidCap(String),
+    /// A line of `caps` names a tenant that the settings do not define.
+    #[error("caps names {tenant:?}, which the settings do not define; the defined tenants are {known}, where \"{DEFAULT_TENANT}\" is all other calls")]
     UnknownTenant {
-        /// The name.
+        /// Tenant name in the line.
         tenant: String,
-        /// The names that the settings have.
+        /// Tenant names that the settings define, separated by commas.
         known: String,
     },
-    /// A tenant has two caps.
-    #[error("caps names {0:?} twice; leave one of them out")]
+    /// Two lines of `caps` name the same tenant.
+    #[error("caps names {0:?} twice; remove one entry")]
     DuplicateCap(String),
-    /// Two tenants have one name.
+    /// Two tenants of the settings have the same name, or one has the name of the default tenant.
     #[error(
-        "the settings name the tenant {0:?} twice or use the name of the rest; caps cannot tell them apart"
+        "the settings define the tenant {0:?} twice, or give it the reserved name \"{DEFAULT_TENANT}\"; names must be unique"
     )]
     AmbiguousTenant(String),
-    /// A report could not hold the tenants.
-    #[error("the settings have more than {MAX_TENANTS} tenants, or a name over {MAX_NAME_BYTES} bytes; leave [shares] out")]
+    /// The settings define too many tenants for a report, or a tenant with a name that is too long for one.
+    #[error("the settings have more than {MAX_TENANT_COUNT} tenants including \"{DEFAULT_TENANT}\", or a tenant name over {MAX_NAME_BYTES} bytes; remove the [shares] section")]
     TooManyTenants,
-    /// Some process would have no permit.
-    #[error("the cap of {tenant:?} is {cap}, but each of {proxies} proxies needs one call; raise it, or lower proxies_most")]
+    /// A cap is lower than the number of processes, so that not every process can have a minimum of one
+    /// permit.
+    #[error("the cap of {tenant:?} is {cap}, but each of {proxies} proxies needs at least one permit; raise it, or lower proxies_most")]
     CapTooLow {
-        /// The tenant.
+        /// Tenant name in the line of `caps`.
         tenant: String,
-        /// Its cap.
+        /// Cap in the line of `caps`, in permits.
         cap: u32,
-        /// The number of processes.
+        /// Configured highest number of processes.
         proxies: u32,
     },
 }
 
-/// A tenant.
+/// Tenant with its weight for fair shares, and its cap.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Tenant {
-    /// Its name.
+    /// Name, which is unique in the registry.
     pub name: String,
-    /// Its weight relative to the others', in millionths; at least 1.
+    /// Weight of the tenant when the hosts' capacity is divided into fair shares, at least 1; 1,000,000 for a
+    /// tenant that is entitled to the whole service.
     pub weight: u64,
-    /// Maximum number of permits over the fleet; `None`: it has no cap.
+    /// Highest number of permits over all processes; `None`: the tenant has no cap.
     pub cap: Option<u32>,
-    /// The permits of the cap that each process is guaranteed.
+    /// Permits of the cap that each process with a slot may use without a grant; 0 for a tenant without a
+    /// cap.
     pub guaranteed: u32,
 }
 
@@ -107,32 +115,35 @@
     }
 }
 
-/// A configuration that was checked.
+/// Validated quota configuration of a process.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct TenantRegistry {
-    /// In the order of the settings; the last is for calls of no tenant, or of an unknown one, and is always there.
+    /// Tenants in the order of the settings. The last one is the default tenant, which always exists.
     pub tenants: Vec<Tenant>,
-    /// See [`QuotaConfig::max_proxies`].
+    /// Highest number of processes that run at a time ([`QuotaConfig::max_proxies`]).
     pub max_proxies: u32,
-    /// See [`QuotaConfig::calls_per_host`].
+    /// Number of calls that a host of size 1 can have in flight; 0: no fair shares
+    /// ([`QuotaConfig::calls_per_host`]).
     pub calls_per_host: u32,
-    /// See [`QuotaConfig::margin_percent`].
+    /// Percentage of the hosts' capacity that is kept free ([`QuotaConfig::margin_percent`]).
     pub margin_percent: u32,
-    /// Differs between registries that allow something else.
+    /// Hash of the tenants, limits and percentages above. Processes with the same digest have the same
+    /// configuration.
     pub digest: u64,
 }
 
 impl TenantRegistry {
-    /// Checks a configuration against the tenants of the settings, each with its portion of the service.
+    /// Validates a configuration. `tenants` are the tenants of the settings: pairs of a name and the portion
+    /// of the service that the tenant is entitled to.
     ///
     /// # Errors
     ///
-    /// What an operator has to change.
+    /// Returns the first problem that is found in the configuration or in the tenants.
     pub fn new<'a>(
         config: &QuotaConfig,
         tenants: impl IntoIterator<Item = (&'a str, f64)>,
     ) -> Result<TenantRegistry, QuotaConfigError> {
-        check_numbers(config)?;
+        check_ranges(config)?;
         let mut registry = TenantRegistry {
             tenants: weighted_tenants(tenants)?,
             max_proxies: config.max_proxies,
@@ -153,11 +164,11 @@
         hasher.finish()
     }
 
-    /// Sets a tenant's cap by a line of the configuration.
+    /// Sets the cap and the guaranteed minimum of a tenant by one line of [`QuotaConfig::caps`].
     fn set_cap(&mut self, line: &str, guaranteed_percent: u32) -> Result<(), QuotaConfigError> {
         let parsed = line.trim().rsplit_once(char::is_whitespace);
         let parsed = parsed.and_then(|(name, cap)| Some((name.trim(), cap.parse::<u32>().ok()?)));
-        let (name, cap) = parsed.ok_or_else(|| QuotaConfigError::NotACap(line.to_owned()))?;
+        let (name, cap) = parsed.ok_or_else(|| QuotaConfigError::InvalidCap(line.to_owned()))?;
         let proxies = self.max_proxies;
         let Some(tenant) = self.tenants.iter_mut().find(|tenant| tenant.name == name) else {
             let known: Vec<&str> = self.tenants.iter().map(|tenant| tenant.name.as_str()).collect();
@@ -176,20 +187,23 @@
         Ok(())
     }
 
-    /// Permits of a cap beside all guaranteed minimums; `None`: the tenant has no cap.
+    /// Returns how many permits of a tenant's cap the leader can grant: those that are left when
+    /// `max_proxies` processes have their guaranteed minimums; `None`: the tenant has no cap, or does not
+    /// exist.
     pub fn pool(&self, tenant: usize) -> Option<u32> {
         let tenant = self.tenants.get(tenant)?;
         Some(tenant.cap?.saturating_sub(tenant.guaranteed.saturating_mul(self.max_proxies)))
     }
 
-    /// The place of the tenant with this name; that of the last, where there is none.
+    /// Returns the index of the tenant with this name; without a name, or with an unknown one, the index of
+    /// the default tenant.
     pub fn index(&self, name: Option<&str>) -> usize {
         let last = self.tenants.len().saturating_sub(1);
         name.and_then(|name| self.tenants.iter().position(|tenant| tenant.name == name)).unwrap_or(last)
     }
 }
 
-fn check_numbers(config: &QuotaConfig) -> Result<(), QuotaConfigError> {
+fn check_ranges(config: &QuotaConfig) -> Result<(), QuotaConfigError> {
     if config.max_proxies == 0 {
         return Err(QuotaConfigError::NoProxies);
     }
@@ -197,37 +211,42 @@
         return Err(QuotaConfigError::GuaranteedPercent(config.guaranteed_percent));
     }
     if config.margin_percent >= 100 {
-        return Err(QuotaConfigError::Margin(config.margin_percent));
+        return Err(QuotaConfigError::MarginPercent(config.margin_percent));
     }
     Ok(())
 }
 
-/// The tenants with their weights, and the rest as the last.
+/// Creates the tenants with their weights and without caps, the default tenant as the last one.
 fn weighted_tenants<'a>(
     tenants: impl IntoIterator<Item = (&'a str, f64)>,
 ) -> Result<Vec<Tenant>, QuotaConfigError> {
     let mut named: Vec<Tenant> = Vec::new();
     let mut total = 0.0;
     for (name, portion) in tenants {
-        if name == OTHERS || named.iter().any(|tenant| tenant.name == name) {
+        if name == DEFAULT_TENANT || named.iter().any(|tenant| tenant.name == name) {
             return Err(QuotaConfigError::AmbiguousTenant(name.to_owned()));
         }
-        if named.len() + 1 >= MAX_TENANTS || name.len() > MAX_NAME_BYTES {
+        if named.len() + 1 >= MAX_TENANT_COUNT || name.len() > MAX_NAME_BYTES {
             return Err(QuotaConfigError::TooManyTenants);
         }
         let portion = if portion.is_finite() { portion.clamp(0.0, MAX_PORTION) } else { 0.0 };
         total += portion;
         named.push(Tenant::uncapped(name, weight(portion)));
     }
-    // The rest weighs what the portions leave, and no less than the lightest tenant.
+    // The default tenant gets the portion of the service that the named tenants leave, but no lower weight
+    // than the lightest named tenant has.
     let lightest = named.iter().map(|tenant| tenant.weight).min().unwrap_or(1);
-    named.push(Tenant::uncapped(OTHERS, weight(1.0 - total).max(lightest)));
+    named.push(Tenant::uncapped(DEFAULT_TENANT, weight(1.0 - total).max(lightest)));
     Ok(named)
 }
 
-#[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "a portion is 0 to MAX_PORTION")]
+#[expect(
+    clippy::cast_possible_truncation,
+    clippy::cast_sign_loss,
+    reason = "portions are at most MAX_PORTION"
+)]
 fn weight(portion: f64) -> u64 {
-    ((portion * WEIGHT_SCALE).round().max(0.0) as u64).max(1)
+    ((portion * WEIGHT_PER_PORTION).round().max(0.0) as u64).max(1)
 }
 
 #[cfg(test)]
--- a/quota/src/report.rs
+++ b/quota/src/report.rs
@@ -1,114 +1,126 @@
-//! What a process and the leader tell each other along with the renewal of a lease. It is encoded by position: neither the
-//! order of fields nor that of variants may change.
+//! Reports and grants that a process and the leader exchange with each renewal of a lease. They are encoded
+//! by position: the order of fields and variants must not change.
 
 use crate::registry::Tenant;
 use flaxhead_lease::{Ballot, Micros};
 use serde::{Deserialize, Serialize};
 
-/// Which of two grants is newer: by the leader, then by its count for the process.
+/// Version of a grant, ordered by the ballot of the leader, then by the leader's count of grants to the
+/// process.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct GrantVersion {
-    /// The leader's ballot.
+    /// Ballot of the leader that issued the grant.
     pub ballot: Ballot,
-    /// The leader's count of its grants to the process; 0: its ballot was heard of, and no grant taken.
+    /// Number of the grant, which the leader raises with each changed grant to the process; 0: the process
+    /// knows of the leader, but has no grant of it.
     pub seq: u64,
 }
 
-/// The calls of one tenant at a process.
+/// Calls of one tenant at one process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct TenantUsage {
-    /// In flight now, each hedged request as one more.
+    /// Number of calls in flight, with each hedged request counted as one more.
     pub in_flight: u32,
-    /// Maximum of those in flight and queued together since the last report.
+    /// Highest number of calls in flight and queued together since the last report.
     pub peak: u32,
-    /// Queued now for a permit.
+    /// Number of calls queued for a permit.
     pub queued: u32,
-    /// Rejected for want of a permit since the last report.
+    /// Number of calls rejected for lack of a permit since the last report.
     pub rejected: u32,
 }
 
-/// The calls of all tenants at a process.
+/// Calls of all tenants at one process, and its attempts at hosts.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Usage {
-    /// By tenant, in the order of the process's settings; absent ones have none.
+    /// Calls by tenant, in the order of the process's settings; a tenant beyond the end has no calls.
     pub tenants: Vec<TenantUsage>,
-    /// Attempts that ended since the last report.
+    /// Number of attempts at hosts that ended since the last report.
     pub attempts: u32,
-    /// Those of them that a host rejected as it was full.
+    /// Number of these ended attempts that hosts rejected because they were full.
     pub rejected_by_hosts: u32,
 }
 
-/// Whether a process may use the guaranteed minimums. They are counted for a limited number of processes.
+/// Right of a process to use its guaranteed minimums. There are `max_proxies` slots, because each cap has
+/// room for the minimums of that many processes only.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Slot {
-    /// It has just started, and it is not known whether there are too many processes.
+    /// The process has just started, and no leader has decided yet whether it gets a slot. It uses no
+    /// guaranteed minimums.
     #[default]
     #[serde(rename = "Waits")]
     Pending,
-    /// It may.
+    /// The process may use its guaranteed minimums.
     #[serde(rename = "Has")]
     Assigned,
-    /// It may not: there are more processes than slots.
+    /// The process may not use its guaranteed minimums, because all slots are taken.
     Denied,
 }
 
-/// The configuration of a process, where it is not the leader's.
+/// Quota configuration of a process, as reported to a leader whose own configuration may differ.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ReportedConfig {
-    /// Its tenants.
+    /// Tenants with their caps and weights, in the order of the process's settings.
     pub tenants: Vec<Tenant>,
-    /// The number of processes that its guaranteed minimums are counted for.
+    /// Highest number of processes that run at a time; each cap has room for that many guaranteed minimums.
     pub max_proxies: u32,
 }
 
-/// A process's report.
+/// Report that a process sends to the leader with each renewal of its lease.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct QuotaReport {
-    /// The newest grant that it has heard of: it takes no older one any more.
+    /// Version of the newest grant, or of the newest leader without a grant, that the process knows. The
+    /// process ignores grants with lower versions. `None`: the process knows no leader.
     pub grant_version: Option<GrantVersion>,
-    /// Permits that it is granted beside its guaranteed minimums, by tenant; empty: none, or they have expired.
+    /// Permits of the grant that the process uses, beyond the guaranteed minimums, by tenant; empty: no
+    /// grant, or an expired one.
     pub granted: Vec<u32>,
-    /// For how long those are still valid.
+    /// Time until the grant that the process uses expires, by the process's clock; 0: no valid grant.
     pub grant_left: Micros,
-    /// Whether it uses its guaranteed minimums.
+    /// Whether the process may use its guaranteed minimums.
     pub slot: Slot,
-    /// Its calls.
+    /// Calls at the process, from which the leader derives the demand of the process.
     pub usage: Usage,
-    /// The digest of its configuration.
+    /// Digest of the process's configuration. The leader compares it with the digest of its own
+    /// configuration, and reads `config` only if the two digests differ.
     pub digest: u64,
-    /// Its configuration, unless the leader is known to have the same.
+    /// Configuration of the process; `None`: the leader's last grant carried the digest of the same
+    /// configuration.
     pub config: Option<ReportedConfig>,
 }
 
-/// A guaranteed minimum that is lower by another process's configuration.
+/// Guaranteed minimum that a process has to use instead of its configured one, because a lower one is
+/// configured for the tenant at the leader or at some other process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LoweredMinimum {
-    /// The tenant, by its place in the order of the receiving process.
+    /// Index of the tenant in the settings of the process that receives the grant.
     pub tenant: u16,
-    /// Its guaranteed minimum, in permits.
+    /// Guaranteed minimum to use instead of the configured one, in permits.
     pub guaranteed: u32,
 }
 
-/// What is granted to one process.
+/// Grant that the leader sends to a process in reply to a report. It replaces the process's previous grant.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct QuotaGrant {
-    /// The leader's count of its grants to this process that differ from the one before.
+    /// [`GrantVersion::seq`] of the grant.
     pub seq: u64,
-    /// Permits beside its guaranteed minimums, by tenant in the process's order; `None`: the leader does not know yet what
-    /// the process has, and the process keeps that until it expires.
+    /// Permits beyond the guaranteed minimums, by tenant in the process's order; `None`: the process has not
+    /// reported its permits to this leader yet, and keeps its previous grant until that expires.
     pub permits: Option<Vec<u32>>,
-    /// Whether it may use its guaranteed minimums.
+    /// Whether the process may use its guaranteed minimums.
     pub has_slot: bool,
-    /// Its fair share, of all tenants together, of what the hosts can carry; `None`: not agreed upon.
+    /// Limit on the permits of all tenants together at the process, which is the sum of `fair_shares`, at
+    /// least 1; `None`: no such limit, because the capacity of the hosts is unknown or not configured.
     pub total: Option<u32>,
-    /// Each tenant's part of it.
+    /// Part of each tenant's fair share that falls to the process, in permits, in the process's order.
     pub fair_shares: Vec<u32>,
-    /// The tenants whose guaranteed minimum is lower than by this process's configuration.
+    /// Guaranteed minimums that the process has to use instead of its configured ones.
     pub lowered: Vec<LoweredMinimum>,
-    /// The leader knows what all processes have, and by which configuration; else what was lowered before stays so.
+    /// Whether the leader knows the permits and configurations of all processes. If not, the process keeps
+    /// its previous `total` and `fair_shares`, and its minimums can only be lowered further.
     pub is_complete: bool,
-    /// The digest of the leader's configuration.
+    /// Digest of the leader's configuration. A process with the same digest does not report its
+    /// configuration.
     pub digest: u64,
-    /// How soon the next report is wanted, in milliseconds.
+    /// Time after which the process sends its next report, in milliseconds.
     pub report_interval_ms: u32,
 }
--- a/quota/src/view.rs
+++ b/quota/src/view.rs
@@ -1,4 +1,4 @@
-//! What operators see of the fleet. The names of the keys in JSON are those of the side port.
+//! Status of the fleet's quotas for the status pages. The serde names are the JSON keys of these pages.
 
 use crate::ledger::{ProcessUsage, QuotaLedger};
 use flaxhead_lease::Micros;
@@ -6,42 +6,46 @@
 
 const MICROS_PER_SECOND: Micros = 1_000_000;
 
-/// A process that has permits of a tenant.
+/// Permits and calls of a tenant at one process.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PermitHolderView {
-    /// The process.
+    /// Name by which the process takes part in the lease protocol.
     pub name: String,
-    /// Permits that it may use beside its guaranteed minimum, or has in flight beyond it.
+    /// Number of permits beyond the guaranteed minimum that the process may use, or has in use if that is
+    /// more.
     pub granted: u32,
-    /// Calls in flight, by its last report.
+    /// Number of calls of the tenant in flight according to the process's last report.
     #[serde(rename = "in_hand")]
     pub in_flight: u32,
 }
 
-/// A tenant, over the fleet.
+/// Permits and calls of a tenant at all processes together.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TenantView {
-    /// Its name.
+    /// Name of the tenant in the settings; `others`: the default tenant.
     pub name: String,
-    /// Maximum number of calls in flight; `None`: it has no cap.
+    /// Cap on the tenant's calls in flight at all processes together; `None`: the tenant has no cap.
     pub cap: Option<u32>,
-    /// Its fair share of what the hosts carry, in calls; `None`: not agreed upon.
+    /// Portion of the hosts' capacity by the tenant's weight, in calls; `None`: the capacity is unknown or
+    /// not configured.
     #[serde(rename = "share")]
     pub fair_share: Option<u32>,
-    /// Permits that are granted, with the guaranteed minimums of processes that have a slot.
+    /// Sum of the guaranteed minimums of all processes that have a slot, and of the permits beyond them
+    /// ([`PermitHolderView::granted`]).
     pub granted: u32,
-    /// Calls in flight.
+    /// Number of calls in flight according to the last report of each process.
     #[serde(rename = "in_hand")]
     pub in_flight: u32,
-    /// The part of its fair share that others may use, as it does not.
+    /// Permits of the fair share that the tenant does not use, so that other tenants may use them.
     pub lent: u32,
-    /// Calls that wait for a permit.
+    /// Number of calls queued for a permit, according to the last report of each process.
     #[serde(rename = "waiting")]
     pub queued: u32,
-    /// Calls that were rejected for want of one, by the last report of each process.
+    /// Number of calls rejected for lack of a permit, summed over the last report of each process.
     #[serde(rename = "refused")]
     pub rejected: u32,
-    /// The processes that have permits of it.
+    /// Processes that may use permits of the tenant beyond the guaranteed minimum, or have calls of the
+    /// tenant in flight.
     #[serde(rename = "held_by")]
     pub holders: Vec<PermitHolderView>,
 }
@@ -60,21 +64,23 @@
     }
 }
 
-/// The fleet, as the leader knows it.
+/// Permits and calls of all tenants, as the leader knows them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuotaView {
-    /// By tenant.
+    /// Status by tenant, in the order of the leader's settings.
     pub tenants: Vec<TenantView>,
-    /// Calls that the hosts carry, less the margin; `None`: not agreed upon.
+    /// Number of calls that all hosts can have in flight, less the margin; `None`: the capacity is unknown or
+    /// not configured.
     #[serde(rename = "carried")]
     pub capacity: Option<u32>,
-    /// Why less is granted than there is: `learning for 9 s more`, `not heard: n3`, `no seat: n9`, `caps differ at n2`.
+    /// Reasons why fewer permits are granted than the caps allow, such as `learning for 9 s more`, `not
+    /// heard: n3`, `no seat: n9` or `caps differ at n2`.
     #[serde(rename = "why")]
     pub reasons: Vec<String>,
 }
 
 impl QuotaLedger {
-    /// What operators see.
+    /// Returns the permits and calls that the leader knows of at `now`.
     pub fn view(&self, now: Micros) -> QuotaView {
         let tenants = (0..self.tenants().len()).map(|tenant| self.tenant_view(now, tenant)).collect();
         QuotaView { tenants, capacity: self.capacity(), reasons: self.reasons(now) }
@@ -98,13 +104,13 @@
             let seconds = (until - now).div_ceil(MICROS_PER_SECOND);
             reasons.push(format!("learning for {seconds} s more"));
         }
-        let mut add = |what: &str, names: Vec<String>| {
+        let mut add = |prefix: &str, names: Vec<String>| {
             if !names.is_empty() {
-                reasons.push(format!("{what} {}", names.join(" ")));
+                reasons.push(format!("{prefix} {}", names.join(" ")));
             }
         };
         add("not heard:", self.silent(now));
-        add("no seat:", self.without_slot().into_iter().map(ToString::to_string).collect());
+        add("no seat:", self.processes_without_slot().into_iter().map(ToString::to_string).collect());
         add("caps differ at", self.with_other_config());
         reasons
     }
